--- a/packages/entry/src/metrics/metrics.ts
+++ b/packages/entry/src/metrics/metrics.ts
@@ -50,7 +50,7 @@
   }
 
   /** Adds a value that is read at each scrape. */
-  observe(
+  registerGauge(
     name: string,
     description: string,
     read: (result: api.ObservableResult) => void,
--- a/packages/standins/src/bench/bench_entry_main.ts
+++ b/packages/standins/src/bench/bench_entry_main.ts
@@ -48,8 +48,8 @@
       config: this.#config(),
       servers: this.#servers(),
       owners: NO_OWNERS,
-      links: new links.ServerLinks(
-        links.SERVER_LINKS_DEFAULTS,
+      links: new links.ConnectionPools(
+        links.CONNECTION_POOLS_DEFAULTS,
         this.#lifeCycle,
       ),
       hashKey,
