--- a/packages/entry/src/gateway/cold_starts.ts
+++ b/packages/entry/src/gateway/cold_starts.ts
@@ -1,4 +1,4 @@
-/** This VM's part of what cold servers may get, by service. */
+/** This VM's share of the request rate that cold servers may get, by service. */
 import type * as contracts from "@guavatide/contracts";
 import * as admission from "@guavatide/decisions/admission/mod";
 import * as grants from "@guavatide/decisions/grants/mod";
@@ -10,7 +10,7 @@
 /** Options of {@link ColdStartLimits}. */
 export interface ColdStartLimitsOptions {
   readonly vm: contracts.VmId;
-  /** Undefined where there is no bound. */
+  /** Limit for all entry VMs together; undefined where there is none. */
   readonly bound: admission.ColdStartBound | undefined;
   readonly config: ConfigHolder;
   readonly registry: ServerRegistry;
@@ -19,30 +19,30 @@
   readonly clock: contracts.Clock;
 }
 
-/** Just after its start a process knows too few VMs to find its own place. */
+/** Just after its start a process knows too few VMs to compute its own rank. */
 const STARTUP_GRACE_MS = 2_000;
 
-/** Creates the limits of each service. */
+/** Creates the rate limits on requests to cold servers. */
 export class ColdStartLimits {
   readonly #options: ColdStartLimitsOptions;
-  readonly #order: grants.DutyOrder;
+  readonly #rankOrder: grants.DutyOrder;
   readonly #startedMs: number;
 
   constructor(options: ColdStartLimitsOptions) {
     this.#options = options;
-    this.#order = new grants.DutyOrder(options.hasher);
+    this.#rankOrder = new grants.DutyOrder(options.hasher);
     this.#startedMs = options.clock.nowMs();
     options.registry.onChange(() =>
-      this.#order.keepOnly(options.registry.ids())
+      this.#rankOrder.keepOnly(options.registry.ids())
     );
   }
 
-  /** For requests that this VM sends without asking another. */
+  /** Limit for requests that this VM sends without asking a coordinator. */
   forDirectSends(service: contracts.ServiceId): admission.ColdStartLimit {
     return this.#create(service, admission.EQUAL_PARTS);
   }
 
-  /** For slots that this VM gives out to all others. */
+  /** Limit for slots that this VM grants to all VMs as their coordinator. */
   forCoordinator(service: contracts.ServiceId): admission.ColdStartLimit {
     return this.#create(service, admission.COORDINATOR_PARTS);
   }
@@ -58,20 +58,23 @@
       coldUntilMs: (server) => registry.coldUntilMs(server),
       requestsPerSecond: () =>
         config.service(service)?.coldStart?.requestsPerSecond,
-      placeOf: (server) => this.#placeOf(server),
+      placeOf: (server) => this.#rankOf(server),
     });
   }
 
-  /** Lost VMs keep their places: one that is only cut off still sends. */
-  #placeOf(server: contracts.ServerId): number | undefined {
+  /**
+   * Rank of this VM among those that may send to the server. Failed VMs keep
+   * their ranks: one that is only partitioned off still sends.
+   */
+  #rankOf(server: contracts.ServerId): number | undefined {
     const { vm, registry, gossip, clock } = this.#options;
     const isAlone = gossip.vmCount === 1 && gossip.seedCount > 0;
-    const isSettled = clock.nowMs() - this.#startedMs >= STARTUP_GRACE_MS;
-    if (isAlone || !isSettled) return undefined;
+    const isPastStartup = clock.nowMs() - this.#startedMs >= STARTUP_GRACE_MS;
+    if (isAlone || !isPastStartup) return undefined;
     const zone = registry.zoneOf(server);
     const inZone = gossip.knownIn(zone);
     const vms = inZone.length > 0 ? inZone : gossip.knownIn(undefined);
-    const place = this.#order.of(server, vms).indexOf(vm);
-    return place < 0 ? undefined : place;
+    const rank = this.#rankOrder.of(server, vms).indexOf(vm);
+    return rank < 0 ? undefined : rank;
   }
 }
--- a/packages/entry/src/gateway/config_holder.ts
+++ b/packages/entry/src/gateway/config_holder.ts
@@ -1,10 +1,10 @@
-/** The configuration in force on this VM; it never goes back. */
+/** The configuration in force on this VM; its version never decreases. */
 import type * as contracts from "@guavatide/contracts";
 import * as routes from "@guavatide/decisions/routes/mod";
 import type { PartLog } from "../utils/log.ts";
 import type { PlatformAdapter } from "./platform_adapter.ts";
 
-/** A configuration with its routes ready for use. */
+/** A configuration with its compiled route table. */
 export interface ActiveConfig {
   readonly config: contracts.RouteConfig;
   readonly table: routes.RouteTable;
@@ -16,7 +16,7 @@
   readonly log: PartLog;
 }
 
-/** Takes over configurations as the store tells them. */
+/** Decodes configurations from the store and puts newer ones in force. */
 export class ConfigHolder {
   readonly #options: ConfigHolderOptions;
   readonly #listeners: (() => void)[] = [];
@@ -36,24 +36,27 @@
     return this.#active?.config.version ?? -1;
   }
 
-  /** A service as configured; undefined for an unknown one. */
+  /** Configuration of a service; undefined for an unknown one. */
   service(id: contracts.ServiceId): contracts.RoutedService | undefined {
     return this.#active?.config.services.get(id);
   }
 
-  /** Called after each change. */
+  /** Registers a listener that runs after each change. */
   onChange(listener: () => void): void {
     this.#listeners.push(listener);
   }
 
-  /** Takes over an object when it is the configuration, and a newer one. */
+  /**
+   * Puts a stored object in force when it is the configuration object and its
+   * version is newer. One that can't be decoded is logged and ignored.
+   */
   applyObject(object: contracts.StoredObject): void {
     const { adapter, log } = this.#options;
     if (object.name !== adapter.prefixes.configObject) return;
     const decoded = adapter.decodeConfig(object.value);
     if (decoded.isErr()) {
       const { field, message } = decoded.error;
-      log.warn("Refuses a configuration.", { field, message });
+      log.warn("Refuses an invalid configuration.", { field, message });
       return;
     }
     const config = decoded.value;
--- a/packages/entry/src/gateway/forwarded_request.ts
+++ b/packages/entry/src/gateway/forwarded_request.ts
@@ -1,4 +1,4 @@
-/** One request on its way: waiting, sends, and its single final answer. */
+/** One request from queueing through its attempts to its single response. */
 import type * as contracts from "@guavatide/contracts";
 import type * as admission from "@guavatide/decisions/admission/mod";
 import type { AttemptRequest, AttemptResult } from "../links/server_link.ts";
@@ -9,53 +9,53 @@
 } from "./front_request.ts";
 import type { AttemptRecord, RequestRecord } from "./request_story.ts";
 
-/** What a request needs of its surroundings. */
+/** What a request needs from the forwarder. */
 export interface ForwardingContext {
   readonly service: contracts.ServiceId;
   readonly queue: admission.ServiceQueue;
   readonly times: admission.ServiceTimes;
   readonly clock: contracts.Clock;
   readonly configVersion: number;
-  /** Takes one second send from the shared budget if there is one. */
+  /** Takes one retry from the shared budget; false when none is left. */
   tryRetry(): boolean;
   send(
     entry: contracts.ServerEntry,
     request: AttemptRequest,
     options: { readonly timeoutMs: number; readonly signal: AbortSignal },
   ): Promise<AttemptResult>;
-  /** Headers for one send, with what the system adds. */
+  /** Headers for one attempt, with those that the entry VM adds. */
   headers(
     request: FrontRequest,
     entry: contracts.ServerEntry,
     leftMs: number,
   ): readonly string[];
-  /** A server reported its load with an answer. */
+  /** A server reported its load in a response. */
   recordServerReport(
     server: contracts.ServerId,
     report: contracts.ServerReport,
     nowMs: number,
   ): void;
-  /** Something ended or changed: waiting requests may have found room. */
+  /** The request is finished. */
   onFinished(story: RequestRecord): void;
-  /** Load at the service's servers has changed. */
+  /** This VM's load on the service's servers has changed. */
   onLoadChange(): void;
 }
 
 /**
- * The server stops a little before the caller is answered, so that its own
- * answer still arrives and its connection stays usable.
+ * The server's deadline is this much earlier than the caller's, so that its
+ * own timeout response still arrives and the connection stays usable.
  */
 const SERVER_DEADLINE_MARGIN_MS = 15;
-/** Least time left for which a second send is worth its cost. */
+/** Minimum time left before the deadline for which a retry is worth its cost. */
 const MIN_RETRY_TIME_LEFT_MS = 20;
-/** A caller whose key's owner refused comes back when the move is over. */
+/** Tells a caller whose key's owner refused to retry after the handover. */
 const HANDOVER_RETRY_AFTER_MS = 150;
-/** A send with less time than this part of the expected time is not repeated. */
+/** No retry with less time left than this fraction of the expected time. */
 const MIN_RETRY_TIME_RATIO = 0.6;
-/** Wait before a request that its key's owner refused is placed again. */
+/** Wait before a request that its key's owner refused is queued again. */
 const OWNER_REFUSAL_BACKOFF_MS = 25;
 
-/** A request from its arrival to its answer. */
+/** A request from its arrival to its response. */
 export class ForwardedRequest implements admission.WaitingRequest {
   readonly route: contracts.Route;
   readonly key: number | undefined;
@@ -64,31 +64,31 @@
   readonly answerByMs: number;
   readonly tried = new Set<contracts.ServerId>();
   readonly #request: FrontRequest;
-  readonly #parts: ForwardingContext;
+  readonly #context: ForwardingContext;
   readonly #resolve: (answer: FrontAnswer) => void;
   readonly #attempts: AttemptRecord[] = [];
   readonly #timer: NodeJS.Timeout;
-  /** Cancels the send under way. */
+  /** Cancels the attempt in flight. */
   readonly #cancel = new AbortController();
-  /** A server's failure that is passed on unless a second send does better. */
+  /** A server's failure, which the caller gets unless a retry succeeds. */
   #fallback: FrontAnswer | undefined;
-  /** A send may have run without an answer. */
+  /** Whether an attempt may have run although no response came. */
   #mayHaveRun = false;
   #sends = 0;
   #waitingSinceMs: number;
   #queuedMs = 0;
-  #isSending = false;
+  #isSendPending = false;
   #isDone = false;
 
   constructor(
     request: FrontRequest,
     route: contracts.Route,
-    parts: ForwardingContext,
+    context: ForwardingContext,
     resolve: (answer: FrontAnswer) => void,
   ) {
     this.#request = request;
     this.route = route;
-    this.#parts = parts;
+    this.#context = context;
     this.#resolve = resolve;
     this.key = request.key;
     this.bodyBytes = request.body?.length ?? 0;
@@ -97,20 +97,20 @@
     const longestMs = Math.min(route.timeoutMs, deadlineMs ?? Infinity);
     this.answerByMs = request.arrivedMs + longestMs;
     this.#waitingSinceMs = request.arrivedMs;
-    const leftMs = Math.max(0, this.answerByMs - parts.clock.nowMs());
+    const leftMs = Math.max(0, this.answerByMs - context.clock.nowMs());
     this.#timer = setTimeout(() => this.#onTimeout(), leftMs);
     request.signal.addEventListener("abort", this.#onCallerGone);
   }
 
-  /** Asks for a server. The answer comes through `resolve`, once. */
+  /** Queues the request. The response comes through `resolve`, once. */
   start(): void {
     if (this.#request.signal.aborted) return this.#onCallerGone();
-    this.#parts.queue.add(this, this.#parts.clock.nowMs());
+    this.#context.queue.add(this, this.#context.clock.nowMs());
   }
 
-  /** A server has room. */
+  /** Called by the queue when a server has a free slot. */
   placed(placement: admission.Placement): void {
-    const nowMs = this.#parts.clock.nowMs();
+    const nowMs = this.#context.clock.nowMs();
     this.#queuedMs += nowMs - this.#waitingSinceMs;
     this.#sends++;
     this.#send(placement, nowMs).catch((error) =>
@@ -121,9 +121,9 @@
     );
   }
 
-  /** No server can be had in time. */
+  /** Called by the queue when no server will be free in time. */
   refused(refusal: admission.Refusal): void {
-    this.#queuedMs += this.#parts.clock.nowMs() - this.#waitingSinceMs;
+    this.#queuedMs += this.#context.clock.nowMs() - this.#waitingSinceMs;
     const { reason, retryAfterMs, expectedWaitMs } = refusal;
     const why = `${reason}, expected wait ${Math.round(expectedWaitMs)} ms`;
     this.#giveUp(why, retryAfterMs);
@@ -134,22 +134,22 @@
     nowMs: number,
   ): Promise<void> {
     const { entry } = load;
-    const noteEnd = load.begin(nowMs);
-    this.#parts.onLoadChange();
+    const recordEnd = load.begin(nowMs);
+    this.#context.onLoadChange();
     const leftMs = this.answerByMs - nowMs;
-    this.#isSending = true;
-    const result = await this.#parts.send(
+    this.#isSendPending = true;
+    const result = await this.#context.send(
       entry,
-      this.#linkRequest(entry, leftMs),
+      this.#attemptRequest(entry, leftMs),
       { timeoutMs: leftMs, signal: this.#cancel.signal },
     );
-    this.#isSending = false;
-    const endedMs = this.#parts.clock.nowMs();
+    this.#isSendPending = false;
+    const endedMs = this.#context.clock.nowMs();
     const end = this.#sendEnd(result);
-    noteEnd(end, endedMs);
+    recordEnd(end, endedMs);
     const report = "report" in result ? result.report : undefined;
     if (report !== undefined) {
-      this.#parts.recordServerReport(entry.server, report, endedMs);
+      this.#context.recordServerReport(entry.server, report, endedMs);
     }
     this.#attempts.push({
       server: entry.server,
@@ -162,16 +162,19 @@
     const hasFreeSlots = outstanding < entry.slots;
     const isServed = end.kind === "answered" && !end.isFailure;
     if (isServed && hasFreeSlots) {
-      this.#parts.times.note(this.route, entry.server, endedMs - nowMs);
+      this.#context.times.note(this.route, entry.server, endedMs - nowMs);
     }
     ended?.(isServed ? endedMs - nowMs : undefined);
-    this.#parts.onLoadChange();
-    this.#take(result, entry.server);
-    // A keyed server's slot goes back to its coordinator, not to this queue.
-    if (!this.#isOwned()) this.#parts.queue.pump(endedMs);
+    this.#context.onLoadChange();
+    this.#handleResult(result, entry.server);
+    // A slot of a keyed service returns to its coordinator, not to this queue.
+    if (!this.#isKeyedService()) this.#context.queue.pump(endedMs);
   }
 
-  #linkRequest(entry: contracts.ServerEntry, leftMs: number): AttemptRequest {
+  #attemptRequest(
+    entry: contracts.ServerEntry,
+    leftMs: number,
+  ): AttemptRequest {
     const { id, method, target, body } = this.#request;
     const serverLeftMs = Math.max(
       1,
@@ -181,7 +184,7 @@
       id: id as contracts.RequestId,
       method,
       path: target,
-      headers: this.#parts.headers(this.#request, entry, serverLeftMs),
+      headers: this.#context.headers(this.#request, entry, serverLeftMs),
       body,
       maySend: () => !this.#isDone,
       onServerStamp: () => {},
@@ -197,101 +200,104 @@
     return { kind: "lost" };
   }
 
-  #take(result: AttemptResult, server: contracts.ServerId): void {
+  #handleResult(result: AttemptResult, server: contracts.ServerId): void {
     if (this.#isDone) return;
     switch (result.kind) {
       case "answer":
-        return this.#takeAnswer(result.answer, server);
+        return this.#handleAnswer(result.answer, server);
       case "refusal":
-        return this.#takeRefusal(result.refusal, server);
+        return this.#handleRefusal(result.refusal, server);
       case "not-sent":
-        // Nothing left, so this costs no second send.
+        // Not one byte was sent, so this doesn't count as an attempt.
         this.#sends--;
         if (this.key === undefined) this.tried.add(server);
-        return this.#again("no connection", false);
+        return this.#retryOrGiveUp("no connection", false);
       case "unknown":
         this.#mayHaveRun = true;
         this.tried.add(server);
-        return this.#takeUnknown(result.message);
+        return this.#handleUnknown(result.message);
     }
   }
 
-  #takeAnswer(
+  #handleAnswer(
     answer: Extract<AttemptResult, { kind: "answer" }>["answer"],
     server: contracts.ServerId,
   ): void {
-    const passedOn: FrontAnswer = { kind: "passed-on", answer };
-    const mayRepeat = isFailure(answer.status) && this.route.isIdempotent &&
-      this.#mayRepeat(server);
-    if (!mayRepeat) return this.#finish(passedOn, "answered");
-    this.#fallback = passedOn;
-    this.#again(`server failed with ${answer.status}`, true);
+    const forwarded: FrontAnswer = { kind: "passed-on", answer };
+    const isRetried = isFailure(answer.status) && this.route.isIdempotent &&
+      this.#hasRetryTarget(server);
+    if (!isRetried) return this.#finish(forwarded, "answered");
+    this.#fallback = forwarded;
+    this.#retryOrGiveUp(`server failed with ${answer.status}`, true);
   }
 
-  #takeRefusal(refusal: string, server: contracts.ServerId): void {
-    const isKeyed = this.key !== undefined && this.#isOwned();
+  #handleRefusal(refusal: string, server: contracts.ServerId): void {
+    const isKeyed = this.key !== undefined && this.#isKeyedService();
     if (!isKeyed) this.tried.add(server);
-    if (this.#canSendAgain() && this.#parts.tryRetry()) {
-      if (!isKeyed) return this.#queueAgain();
+    if (this.#hasRetryLeft() && this.#context.tryRetry()) {
+      if (!isKeyed) return this.#requeue();
       setTimeout(() => {
-        if (!this.#isDone) this.#queueAgain();
+        if (!this.#isDone) this.#requeue();
       }, OWNER_REFUSAL_BACKOFF_MS);
       return;
     }
     this.#giveUp(`server refused: ${refusal}`, HANDOVER_RETRY_AFTER_MS);
   }
 
-  #takeUnknown(message: string): void {
-    if (this.route.isIdempotent) return this.#again(message, true);
+  #handleUnknown(message: string): void {
+    if (this.route.isIdempotent) return this.#retryOrGiveUp(message, true);
     this.#finish(
       { kind: "own", status: 502, message: "The server's answer was lost" },
       `unknown: ${message}`,
     );
   }
 
-  /** Sends once more where that is allowed and of use. */
-  #again(reason: string, isRepeat: boolean): void {
-    const isAllowed = this.#canSendAgain() &&
-      (!isRepeat || this.#parts.tryRetry());
-    if (isAllowed) this.#queueAgain();
+  /** Retries where attempts, time and, if it counts, the budget allow it. */
+  #retryOrGiveUp(reason: string, usesBudget: boolean): void {
+    const isAllowed = this.#hasRetryLeft() &&
+      (!usesBudget || this.#context.tryRetry());
+    if (isAllowed) this.#requeue();
     else this.#giveUp(reason, HANDOVER_RETRY_AFTER_MS);
   }
 
-  #queueAgain(): void {
-    const nowMs = this.#parts.clock.nowMs();
+  #requeue(): void {
+    const nowMs = this.#context.clock.nowMs();
     this.#waitingSinceMs = nowMs;
-    // The owner of a key is the only one to ask, whatever it answered before.
-    if (this.#isOwned()) this.tried.clear();
-    this.#parts.queue.add(this, nowMs);
+    // Only the owner can serve a key, so it is tried again after a failure.
+    if (this.#isKeyedService()) this.tried.clear();
+    this.#context.queue.add(this, nowMs);
   }
 
-  #isOwned(): boolean {
-    return this.#parts.queue.isKeyed;
+  #isKeyedService(): boolean {
+    return this.#context.queue.isKeyed;
   }
 
-  #mayRepeat(server: contracts.ServerId): boolean {
-    const others = [...this.#parts.queue.loads.keys()]
+  #hasRetryTarget(server: contracts.ServerId): boolean {
+    const others = [...this.#context.queue.loads.keys()]
       .some((other) => other !== server);
-    return others || this.#isOwned();
+    return others || this.#isKeyedService();
   }
 
-  #canSendAgain(): boolean {
-    const leftMs = this.answerByMs - this.#parts.clock.nowMs();
+  #hasRetryLeft(): boolean {
+    const leftMs = this.answerByMs - this.#context.clock.nowMs();
     const neededMs = Math.max(
       MIN_RETRY_TIME_LEFT_MS,
-      this.#parts.times.routeMs(this.route) * MIN_RETRY_TIME_RATIO,
+      this.#context.times.routeMs(this.route) * MIN_RETRY_TIME_RATIO,
     );
     return !this.#isDone && this.#sends < this.route.attemptLimit &&
       leftMs > neededMs;
   }
 
-  /** The final answer when no server's answer was or will be had. */
+  /**
+   * Ends the request without a success: with the server's failure if there was
+   * one, 504 or 502 if the request may have run, else 503.
+   */
   #giveUp(reason: string, retryAfterMs: number): void {
     if (this.#fallback !== undefined) {
       return this.#finish(this.#fallback, `passed on a failure: ${reason}`);
     }
     if (this.#mayHaveRun) {
-      const isOver = this.#parts.clock.nowMs() >= this.answerByMs;
+      const isOver = this.#context.clock.nowMs() >= this.answerByMs;
       const status = isOver ? 504 : 502;
       return this.#finish(
         { kind: "own", status, message: "No whole answer came" },
@@ -306,9 +312,9 @@
 
   #onTimeout(): void {
     if (this.#isDone) return;
-    const wasWaiting = this.#parts.queue.withdraw(this);
+    const wasWaiting = this.#context.queue.withdraw(this);
     if (wasWaiting) {
-      this.#queuedMs += this.#parts.clock.nowMs() - this.#waitingSinceMs;
+      this.#queuedMs += this.#context.clock.nowMs() - this.#waitingSinceMs;
       return this.#giveUp("timed out while waiting", HANDOVER_RETRY_AFTER_MS);
     }
     if (this.#fallback !== undefined) {
@@ -322,7 +328,7 @@
 
   readonly #onCallerGone = (): void => {
     if (this.#isDone) return;
-    this.#parts.queue.withdraw(this);
+    this.#context.queue.withdraw(this);
     this.#finish(
       { kind: "own", status: 499, message: "The caller has gone" },
       "caller gone",
@@ -334,16 +340,16 @@
     this.#isDone = true;
     clearTimeout(this.#timer);
     this.#request.signal.removeEventListener("abort", this.#onCallerGone);
-    // Ends the send that is still under way, and its work at the server.
-    if (this.#isSending) this.#cancel.abort();
-    const nowMs = this.#parts.clock.nowMs();
+    // Cancels the attempt still in flight, and so its work at the server.
+    if (this.#isSendPending) this.#cancel.abort();
+    const nowMs = this.#context.clock.nowMs();
     this.#resolve(answer);
-    this.#parts.onFinished({
+    this.#context.onFinished({
       id: this.#request.id,
       route: this.route.name,
-      service: this.#parts.service,
+      service: this.#context.service,
       key: this.key,
-      configVersion: this.#parts.configVersion,
+      configVersion: this.#context.configVersion,
       outcome,
       answer,
       tookMs: nowMs - this.#request.arrivedMs,
@@ -353,7 +359,7 @@
   }
 }
 
-/** Out of time at the server; says nothing about the server's health. */
+/** The request's deadline passed; says nothing about the server's health. */
 const GATEWAY_TIMEOUT_STATUS = 504;
 
 function isFailure(status: number): boolean {
--- a/packages/entry/src/gateway/forwarder.ts
+++ b/packages/entry/src/gateway/forwarder.ts
@@ -43,10 +43,10 @@
   readonly clock: contracts.Clock;
   readonly random: contracts.RandomSource;
   readonly log: PartLog;
-  readonly onFinished: (story: RequestRecord) => void;
+  readonly onFinished: (record: RequestRecord) => void;
 }
 
-/** One service as requests meet it. */
+/** Queue, service times and retry budget of one service. */
 interface ServiceState {
   readonly queue: admission.ServiceQueue;
   readonly times: admission.ServiceTimes;
@@ -54,36 +54,34 @@
   readonly isKeyed: boolean;
 }
 
-/** Interval at which waiting requests are looked through. */
+/** Interval at which waiting requests are checked against their deadlines. */
 const QUEUE_REVIEW_INTERVAL_MS = 25;
-/** Interval at which the registry looks for lapsed entries. */
+/** Interval at which the registry checks for expired entries. */
 const REGISTRY_TICK_INTERVAL_MS = 200;
-/** A VM without configuration expects it within this time. */
+/** A VM without a configuration expects one within this time. */
 const NO_CONFIG_RETRY_AFTER_MS = 300;
-/** Capacity of a server is guessed from this while none is measured. */
+/** Mean service time assumed while none has been measured. */
 const DEFAULT_SERVICE_TIME_MS = 100;
-/**
- * Peers hear of a server's speed when it has changed by more than this factor.
- */
+/** Peers are told a server's slowdown when it changes by more than this factor. */
 const SLOWDOWN_UPDATE_RATIO = 1.4;
-/** Links of this VM's share that stay free, for releases and probes. */
+/** Connections of this VM's share kept free for releases and probes. */
 const SPARE_CONNECTIONS = 1;
 
 /** The request path of one entry VM. */
 export class Forwarder {
   readonly #options: ForwarderOptions;
   readonly #services = new Map<contracts.ServiceId, ServiceState>();
-  /** Servers in each peer's reported load. */
+  /** Servers named in each peer's reported load. */
   readonly #serversByPeer = new Map<contracts.VmId, Set<string>>();
-  /** Momentary speeds of servers to send to peers. */
+  /** Current slowdown ratios of servers, not yet sent to peers. */
   #slowdowns: Record<string, number> | undefined;
   #inFlight = 0;
-  #reviewing: RegularWork | undefined;
-  readonly #overloadLine: FoldedLine;
+  #reviewWork: RegularWork | undefined;
+  readonly #overloadLog: FoldedLine;
 
   constructor(options: ForwarderOptions) {
     this.#options = options;
-    this.#overloadLine = new FoldedLine(
+    this.#overloadLog = new FoldedLine(
       options.log,
       "Refuses what this VM has read too late.",
     );
@@ -93,18 +91,18 @@
       this.#services.get(service)?.queue.pump(options.clock.nowMs())
     );
     options.gossip.onMembers(() => this.#followMembers());
-    options.gossip.onStatus((status) => this.#takeStatus(status));
-    options.gossip.onLoad((news) => this.#takeLoads(news));
+    options.gossip.onStatus((status) => this.#applyPeerStatus(status));
+    options.gossip.onLoad((loads) => this.#applyPeerLoadNews(loads));
   }
 
-  /** Requests between their arrival and their answer. */
+  /** Number of requests between their arrival and their response. */
   get inFlight(): number {
     return this.#inFlight;
   }
 
-  /** Starts the regular work. */
+  /** Starts the periodic work. */
   start(lifeCycle: LifeCycle): void {
-    this.#reviewing = lifeCycle.every(
+    this.#reviewWork = lifeCycle.every(
       QUEUE_REVIEW_INTERVAL_MS,
       () => this.#review(),
     );
@@ -114,7 +112,10 @@
     );
   }
 
-  /** Forwards one request. Resolves once, at its timeout at the latest. */
+  /**
+   * Forwards one request. Resolves at its timeout at the latest and never
+   * rejects: failures are responses of this VM's own.
+   */
   forward(request: FrontRequest): Promise<FrontAnswer> {
     const active = this.#options.config.active;
     if (active === undefined) {
@@ -129,30 +130,30 @@
       return Promise.resolve({ kind: "own", status: 404, message });
     }
     const service = active.table.draw(route);
-    const part = this.#part(service);
+    const state = this.#serviceState(service);
     const nowMs = this.#options.clock.nowMs();
     const isOverloaded = admission.isLateByLag({
       lagMs: request.lagMs,
       nowMs,
       arrivedMs: request.arrivedMs,
       targetLatencyMs: route.targetLatencyMs,
-      serviceMs: part.times.routeMs(route),
+      serviceMs: state.times.routeMs(route),
     });
     if (isOverloaded) {
-      this.#overloadLine.note(nowMs, {
+      this.#overloadLog.note(nowMs, {
         id: request.id,
         lagMs: Math.round(request.lagMs),
         inFlight: this.#inFlight,
       });
       return Promise.resolve(overloadAnswer(this.#options.random));
     }
-    part.budget.noteRequest(nowMs);
-    if (part.isKeyed && request.key !== undefined) {
+    state.budget.noteRequest(nowMs);
+    if (state.isKeyed && request.key !== undefined) {
       this.#options.grants.noteRequest(service, request.key);
     }
-    const parts = this.#forwardingParts(
+    const context = this.#forwardingContext(
       service,
-      part,
+      state,
       active.config.version,
     );
     this.#inFlight++;
@@ -161,22 +162,23 @@
         this.#inFlight--;
         resolve(answer);
       };
-      new ForwardedRequest(request, route, parts, done).start();
+      new ForwardedRequest(request, route, context, done).start();
     });
   }
 
   /**
-   * Requests a second that a server can carry, measured here except for its
-   * factor, which others may know better.
+   * Requests per second that a server can serve, from service times measured
+   * here. `reportedFactor` replaces the locally measured latency factor of the
+   * server, which its coordinator knows better.
    */
-  capacity(entry: contracts.ServerEntry, toldFactor?: number): number {
+  capacity(entry: contracts.ServerEntry, reportedFactor?: number): number {
     const times = this.#services.get(entry.service)?.times;
     const meanMs = times?.meanMs ?? DEFAULT_SERVICE_TIME_MS;
-    const factor = toldFactor ?? times?.factor(entry.server) ?? 1;
+    const factor = reportedFactor ?? times?.factor(entry.server) ?? 1;
     return entry.slots * 1000 / Math.max(1, meanMs * factor);
   }
 
-  /** Speeds that have changed since the last call; undefined for none. */
+  /** Returns and clears the slowdowns to send to peers; undefined for none. */
   takeSlowdowns(): LoadNews["slowdowns"] {
     const slowdowns = this.#slowdowns;
     this.#slowdowns = undefined;
@@ -188,7 +190,7 @@
     const loads: PeerStatus["loads"] = {};
     const waiting: PeerStatus["waiting"] = {};
     for (const [service, { queue, isKeyed }] of this.#services) {
-      // Coordinators know what their keyed servers have.
+      // Coordinators track the slots of servers of keyed services.
       if (isKeyed) continue;
       for (const [server, { own }] of queue.loads) {
         if (own > 0) loads[server] = own;
@@ -198,38 +200,44 @@
     return { loads, waiting };
   }
 
-  /** Requests here by server, and waiting by service, for metrics. */
+  /** State of each service that has been requested or configured. */
   get services(): ReadonlyMap<contracts.ServiceId, ServiceState> {
     return this.#services;
   }
 
-  #forwardingParts(
+  #forwardingContext(
     service: contracts.ServiceId,
-    part: ServiceState,
+    state: ServiceState,
     configVersion: number,
   ): ForwardingContext {
-    const { clock, gossip, onFinished: onStory } = this.#options;
+    const { clock, gossip, onFinished } = this.#options;
     return {
       service,
-      queue: part.queue,
-      times: part.times,
+      queue: state.queue,
+      times: state.times,
       clock,
       configVersion,
-      tryRetry: () => part.budget.tryTake(clock.nowMs(), gossip.vmCount),
+      tryRetry: () => state.budget.tryTake(clock.nowMs(), gossip.vmCount),
       send: (entry, request, options) =>
-        this.#options.connections.pool(entry, this.#linkLimit(entry.service))
+        this.#options.connections.pool(
+          entry,
+          this.#connectionLimit(entry.service),
+        )
           .send(request, options),
       headers: (request, entry, leftMs) =>
         this.#headers(request, entry, leftMs),
       recordServerReport: (server, report, nowMs) =>
-        this.#noteReport(part, { server, report, nowMs }),
-      onFinished: onStory,
-      onLoadChange: part.isKeyed ? () => {} : () => gossip.noteChanged(),
+        this.#recordServerReport(state, { server, report, nowMs }),
+      onFinished,
+      onLoadChange: state.isKeyed ? () => {} : () => gossip.noteChanged(),
     };
   }
 
-  /** A server of keys is the only one for them, whatever its speed. */
-  #noteReport(
+  /**
+   * Keyed services ignore slowdowns: the owner of a key is the only choice,
+   * whatever its speed.
+   */
+  #recordServerReport(
     { queue, isKeyed }: ServiceState,
     { server, report, nowMs }: {
       readonly server: contracts.ServerId;
@@ -242,9 +250,9 @@
     if (isKeyed || slowdownRatio === undefined || load === undefined) return;
     const change = slowdownRatio / load.slowdownRatio(nowMs);
     load.noteSpeed({ slowdownRatio, atMs: nowMs });
-    const isTold = change > SLOWDOWN_UPDATE_RATIO ||
+    const isSignificant = change > SLOWDOWN_UPDATE_RATIO ||
       change < 1 / SLOWDOWN_UPDATE_RATIO;
-    if (!isTold) return;
+    if (!isSignificant) return;
     this.#slowdowns ??= {};
     this.#slowdowns[server] = slowdownRatio;
   }
@@ -268,14 +276,14 @@
     ];
   }
 
-  /** This VM's share of a server's connections. */
-  #linkLimit(service: contracts.ServiceId): number {
+  /** This VM's share of the connections that a server accepts. */
+  #connectionLimit(service: contracts.ServiceId): number {
     const { config, gossip } = this.#options;
     const limit = config.service(service)?.connectionLimit ?? 0;
     return Math.max(2, Math.floor(limit / gossip.vmCount) - SPARE_CONNECTIONS);
   }
 
-  #part(service: contracts.ServiceId): ServiceState {
+  #serviceState(service: contracts.ServiceId): ServiceState {
     const isKeyed = this.#options.config.service(service)?.isKeyed ?? false;
     const found = this.#services.get(service);
     if (found !== undefined && found.isKeyed === isKeyed) return found;
@@ -287,7 +295,7 @@
       times,
       random,
       regionOf: (zone) => zones[zone],
-      onWait: () => this.#reviewing?.setIntervalMs(QUEUE_REVIEW_INTERVAL_MS),
+      onWait: () => this.#reviewWork?.setIntervalMs(QUEUE_REVIEW_INTERVAL_MS),
       keyed: isKeyed
         ? {
           ownerOf: (key) => grants.ownerOf(service, key),
@@ -297,7 +305,7 @@
           }),
         }
         : undefined,
-      // Coordinators limit what cold owners of keys get.
+      // Coordinators apply the limit for cold owners of keys.
       coldStarts: isKeyed ? undefined : coldStarts.forDirectSends(service),
     });
     this.#setServers(service, { queue, times });
@@ -311,7 +319,7 @@
     return created;
   }
 
-  /** Names a queue its servers, and which of them this VM's cell uses. */
+  /** Sets a queue's servers, and which of them this VM's cell uses. */
   #setServers(
     service: contracts.ServiceId,
     { queue, times }: Pick<ServiceState, "queue" | "times">,
@@ -320,17 +328,17 @@
     const entries = registry.servers(service);
     times.keepOnly(new Set(entries.map(({ server }) => server)));
     const { plan } = gossip;
-    const staying = entries.filter(({ isDraining }) => !isDraining);
+    const active = entries.filter(({ isDraining }) => !isDraining);
     queue.setServers(
       entries,
-      plan.isSingle ? undefined : plan.serversOf(vm, staying),
+      plan.isSingle ? undefined : plan.serversOf(vm, active),
     );
   }
 
-  /** VMs came or went: cells may have other servers now. */
+  /** Applies a change of members, which may reassign servers to cells. */
   #followMembers(): void {
-    for (const [service, part] of this.#services) {
-      this.#setServers(service, part);
+    for (const [service, state] of this.#services) {
+      this.#setServers(service, state);
     }
     for (const vm of this.#serversByPeer.keys()) {
       const isLive = this.#options.gossip.live.some((peer) => peer.vm === vm);
@@ -340,24 +348,24 @@
 
   #followConfig(): void {
     const { config } = this.#options.config.active!;
-    for (const service of config.services.keys()) this.#part(service);
+    for (const service of config.services.keys()) this.#serviceState(service);
   }
 
   #followServers(): void {
-    const { registry, connections: links, clock } = this.#options;
-    for (const [service, part] of this.#services) {
-      this.#setServers(service, part);
-      part.queue.pump(clock.nowMs());
+    const { registry, connections, clock } = this.#options;
+    for (const [service, state] of this.#services) {
+      this.#setServers(service, state);
+      state.queue.pump(clock.nowMs());
     }
-    links.keepOnly(registry.ids());
+    connections.keepOnly(registry.ids());
   }
 
-  #takeStatus({ vm, loads }: PeerStatus): void {
-    // Servers that the status no longer names have no requests of the peer.
-    const told = this.#serversByPeer.get(vm) ?? new Set();
-    const ended = [...told].filter((server) => loads[server] === undefined);
-    this.#notePeerLoads(vm, loads);
-    this.#notePeerLoads(
+  #applyPeerStatus({ vm, loads }: PeerStatus): void {
+    // A server that the status no longer names has no requests of that peer.
+    const reported = this.#serversByPeer.get(vm) ?? new Set();
+    const ended = [...reported].filter((server) => loads[server] === undefined);
+    this.#recordPeerLoads(vm, loads);
+    this.#recordPeerLoads(
       vm,
       Object.fromEntries(ended.map((server) => [server, 0])),
     );
@@ -367,23 +375,23 @@
     }
   }
 
-  #takeLoads({ vm, loads, slowdowns }: LoadNews): void {
+  #applyPeerLoadNews({ vm, loads, slowdowns }: LoadNews): void {
     const atMs = this.#options.clock.nowMs();
     for (const [server, slowdownRatio] of Object.entries(slowdowns ?? {})) {
-      this.#find(server)?.load.noteSpeed({ slowdownRatio, atMs });
+      this.#findServer(server)?.load.noteSpeed({ slowdownRatio, atMs });
     }
-    this.#notePeerLoads(vm, loads);
-    const told = this.#serversByPeer.get(vm) ?? new Set();
-    this.#serversByPeer.set(vm, told);
-    for (const server of Object.keys(loads)) told.add(server);
+    this.#recordPeerLoads(vm, loads);
+    const reported = this.#serversByPeer.get(vm) ?? new Set();
+    this.#serversByPeer.set(vm, reported);
+    for (const server of Object.keys(loads)) reported.add(server);
   }
 
-  /** A peer's requests at servers; waiting ones here may have found room. */
-  #notePeerLoads(vm: contracts.VmId, loads: PeerStatus["loads"]): void {
+  /** Records a peer's load on servers; requests waiting here may now fit. */
+  #recordPeerLoads(vm: contracts.VmId, loads: PeerStatus["loads"]): void {
     const nowMs = this.#options.clock.nowMs();
     const changed = new Set<admission.ServiceQueue>();
     for (const [server, outstanding] of Object.entries(loads)) {
-      const found = this.#find(server);
+      const found = this.#findServer(server);
       if (found === undefined) continue;
       found.load.noteTold(vm, { outstanding, atMs: nowMs });
       changed.add(found.queue);
@@ -391,8 +399,8 @@
     for (const queue of changed) queue.pump(nowMs);
   }
 
-  /** A server that a peer has named, with the queue of its service. */
-  #find(server: string): {
+  /** Finds a server by the id in a peer's message, and its service's queue. */
+  #findServer(server: string): {
     readonly load: admission.ServerLoad;
     readonly queue: admission.ServiceQueue;
   } | undefined {
@@ -413,14 +421,14 @@
 
   #review(): void {
     const nowMs = this.#options.clock.nowMs();
-    let isWaited = false;
+    let hasWaiting = false;
     for (const { queue } of this.#services.values()) {
       if (queue.waiting === 0) continue;
       queue.pump(nowMs);
       queue.review(nowMs);
-      isWaited ||= queue.waiting > 0;
+      hasWaiting ||= queue.waiting > 0;
     }
-    if (!isWaited) this.#reviewing?.setIntervalMs(Number.POSITIVE_INFINITY);
+    if (!hasWaiting) this.#reviewWork?.setIntervalMs(Number.POSITIVE_INFINITY);
   }
 }
 
--- a/packages/entry/src/gateway/front_listener.ts
+++ b/packages/entry/src/gateway/front_listener.ts
@@ -1,4 +1,4 @@
-/** Accepts a platform's clients over HTTP and answers them. */
+/** The HTTP listener for the platform's clients. */
 import type * as contracts from "@guavatide/contracts";
 import * as http from "node:http";
 import type * as net from "node:net";
@@ -29,54 +29,59 @@
   readonly lifeCycle: LifeCycle;
   readonly log: PartLog;
   readonly connectionLimit: number;
-  /** Longest time from the stop signal until the process has to be gone. */
+  /** Time from the stop signal until the process is killed. */
   readonly graceMs: number;
   readonly forward: (request: FrontRequest) => Promise<FrontAnswer>;
 }
 
 /**
- * Connections that may wait to be accepted. The event loop accepts one a turn:
- * with the system's default, callers have left by the time their turn comes.
+ * Connections that may wait to be accepted. The event loop accepts one per
+ * iteration: with the longer default backlog, callers would have disconnected
+ * before they are accepted.
  */
 const BACKLOG = 96;
 /**
- * A caller that closes so soon after its request was read had left before. For
- * a while, requests then wait for the turn in which a close is read.
+ * A caller that closes within this time after its request was read had already
+ * disconnected when it was read.
  */
 const EARLY_CLOSE_MS = 40;
+/**
+ * For this long after an early close, each request waits for the event loop
+ * iteration in which a close would be read.
+ */
 const EARLY_CLOSE_CHECK_MS = 2_000;
-/** Largest head of a request; the configuration's limit is checked besides. */
+/** Maximum size of a request's headers, besides the configured limit. */
 const HEADER_LIMIT_BYTES = 65_536;
-/** Limits until the first configuration. */
+/** Limits until the first configuration is in force. */
 const DEFAULT_LIMITS: contracts.CallerLimits = {
   headerBytes: 16_384,
   bodyBytes: 1_048_576,
   headerTimeoutMs: 3_000,
   idleTimeoutMs: 15_000,
 };
-/** Idle connections are kept a little longer than callers reuse them. */
+/** Idle connections stay open this much longer than callers reuse them. */
 const KEEP_ALIVE_SLACK_MS = 1_000;
 /**
- * Part of the grace time after which requests are refused: one that waits for a
- * server could be cut off with its connection.
+ * Fraction of the grace time after which requests are refused: one that still
+ * waits for a server could be cut off with its connection.
  */
 const ACCEPT_GRACE_RATIO = 0.5;
-/** A caller that this VM no longer serves finds another one at once. */
+/** A caller that this VM no longer serves can use another VM at once. */
 const STOPPING_RETRY_AFTER_MS = 20;
-/** Time that the last answers take to leave before connections are closed. */
+/** Time for the last responses to be sent before connections are closed. */
 const FLUSH_MS = 50;
-/** Part of the grace time after which idle connections are closed. */
+/** Fraction of the grace time after which idle connections are closed. */
 const CLOSE_IDLE_GRACE_RATIO = 0.72;
-/** Part of the grace time within which running requests may end. */
+/** Fraction of the grace time within which running requests may finish. */
 const DRAIN_GRACE_RATIO = 0.93;
 const DRAIN_CHECK_INTERVAL_MS = 20;
 /**
- * A VM further behind refuses at once: a refusal takes a fraction of the
- * processor time of a forwarded request.
+ * Above this event loop lag requests are shed before they are read: a refusal
+ * takes a fraction of the processor time of a forwarded request.
  */
 const SHEDDING_LAG_MS = 400;
 
-/** The listening socket for clients. */
+/** Listens for clients and sheds load when the event loop lags. */
 export class FrontListener {
   readonly #options: FrontListenerOptions;
   readonly #server: http.Server;
@@ -84,19 +89,22 @@
   #inFlight = 0;
   #stoppedAtMs = Number.POSITIVE_INFINITY;
   #connections = 0;
-  /** When a caller last closed early. */
+  /** When a caller last closed its connection early. */
   #lastEarlyCloseMs = Number.NEGATIVE_INFINITY;
-  readonly #shedLine: FoldedLine;
-  readonly #stopLine: FoldedLine;
+  readonly #shedLog: FoldedLine;
+  readonly #stopLog: FoldedLine;
 
   constructor(options: FrontListenerOptions) {
     this.#options = options;
     this.#lag.start(options.lifeCycle, () => this.#connections === 0);
-    this.#shedLine = new FoldedLine(
+    this.#shedLog = new FoldedLine(
       options.log,
       "Refuses: the event loop is behind.",
     );
-    this.#stopLine = new FoldedLine(options.log, "Refuses: this VM stops.");
+    this.#stopLog = new FoldedLine(
+      options.log,
+      "Refuses requests: this VM is stopping.",
+    );
     this.#server = http.createServer({
       maxHeaderSize: HEADER_LIMIT_BYTES,
       requestTimeout: 0,
@@ -122,14 +130,14 @@
     });
   }
 
-  /** Puts the configuration's limits in force. */
+  /** Applies the configured limits to the HTTP server. */
   applyLimits(): void {
     const limits = this.#limits();
     this.#server.headersTimeout = limits.headerTimeoutMs;
     this.#server.keepAliveTimeout = limits.idleTimeoutMs + KEEP_ALIVE_SLACK_MS;
   }
 
-  /** Starts to listen. Errors: the address is taken. */
+  /** Starts to listen. Errors: the address is in use. */
   async listen(): Promise<void> {
     const { lifeCycle, graceMs } = this.#options;
     lifeCycle.onStop({
@@ -150,54 +158,54 @@
     response: http.ServerResponse,
   ): Promise<void> {
     const { lagMs } = this.#lag;
-    // What is read late has been waiting in the socket, for up to the lag.
+    // What is read late may have waited in the socket for as long as the lag.
     const readMs = this.#options.clock.nowMs();
     const arrivedMs = readMs - lagMs;
     this.#inFlight++;
-    const gone = new AbortController();
-    const onGone = () => {
-      if (response.writableFinished || gone.signal.aborted) return;
+    const callerGone = new AbortController();
+    const onCallerGone = () => {
+      if (response.writableFinished || callerGone.signal.aborted) return;
       const nowMs = this.#options.clock.nowMs();
       if (nowMs - readMs < EARLY_CLOSE_MS) this.#lastEarlyCloseMs = nowMs;
-      gone.abort();
+      callerGone.abort();
     };
-    incoming.socket.once("end", onGone);
+    incoming.socket.once("end", onCallerGone);
     response.once("close", () => {
-      incoming.socket.off("end", onGone);
+      incoming.socket.off("end", onCallerGone);
       this.#inFlight--;
-      onGone();
+      onCallerGone();
     });
     if (
       lagMs > 0 || readMs - this.#lastEarlyCloseMs < EARLY_CLOSE_CHECK_MS
     ) {
-      // A close that followed the request is read in the next turn.
+      // A close that followed the request is read in the next iteration.
       await timers.setImmediate();
       await timers.setImmediate();
-      if (gone.signal.aborted) return void response.destroy();
+      if (callerGone.signal.aborted) return void response.destroy();
     }
-    const answer = this.#refuseAtOnce(readMs, lagMs) ??
-      await this.#answer(incoming, {
+    const answer = this.#refuseEarly(readMs, lagMs) ??
+      await this.#readAndForward(incoming, {
         arrivedMs,
         lagMs: this.#lag.isLasting ? lagMs : 0,
-      }, gone.signal);
+      }, callerGone.signal);
     if (response.destroyed) return;
     const mustClose = !incoming.complete || this.#options.lifeCycle.isStopping;
     writeFrontAnswer(response, answer, mustClose);
   }
 
-  /** The answer to a request that is not even read; undefined to any other. */
-  #refuseAtOnce(readMs: number, lagMs: number): FrontAnswer | undefined {
+  /** The refusal of a request whose body isn't read; undefined to accept it. */
+  #refuseEarly(readMs: number, lagMs: number): FrontAnswer | undefined {
     const inFlight = this.#inFlight;
     if (this.#isClosing(readMs)) {
-      this.#stopLine.note(readMs, { inFlight });
+      this.#stopLog.note(readMs, { inFlight });
       return notRunAnswer("Not run: this VM stops", STOPPING_RETRY_AFTER_MS);
     }
     if (lagMs <= SHEDDING_LAG_MS) return undefined;
-    this.#shedLine.note(readMs - lagMs, { lagMs: Math.round(lagMs), inFlight });
+    this.#shedLog.note(readMs - lagMs, { lagMs: Math.round(lagMs), inFlight });
     return overloadAnswer(this.#options.random);
   }
 
-  async #answer(
+  async #readAndForward(
     incoming: http.IncomingMessage,
     arrival: Pick<FrontRequest, "arrivedMs" | "lagMs">,
     signal: AbortSignal,
@@ -226,24 +234,25 @@
     });
   }
 
-  /** Whether this VM stops so soon that it takes no more requests. */
+  /** Whether the stop is so far advanced that requests are refused. */
   #isClosing(nowMs: number): boolean {
     const { graceMs } = this.#options;
     return nowMs - this.#stoppedAtMs > graceMs * ACCEPT_GRACE_RATIO;
   }
 
-  /** What the caller says, or less when this VM stops before. */
-  #deadlineMs(saidMs: number | undefined): number | undefined {
+  /** The caller's deadline, shortened to the end of this VM's drain. */
+  #deadlineMs(requestedMs: number | undefined): number | undefined {
     const { clock, graceMs } = this.#options;
-    if (this.#stoppedAtMs === Number.POSITIVE_INFINITY) return saidMs;
+    if (this.#stoppedAtMs === Number.POSITIVE_INFINITY) return requestedMs;
     const endMs = this.#stoppedAtMs + graceMs * DRAIN_GRACE_RATIO - FLUSH_MS;
     const leftMs = Math.max(1, Math.floor(endMs - clock.nowMs()));
-    return Math.min(saidMs ?? leftMs, leftMs);
+    return Math.min(requestedMs ?? leftMs, leftMs);
   }
 
   /**
-   * Answers on open connections while the balancer takes this VM out, closing
-   * each; then closes the idle ones and waits for running requests.
+   * While the balancer takes this VM out, serves requests on open connections
+   * and closes each connection after its response. Then closes idle connections
+   * and waits for running requests.
    */
   async #drain(): Promise<void> {
     const { graceMs, clock, log } = this.#options;
@@ -265,7 +274,7 @@
   }
 }
 
-/** Writes an answer; one of this VM's own says so by its plain text. */
+/** Writes a response; one of this VM's own is plain text. */
 function writeFrontAnswer(
   response: http.ServerResponse,
   answer: FrontAnswer,
@@ -297,8 +306,8 @@
 }
 
 /**
- * Passes on an answer without length as it came: a length would let a caller
- * take the part that a crashed server sent for the whole.
+ * Forwards a close-delimited response without a length: with a length, a caller
+ * would take the part that a crashed server sent for the whole response.
  */
 function writeWithoutLength(
   response: http.ServerResponse,
@@ -311,23 +320,23 @@
   response.end();
 }
 
-/** Headers of a request without those that this system sets itself. */
+/** Headers of a request without those that the entry VM sets itself. */
 function forwardedHeaders(
   raw: readonly string[],
   names: HeaderNames,
 ): string[] {
-  const own = new Set([
+  const internal = new Set([
     names.requestId,
     names.deadlineMs,
     names.expectedServer,
   ]);
   const headers = requestHeaders(raw);
-  const kept: string[] = [];
+  const forwarded: string[] = [];
   for (let index = 0; index + 1 < headers.length; index += 2) {
-    if (own.has(headers[index]!.toLowerCase())) continue;
-    kept.push(headers[index]!, headers[index + 1]!);
+    if (internal.has(headers[index]!.toLowerCase())) continue;
+    forwarded.push(headers[index]!, headers[index + 1]!);
   }
-  return kept;
+  return forwarded;
 }
 
 function firstValue(value: string | string[] | undefined): string | undefined {
--- a/packages/entry/src/gateway/front_listener_test.ts
+++ b/packages/entry/src/gateway/front_listener_test.ts
@@ -14,7 +14,7 @@
   key: "x-key",
 };
 
-/** A listener whose answers the test gives. */
+/** A listener with a fake forwarder. */
 class Fixture {
   readonly lifeCycle = new LifeCycle();
   readonly requests: FrontRequest[] = [];
@@ -72,7 +72,7 @@
 const GET = "GET /a/b?c=1 HTTP/1.1\r\nHost: booths.example\r\nX-Id: 7\r\n" +
   "X-Deadline-Ms: 800\r\nX-Key: 42\r\nX-Other: kept\r\n";
 
-test("should hand on method, target, host, key and other headers", async () => {
+test("should forward method, target, host, key and other headers", async () => {
   const fixture = new Fixture(() =>
     Promise.resolve({ kind: "own", status: 404, message: "none" })
   );
@@ -88,8 +88,8 @@
   await fixture.lifeCycle.stop();
 });
 
-/** Guards against a cut-off answer that a caller takes for the whole. */
-test("should pass on an answer without length without a length", async () => {
+/** Guards against a truncated response that a caller takes for a whole one. */
+test("should forward a close-delimited response without a length", async () => {
   const fixture = new Fixture(() =>
     Promise.resolve({
       kind: "passed-on",
@@ -109,8 +109,8 @@
   await fixture.lifeCycle.stop();
 });
 
-/** Guards against work at a server for a caller that has left. */
-test("should tell that the caller has gone", async () => {
+/** Guards against work at a server for a caller that has disconnected. */
+test("should abort the request when the caller disconnects", async () => {
   const fixture = new Fixture(() => new Promise(() => {}));
   await fixture.start();
   const socket = fixture.connect(`${GET}\r\n`);
@@ -125,7 +125,7 @@
   await fixture.lifeCycle.stop();
 });
 
-test("should give a time to come back in fractions of a second", async () => {
+test("should send retry-after in fractions of a second", async () => {
   const fixture = new Fixture(() =>
     Promise.resolve({
       kind: "own",
@@ -140,8 +140,8 @@
   await fixture.lifeCycle.stop();
 });
 
-/** Guards against requests cut off by a stop. */
-test("should answer what runs when it is stopped", async () => {
+/** Guards against running requests cut off by a stop. */
+test("should finish a running request when it is stopped", async () => {
   let answer: (answer: FrontAnswer) => void = () => {};
   const fixture = new Fixture(() =>
     new Promise((resolve) => {
@@ -160,8 +160,8 @@
   await stopped;
 });
 
-/** Guards against a request that is cut off when the process ends. */
-test("should refuse at once what comes when it is about to stop", async () => {
+/** Guards against a late request that is cut off when the process ends. */
+test("should refuse requests late in the grace time of a stop", async () => {
   const fixture = new Fixture(() => new Promise(() => {}));
   const graceMs = 1_000;
   await fixture.start(graceMs);
@@ -177,7 +177,7 @@
   await new Promise((resolve) => late.once("close", resolve));
   expect(refusal.startsWith("HTTP/1.1 503 ")).toEqual(true);
   expect(refusal.includes("Connection: close")).toEqual(true);
-  // The early one was told to be done before the connections are closed.
+  // The early request's deadline is before the connections are closed.
   const deadlines = fixture.requests.map(({ deadlineMs }) => deadlineMs!);
   expect(deadlines.length).toEqual(1);
   expect(deadlines[0]! <= 800 && deadlines[0]! > 0).toEqual(true);
--- a/packages/entry/src/gateway/front_request.ts
+++ b/packages/entry/src/gateway/front_request.ts
@@ -1,43 +1,43 @@
-/** A request of a platform's client, read whole, and what it is answered. */
+/** A request of a platform's client, with its whole body, and its response. */
 import type * as contracts from "@guavatide/contracts";
 import type { ServerAnswer } from "../requests/caller_request.ts";
 
-/** A request as it came. */
+/** A request as it was received. */
 export interface FrontRequest {
   readonly id: string;
   readonly method: string;
   /** Path and query as sent. */
   readonly target: string;
   readonly host: string;
-  /** Headers to pass on, names and values in turn. */
+  /** Headers to forward, names and values alternating. */
   readonly headers: readonly string[];
   readonly body: Uint8Array | undefined;
   readonly key: number | undefined;
-  /** Time that the caller still waits; undefined when it did not say. */
+  /** Time that the caller still waits; undefined when it sent none. */
   readonly deadlineMs: number | undefined;
   readonly arrivedMs: number;
-  /** How long it may have lain unread in a loop that stays behind; else 0. */
+  /** How long it may have waited unread if the event loop lags lastingly; else 0. */
   readonly lagMs: number;
-  /** Aborted when the caller has gone. */
+  /** Aborted when the caller disconnects. */
   readonly signal: AbortSignal;
 }
 
-/** What the caller gets. */
+/** The response to the caller. */
 export type FrontAnswer =
   | { readonly kind: "passed-on"; readonly answer: ServerAnswer }
-  /** An answer of this VM's own. */
+  /** A response of this VM's own. */
   | {
     readonly kind: "own";
     readonly status: number;
     readonly message: string;
-    /** When to come back, for requests that have not run. */
+    /** When the caller may retry, for requests that have not run. */
     readonly retryAfterMs?: number;
   };
 
-/** Mean time after which those refused for the loop's lag are to come back. */
+/** Mean retry delay of callers refused for event loop lag. */
 const OVERLOAD_RETRY_AFTER_MS = 300;
 
-/** This VM is overloaded; another may not be. */
+/** Refuses a request because this VM is overloaded; jitter spreads the retries. */
 export function overloadAnswer(random: contracts.RandomSource): FrontAnswer {
   return notRunAnswer(
     "Not run: this VM is behind",
@@ -45,7 +45,7 @@
   );
 }
 
-/** The request has not run and never will; the caller may come back. */
+/** A 503: the request has not run and never will; the caller may retry. */
 export function notRunAnswer(
   message: string,
   retryAfterMs: number,
--- a/packages/entry/src/gateway/gateway_metrics.ts
+++ b/packages/entry/src/gateway/gateway_metrics.ts
@@ -1,4 +1,4 @@
-/** Counters and histograms of an entry process on an outside platform. */
+/** Counters and histograms of an entry process on an external platform. */
 import type * as contracts from "@guavatide/contracts";
 import * as http from "node:http";
 import { LabelledCounts } from "../metrics/labelled_counts.ts";
@@ -11,8 +11,8 @@
 import type { RequestRecord } from "./request_story.ts";
 
 /**
- * Metrics with the address at which they are read. The metrics library is slow
- * to load, so they are plain counts until somebody reads them.
+ * Metrics and their endpoint. The metrics library is slow to load, so values
+ * are plain counts until the first scrape.
  */
 export class GatewayMetrics {
   readonly #log: PartLog;
@@ -23,7 +23,7 @@
   readonly storeCalls = new LabelledCounts();
   /** Datagrams to peers. */
   readonly peerDatagrams = new LabelledCounts();
-  /** Their bytes. */
+  /** Bytes in datagrams to peers. */
   readonly peerBytes = new LabelledCounts();
   #metrics: Promise<Metrics> | undefined;
 
@@ -42,23 +42,23 @@
       : "server failed";
     this.#requests.add(1, { service, route, outcome });
     this.#latency(service).record(tookMs);
-    const repeats = attempts.length - 1;
-    if (repeats > 0) this.#retries.add(repeats, { service });
+    const retryCount = attempts.length - 1;
+    if (retryCount > 0) this.#retries.add(retryCount, { service });
   }
 
-  /** Starts to listen on the metrics address. */
+  /** Starts to listen on the metrics address. Errors: the address is in use. */
   async listen(
     { host, metricsPort }: GatewaySettings,
     lifeCycle: LifeCycle,
   ): Promise<void> {
     const server = http.createServer((request, response) => {
-      this.#answer(request, response).catch((error) => {
-        this.#log.warn("Metrics can't be read.", { error: String(error) });
+      this.#handleScrape(request, response).catch((error) => {
+        this.#log.warn("Metrics scrape failed.", { error: String(error) });
         response.destroy();
       });
     });
     lifeCycle.onStop({
-      name: "metrics door",
+      name: "metrics server",
       timeoutMs: 100,
       run: () => {
         server.close();
@@ -76,19 +76,19 @@
     return created;
   }
 
-  async #answer(
+  async #handleScrape(
     request: http.IncomingMessage,
     response: http.ServerResponse,
   ): Promise<void> {
     this.#metrics ??= import("../metrics/metrics.ts")
       .then((module) => new module.Metrics());
     const metrics = await this.#metrics;
-    this.#fill(metrics);
+    this.#drainInto(metrics);
     metrics.handle(request, response);
   }
 
-  /** Hands what was counted since the last look to the library. */
-  #fill(metrics: Metrics): void {
+  /** Adds what was counted since the last scrape to the library's metrics. */
+  #drainInto(metrics: Metrics): void {
     const tables = [
       [this.#requests, metrics.requests],
       [this.#retries, metrics.retries],
--- a/packages/entry/src/gateway/gateway_settings.ts
+++ b/packages/entry/src/gateway/gateway_settings.ts
@@ -1,4 +1,4 @@
-/** Settings of an entry process on an outside platform, as JSON. */
+/** Settings of an entry process on an external platform, as JSON. */
 import * as net from "node:net";
 import * as contracts from "@guavatide/contracts";
 import * as neverthrow from "neverthrow";
@@ -7,9 +7,9 @@
 const wholeMs = z.number().int().min(1).max(86_400_000);
 const port = z.number().int().min(1).max(65_535);
 const ipAddress = z.string().refine((text) => net.isIP(text) !== 0, {
-  error: "Not an IP number; write it as in 10.1.0.18",
+  error: "Not an IP address; write it as in 10.1.0.18",
 });
-/** An address as text, `10.1.0.18:8381`. */
+/** IP address and port as text, `10.1.0.18:8381`. */
 const address = z.string().transform((text, context) => {
   const colon = text.lastIndexOf(":");
   const host = text.slice(0, colon);
@@ -17,7 +17,9 @@
   const isGood = net.isIP(host) !== 0 && Number.isInteger(number) &&
     number > 0 && number < 65_536;
   if (isGood) return { host, port: number };
-  context.addIssue(`Saw "${text}"; write an address as in 10.1.0.18:8381`);
+  context.addIssue(
+    `"${text}" is not an address; write it as in 10.1.0.18:8381`,
+  );
   return z.NEVER;
 });
 
@@ -29,32 +31,32 @@
   region: contracts.regionIdSchema,
   /** Region of each availability zone of the deployment. */
   zones: z.record(contracts.zoneIdSchema, contracts.regionIdSchema),
-  /** IP number that peers use. */
+  /** IP address that peers use. */
   host: ipAddress,
-  /** Where clients connect. */
+  /** Address of the listener for clients. */
   front: address,
-  /** Where the balancer asks whether this VM is ready. */
+  /** Address of the readiness probe of the platform's load balancer. */
   readiness: address,
-  /** Port of the datagrams between entry VMs, the same on all of them. */
+  /** UDP port between entry VMs, the same on all of them. */
   peerPort: port,
   metricsPort: port,
-  /** Addresses of some entry VMs, which may be stale; their hosts count. */
+  /** Addresses of some entry VMs, possibly stale; only their hosts are used. */
   seeds: z.array(address),
   store: address,
   limits: z.strictObject({
-    /** Descriptors that the process may open. */
+    /** File descriptors that the process may open. */
     descriptors: z.number().int().min(64),
-    /** Part of each processor that the VM gets. */
+    /** Fraction of each processor that the VM gets. */
     processorShare: z.number().positive(),
     processors: z.number().int().min(1),
   }),
   timings: z.strictObject({
-    /** From the stop signal until the process is killed. */
+    /** Seconds from the stop signal until the process is killed. */
     graceSeconds: z.number().positive(),
-    /** Longest time for which a server takes a grant. */
+    /** Maximum lease duration that a server accepts, in milliseconds. */
     longestGrantMs: wholeMs,
   }),
-  /** Second sends to a service, of all entry VMs together. */
+  /** Limit on retries to a service, of all entry VMs together. */
   retryBudget: z.strictObject({
     ratio: z.number().min(0),
     slack: z.number().min(0),
@@ -62,14 +64,14 @@
   }),
   /** Absent where zones are never evacuated. */
   evacuation: z.strictObject({
-    /** Within this time the zone's servers have to be left alone. */
+    /** Time in which requests to the zone's servers must cease. */
     boundMs: wholeMs,
   }).optional(),
-  /** Bound on requests to a cold server; absent where there is none. */
+  /** Limit on requests to a cold server; absent where there is none. */
   coldStarts: z.strictObject({
-    /** A second's requests, as a multiple of what a cold server bears. */
+    /** Requests per second, as a multiple of what a cold server can serve. */
     excessRatio: z.number().min(0),
-    /** Requests beyond that. */
+    /** Requests per second beyond that. */
     slack: z.number().min(0),
   }).optional(),
   log: z.strictObject({
@@ -79,16 +81,16 @@
   path: ["zone"],
   error: 'Not among "zones"; name its region there',
 });
-/** The settings of one entry process on an outside platform. */
+/** The settings of one entry process on an external platform. */
 export type GatewaySettings = z.infer<typeof gatewaySettingsSchema>;
 
-/** Why settings were refused; the message names each field. */
+/** Why settings were rejected; the message names each invalid field. */
 export interface GatewaySettingsError {
   readonly kind: "not-json" | "invalid";
   readonly message: string;
 }
 
-/** Reads settings from JSON text. Errors: not JSON, or fields that are wrong. */
+/** Parses settings from JSON text. Errors: not JSON, or invalid fields. */
 export function loadGatewaySettings(
   text: string,
 ): neverthrow.Result<GatewaySettings, GatewaySettingsError> {
@@ -98,7 +100,8 @@
   } catch (error) {
     return neverthrow.err({
       kind: "not-json",
-      message: `Mend the JSON of the settings file: ${String(error)}`,
+      message: `The settings file is not valid JSON: ${String(error)}. ` +
+        "Correct it",
     });
   }
   const parsed = gatewaySettingsSchema.safeParse(raw);
@@ -107,6 +110,6 @@
     .map(({ path, message }) => `"${path.join(".")}": ${message}`);
   return neverthrow.err({
     kind: "invalid",
-    message: `Mend these settings: ${problems.join("; ")}`,
+    message: `Settings are invalid; correct ${problems.join("; ")}`,
   });
 }
--- a/packages/entry/src/gateway/readiness_door.ts
+++ b/packages/entry/src/gateway/readiness_door.ts
@@ -1,4 +1,4 @@
-/** Answers the platform's balancer whether this VM takes new connections. */
+/** Readiness probe: whether this VM accepts new connections. */
 import * as http from "node:http";
 import * as httpServer from "../utils/http_server.ts";
 import type { LifeCycle } from "../utils/life_cycle.ts";
@@ -12,7 +12,7 @@
   notReadyReason(): string | undefined;
 }
 
-/** Listens for the balancer. */
+/** Serves readiness probes of the platform's load balancer. */
 export class ReadinessServer {
   readonly #options: ReadinessServerOptions;
   #lastReason: string | undefined = "not asked yet";
@@ -21,13 +21,16 @@
     this.#options = options;
   }
 
-  /** Starts to listen; stays open until the process ends. */
+  /**
+   * Starts to listen; the last stop steps close it. Errors: the address is in
+   * use.
+   */
   async listen(lifeCycle: LifeCycle): Promise<void> {
     const server = http.createServer((request, response) =>
-      this.#answer(request, response)
+      this.#handleProbe(request, response)
     );
     lifeCycle.onStop({
-      name: "readiness door",
+      name: "readiness server",
       timeoutMs: 100,
       run: () => {
         server.close();
@@ -37,7 +40,10 @@
     await httpServer.listenOn(server, this.#options);
   }
 
-  #answer(request: http.IncomingMessage, response: http.ServerResponse): void {
+  #handleProbe(
+    request: http.IncomingMessage,
+    response: http.ServerResponse,
+  ): void {
     const reason = this.#options.notReadyReason();
     if (reason !== this.#lastReason) {
       this.#lastReason = reason;
@@ -46,8 +52,8 @@
         { reason },
       );
     }
-    const isAsked = request.url === this.#options.path;
-    const status = !isAsked ? 404 : reason === undefined ? 200 : 503;
+    const isKnownPath = request.url === this.#options.path;
+    const status = !isKnownPath ? 404 : reason === undefined ? 200 : 503;
     response.writeHead(status, { "content-length": "0" });
     response.end();
   }
--- a/packages/entry/src/gateway/request_story.ts
+++ b/packages/entry/src/gateway/request_story.ts
@@ -1,16 +1,16 @@
-/** What became of one request, for its log line and the metrics. */
+/** The request log, and the record of a request that it and the metrics use. */
 import type * as contracts from "@guavatide/contracts";
 import type { LogFields, PartLog } from "../utils/log.ts";
 import type { FrontAnswer } from "./front_request.ts";
 
-/** One send of a request. */
+/** One attempt of a request. */
 export interface AttemptRecord {
   readonly server: contracts.ServerId;
-  /** Requests that all entry VMs were believed to have there. */
+  /** Requests of all entry VMs at the server, as known when it was sent. */
   readonly outstanding: number;
   readonly fence: number | undefined;
   readonly tookMs: number;
-  /** What the server told with its answer. */
+  /** Load that the server reported in its response. */
   readonly report: contracts.ServerReport | undefined;
   readonly end: string;
 }
@@ -29,82 +29,81 @@
   readonly attempts: readonly AttemptRecord[];
 }
 
-/** Lines a second for requests that ended badly, and for all others. */
+/** Log lines per second for failed requests, and for all others. */
 const FAILED_LINES_PER_SECOND = 60;
 const ANSWERED_LINES_PER_SECOND = 2;
 const WINDOW_MS = 1_000;
 
 /**
- * Writes a line for each request that ended badly and for a few of the others,
- * up to a bound a second, and counts those left out: many lines take much
- * processor time.
+ * Logs failed requests and a few of the others, up to a limit per second, and
+ * counts the lines left out: logging every request takes much processor time.
  */
 export class RequestLog {
   readonly #log: PartLog;
   readonly #clock: contracts.Clock;
   #windowStartMs = 0;
-  #bad = 0;
-  #good = 0;
-  #omittedBad = 0;
+  #failedCount = 0;
+  #answeredCount = 0;
+  #omittedCount = 0;
 
   constructor(log: PartLog, clock: contracts.Clock) {
     this.#log = log;
     this.#clock = clock;
   }
 
-  /** Writes the request's line, unless the bound is reached. */
-  record(story: RequestRecord): void {
-    this.#turnWindow();
-    const isGood = story.answer.kind === "passed-on" &&
-      story.answer.answer.status < 500;
-    if (isGood) {
-      this.#good++;
-      if (this.#good <= ANSWERED_LINES_PER_SECOND) {
-        this.#write("Answered.", story);
+  /** Logs the request unless the limit for this second is reached. */
+  record(record: RequestRecord): void {
+    this.#rollWindow();
+    const isAnswered = record.answer.kind === "passed-on" &&
+      record.answer.answer.status < 500;
+    if (isAnswered) {
+      this.#answeredCount++;
+      if (this.#answeredCount <= ANSWERED_LINES_PER_SECOND) {
+        this.#write("Answered.", record);
       }
       return;
     }
-    this.#bad++;
-    if (this.#bad <= FAILED_LINES_PER_SECOND) {
-      this.#write("Ended badly.", story);
-    } else this.#omittedBad++;
+    this.#failedCount++;
+    if (this.#failedCount <= FAILED_LINES_PER_SECOND) {
+      this.#write("Ended badly.", record);
+    } else this.#omittedCount++;
   }
 
-  #turnWindow(): void {
+  #rollWindow(): void {
     const nowMs = this.#clock.nowMs();
     if (nowMs - this.#windowStartMs < WINDOW_MS) return;
     this.#windowStartMs = nowMs;
-    this.#bad = 0;
-    this.#good = 0;
-    if (this.#omittedBad === 0) return;
+    this.#failedCount = 0;
+    this.#answeredCount = 0;
+    if (this.#omittedCount === 0) return;
     this.#log.warn("Left out lines of requests that ended badly.", {
-      count: this.#omittedBad,
+      count: this.#omittedCount,
     });
-    this.#omittedBad = 0;
+    this.#omittedCount = 0;
   }
 
-  #write(sentence: string, story: RequestRecord): void {
-    this.#log.info(sentence, fieldsOf(story));
+  #write(sentence: string, record: RequestRecord): void {
+    this.#log.info(sentence, fieldsOf(record));
   }
 }
 
-function fieldsOf(story: RequestRecord): LogFields {
-  const { answer, attempts } = story;
+function fieldsOf(record: RequestRecord): LogFields {
+  const { answer, attempts } = record;
   const own = answer.kind === "own" ? answer : undefined;
   return {
-    id: story.id,
-    route: story.route,
-    service: story.service,
-    key: story.key,
-    configVersion: story.configVersion,
-    outcome: story.outcome,
+    id: record.id,
+    route: record.route,
+    service: record.service,
+    key: record.key,
+    configVersion: record.configVersion,
+    outcome: record.outcome,
     status: own?.status ??
       (answer.kind === "passed-on" ? answer.answer.status : undefined),
     retryAfterMs: own?.retryAfterMs === undefined
       ? undefined
       : Math.round(own.retryAfterMs),
-    tookMs: Math.round(story.tookMs),
-    queuedMs: Math.round(story.queuedMs),
+    tookMs: Math.round(record.tookMs),
+    queuedMs: Math.round(record.queuedMs),
     sends: attempts.map(formatAttempt).join("; "),
   };
 }
--- a/packages/entry/src/gateway/run_gateway.ts
+++ b/packages/entry/src/gateway/run_gateway.ts
@@ -1,4 +1,4 @@
-/** Runs an entry process from its settings file until a signal ends it. */
+/** Runs an entry process from its settings file until SIGTERM. */
 import * as fs from "node:fs";
 import type * as neverthrow from "neverthrow";
 import { createLineLog } from "../utils/line_log.ts";
@@ -13,6 +13,7 @@
 
 /** Options of {@link runGateway}. */
 export interface RunGatewayOptions {
+  /** Path of the settings file; undefined when the variable is not set. */
   readonly settingsPath: string | undefined;
   readonly loadSettings: (
     text: string,
@@ -21,17 +22,22 @@
 }
 
 const EXIT_SETTINGS = 2;
-/** Interval at which the settings file is looked at for a change. */
+/** Interval at which the settings file is checked for changes. */
 const SETTINGS_CHECK_MS = 2_000;
 
-/** Starts the process. Ends it with status 2 when its settings are refused. */
+/**
+ * Starts the process. On missing or invalid settings writes the reason to
+ * standard error and sets exit status 2.
+ */
 export async function runGateway(options: RunGatewayOptions): Promise<void> {
   const { settingsPath, loadSettings, createAdapter } = options;
   if (settingsPath === undefined) {
-    return refuse("The variable with the path of the settings file is not set");
+    return failStart(
+      "The path of the settings file is not set. Set its environment variable",
+    );
   }
   const loaded = loadSettings(fs.readFileSync(settingsPath, "utf8"));
-  if (loaded.isErr()) return refuse(loaded.error.message);
+  if (loaded.isErr()) return failStart(loaded.error.message);
   const settings = loaded.value;
   const log = createLineLog(settings.log);
   const gateway = await startGateway({
@@ -53,28 +59,31 @@
 }
 
 /**
- * Settings may change with a signal or without one. A change is checked and
- * logged; a running process goes on with those of its start.
+ * Validates and logs changes of the settings file, on SIGHUP and at an interval.
+ * A running process keeps the settings that it started with.
  */
 function watchSettings(
   path: string,
   loadSettings: RunGatewayOptions["loadSettings"],
   log: Log,
 ): void {
-  const part = log.part("main");
-  let known = fs.readFileSync(path, "utf8");
+  const mainLog = log.part("main");
+  let lastText = fs.readFileSync(path, "utf8");
   const check = (because: string) => {
     fs.readFile(path, "utf8", (error, text) => {
       if (error !== null) {
-        part.warn("Settings can't be read.", { because, error: error.message });
+        mainLog.warn("Settings can't be read.", {
+          because,
+          error: error.message,
+        });
         return;
       }
-      if (text === known) return;
-      known = text;
+      if (text === lastText) return;
+      lastText = text;
       const loaded = loadSettings(text);
-      if (loaded.isOk()) part.info("Settings reloaded.", { because });
+      if (loaded.isOk()) mainLog.info("Settings reloaded.", { because });
       else {
-        part.warn("Settings refused; the earlier ones stay.", {
+        mainLog.warn("Settings refused; the earlier ones stay.", {
           because,
           message: loaded.error.message,
         });
@@ -85,7 +94,7 @@
   setInterval(() => check("file changed"), SETTINGS_CHECK_MS).unref();
 }
 
-function refuse(message: string): void {
+function failStart(message: string): void {
   process.stderr.write(`guavatide: ${message}\n`);
   process.exitCode = EXIT_SETTINGS;
 }
--- a/packages/entry/src/gateway/server_registry.ts
+++ b/packages/entry/src/gateway/server_registry.ts
@@ -1,4 +1,4 @@
-/** Backend servers of all services, as they registered in the store. */
+/** Backend servers of all services, as registered in the store. */
 import type * as contracts from "@guavatide/contracts";
 import type { PartLog } from "../utils/log.ts";
 import type { ObjectChange } from "./object_table.ts";
@@ -8,15 +8,15 @@
 /** Options of {@link ServerRegistry}. */
 export interface ServerRegistryOptions {
   readonly adapter: Pick<PlatformAdapter, "decodeServer" | "prefixes">;
-  /** How long the store has answered without a failure. */
+  /** Milliseconds for which the store has responded without a failure. */
   readonly storeCalmMs: () => number;
   readonly evacuations: ZoneEvacuations;
   /**
-   * How long after an evacuation is learned its zone's servers may still get
-   * requests for keys that they own.
+   * How long after this VM learns of an evacuation the zone's servers may still
+   * get requests for keys that they own.
    */
   readonly evacuationGraceMs: number;
-  /** How the servers of a service bear load while cold. */
+  /** Slow start settings of a service; undefined where it has none. */
   readonly coldStartOf: (
     service: contracts.ServiceId,
   ) => contracts.ColdStart | undefined;
@@ -25,91 +25,96 @@
 }
 
 /**
- * How long a leaving server may still get requests for keys that it owns:
- * longer than a move, shorter than the platform's limit less the delay of the
- * news.
+ * How long a draining server may still get requests for keys that it owns:
+ * longer than a handover, shorter than the platform's limit minus the delay
+ * with which VMs learn of the drain.
  */
 const DRAINING_GRACE_MS = 1_200;
-/** Grace after the store's return for entries that lapsed while it was away. */
+/** Grace after a store outage for entries that expired during it. */
 const EXPIRED_ENTRY_GRACE_MS = 2_400;
-/** An ended run is kept this long, for control calls and to know its end. */
+/**
+ * How long an ended incarnation is kept, for control calls and to recognize
+ * that it has ended.
+ */
 const ENDED_INCARNATION_TTL_MS = 60_000;
 
 interface KnownServer {
   entry: contracts.ServerEntry;
-  /** Since when it leaves or is gone. */
+  /** When it began to drain or was removed. */
   drainingSinceMs: number | undefined;
   /** When its entry was found missing. */
   missingSinceMs: number | undefined;
   coldUntilMs: number;
-  /** Whether it was in use when listeners were last called by time. */
+  /** Whether it could get requests at the last tick. */
   isUsable: boolean;
 }
 
-/** Entries by server id, with those that are leaving and gone. */
+/** Entries by server id, including draining and recently removed servers. */
 export class ServerRegistry {
   readonly #options: ServerRegistryOptions;
   readonly #known = new Map<contracts.ServerId, KnownServer>();
   readonly #listeners: (() => void)[] = [];
   readonly #unreadable = new Map<string, string>();
-  /** Evacuated zones whose servers get nothing at all any more. */
+  /** Evacuated zones whose servers get no more requests. */
   readonly #drainedZones = new Set<contracts.ZoneId>();
   #isListed = false;
 
   constructor(options: ServerRegistryOptions) {
     this.#options = options;
-    options.evacuations.onChange((ended) => this.#followEvacuations(ended));
+    options.evacuations.onChange((ended) =>
+      this.#handleEvacuationChange(ended)
+    );
   }
 
-  /** Whether the list has been read since the start. */
+  /** Whether the list of servers has been read since the start. */
   get isListed(): boolean {
     return this.#isListed;
   }
 
-  /** Called after each change. */
+  /** Registers a listener that runs after each change. */
   onChange(listener: () => void): void {
     this.#listeners.push(listener);
   }
 
   /**
-   * Servers of a service that may get requests. Leaving ones, and those of
-   * evacuated zones, are draining.
+   * Servers of a service that may get requests. Servers about to be removed and
+   * those of evacuated zones are marked as draining.
    */
   servers(service: contracts.ServiceId): contracts.ServerEntry[] {
     const nowMs = this.#options.clock.nowMs();
     const found: contracts.ServerEntry[] = [];
     for (const known of this.#known.values()) {
       if (known.entry.service !== service) continue;
-      const useUntilMs = this.#useUntilMs(known);
-      if (useUntilMs === Number.POSITIVE_INFINITY) found.push(known.entry);
-      else if (nowMs < useUntilMs) {
+      const usableUntilMs = this.#usableUntilMs(known);
+      if (usableUntilMs === Number.POSITIVE_INFINITY) found.push(known.entry);
+      else if (nowMs < usableUntilMs) {
         found.push({ ...known.entry, isDraining: true });
       }
     }
     return found;
   }
 
-  /** Servers of a service that neither leave, nor are gone or evacuated. */
+  /** Servers of a service that are not draining, removed or evacuated. */
   staying(service: contracts.ServiceId): contracts.ServerEntry[] {
     return [...this.#known.values()]
       .filter((known) =>
         known.entry.service === service &&
-        this.#useUntilMs(known) === Number.POSITIVE_INFINITY
+        this.#usableUntilMs(known) === Number.POSITIVE_INFINITY
       )
       .map(({ entry }) => entry);
   }
 
-  /** When its server may get no request any more; infinite while it stays. */
-  #useUntilMs({ entry, drainingSinceMs: leavingSinceMs }: KnownServer): number {
-    const { evacuations, evacuationGraceMs: evacuationUseMs } = this.#options;
+  /** Until when the server may get requests; infinite while it stays. */
+  #usableUntilMs({ entry, drainingSinceMs }: KnownServer): number {
+    const { evacuations, evacuationGraceMs } = this.#options;
     const evacuatedSinceMs = evacuations.sinceMs(entry.zone);
     return Math.min(
-      (leavingSinceMs ?? Number.POSITIVE_INFINITY) + DRAINING_GRACE_MS,
-      (evacuatedSinceMs ?? Number.POSITIVE_INFINITY) + evacuationUseMs,
+      (drainingSinceMs ?? Number.POSITIVE_INFINITY) + DRAINING_GRACE_MS,
+      (evacuatedSinceMs ?? Number.POSITIVE_INFINITY) + evacuationGraceMs,
     );
   }
 
-  /** Until when a server bears little load; in the past for a warm one. */
+  /** End of a server's warm-up; in the past for a warm server. */
   coldUntilMs(server: contracts.ServerId): number {
     return this.#known.get(server)?.coldUntilMs ?? Number.NEGATIVE_INFINITY;
   }
@@ -119,100 +124,101 @@
     return this.#known.get(server)?.entry.zone;
   }
 
-  /** A run of a server, also one that leaves or is gone; for control calls. */
+  /** Entry of an incarnation, even a draining or removed one; for control calls. */
   entry(owner: contracts.RangeOwner): contracts.ServerEntry | undefined {
     const known = this.#known.get(owner.server);
     return known?.entry.bornMs === owner.bornMs ? known.entry : undefined;
   }
 
-  /** Whether a later run of the server is known, so that this one has ended. */
+  /** Whether this incarnation has ended, as a later one is known. */
   hasEnded(owner: contracts.RangeOwner): boolean {
     const known = this.#known.get(owner.server);
     return known !== undefined && known.entry.bornMs > owner.bornMs;
   }
 
-  /** Ids of all servers that may get requests. */
+  /** Ids of all known servers, including draining and recently removed ones. */
   ids(): Set<contracts.ServerId> {
     return new Set(this.#known.keys());
   }
 
-  /** Takes over a whole list. */
+  /** Applies a full list; servers that are not in it count as missing. */
   applyList(objects: readonly contracts.StoredObject[]): void {
     const listed = new Set<string>();
     for (const object of objects) {
       listed.add(this.#serverOf(object.name));
-      this.#take(object);
+      this.#applyEntry(object);
     }
     for (const [server, known] of this.#known) {
-      if (!listed.has(server)) this.#noteMissing(known);
+      if (!listed.has(server)) this.#markMissing(known);
     }
     this.#isListed = true;
-    this.#changed();
+    this.#notify();
   }
 
-  /** Takes over changes that were learned together. */
+  /** Applies a batch of changes and notifies listeners once. */
   applyChanges(changes: readonly ObjectChange[]): void {
     for (const { name, object } of changes) {
       const known = this.#known.get(
         this.#serverOf(name) as contracts.ServerId,
       );
-      if (object !== undefined) this.#take(object);
-      else if (known !== undefined) this.#noteMissing(known);
+      if (object !== undefined) this.#applyEntry(object);
+      else if (known !== undefined) this.#markMissing(known);
     }
-    this.#changed();
+    this.#notify();
   }
 
-  /** Lets time pass: lapsed entries, servers that are gone for long. */
+  /** Handles what is due: expired entries, grace times, servers removed for long. */
   tick(): void {
     const nowMs = this.#options.clock.nowMs();
     let isChanged = false;
     for (const [server, known] of this.#known) {
-      const { missingSinceMs, drainingSinceMs: leavingSinceMs } = known;
-      const isLapsed = missingSinceMs !== undefined &&
-        leavingSinceMs === undefined && this.#isStoreStable();
-      if (isLapsed) {
-        this.#leave(known, "missing since the store is back");
+      const { missingSinceMs, drainingSinceMs } = known;
+      const isExpired = missingSinceMs !== undefined &&
+        drainingSinceMs === undefined && this.#isStoreStable();
+      if (isExpired) {
+        this.#markDraining(known, "missing since the store is back");
         isChanged = true;
       }
-      const wasInUse = known.isUsable;
-      known.isUsable = nowMs < this.#useUntilMs(known);
-      if (known.isUsable !== wasInUse) isChanged = true;
-      if (leavingSinceMs === undefined) continue;
-      if (nowMs - leavingSinceMs <= ENDED_INCARNATION_TTL_MS) continue;
+      const wasUsable = known.isUsable;
+      known.isUsable = nowMs < this.#usableUntilMs(known);
+      if (known.isUsable !== wasUsable) isChanged = true;
+      if (drainingSinceMs === undefined) continue;
+      if (nowMs - drainingSinceMs <= ENDED_INCARNATION_TTL_MS) continue;
       this.#known.delete(server);
       isChanged = true;
     }
-    this.#noteDrainedZones(nowMs);
-    if (isChanged) this.#changed();
+    this.#logDrainedZones(nowMs);
+    if (isChanged) this.#notify();
   }
 
-  /** Tells once of each zone whose servers are of no use any more. */
-  #noteDrainedZones(nowMs: number): void {
-    const { evacuations, evacuationGraceMs: evacuationUseMs, log } =
-      this.#options;
+  /** Logs once for each zone whose servers get no more requests. */
+  #logDrainedZones(nowMs: number): void {
+    const { evacuations, evacuationGraceMs, log } = this.#options;
     for (const zone of evacuations.zones) {
       const sinceMs = evacuations.sinceMs(zone)!;
-      if (this.#drainedZones.has(zone) || nowMs - sinceMs < evacuationUseMs) {
+      if (this.#drainedZones.has(zone) || nowMs - sinceMs < evacuationGraceMs) {
         continue;
       }
       this.#drainedZones.add(zone);
-      log.info("Zone is empty: its servers get nothing from here.", { zone });
+      log.info("Zone is drained: its servers get no requests from this VM.", {
+        zone,
+      });
     }
   }
 
-  /** Servers of a zone that is taken back may have become cold meanwhile. */
-  #followEvacuations(ended: readonly contracts.ZoneId[]): void {
+  /** Servers of a zone that is back in use may have become cold meanwhile. */
+  #handleEvacuationChange(ended: readonly contracts.ZoneId[]): void {
     for (const zone of ended) this.#drainedZones.delete(zone);
     for (const known of this.#known.values()) {
       if (!ended.includes(known.entry.zone)) continue;
       const { warmUpMs = 0 } = this.#options.coldStartOf(known.entry.service) ??
         {};
-      this.#noteCold(known, warmUpMs);
+      this.#markCold(known, warmUpMs);
     }
-    this.#changed();
+    this.#notify();
   }
 
-  #noteCold(known: KnownServer, leftMs: number): void {
+  #markCold(known: KnownServer, leftMs: number): void {
     if (leftMs <= 0) return;
     const nowMs = this.#options.clock.nowMs();
     if (known.coldUntilMs < nowMs) {
@@ -223,28 +229,28 @@
     known.coldUntilMs = Math.max(known.coldUntilMs, untilMs);
   }
 
-  /** Whether a missing entry has not lapsed while the store was away. */
+  /** Whether a missing entry was removed, rather than expired in a store outage. */
   #isStoreStable(): boolean {
     return this.#options.storeCalmMs() > EXPIRED_ENTRY_GRACE_MS;
   }
 
-  #take(object: contracts.StoredObject): void {
+  #applyEntry(object: contracts.StoredObject): void {
     const { adapter, log } = this.#options;
     const decoded = adapter.decodeServer(object.name, object.value);
-    if (decoded.isErr()) return this.#noteUnreadable(object, decoded.error);
+    if (decoded.isErr()) return this.#rejectEntry(object, decoded.error);
     this.#unreadable.delete(object.name);
     const entry = decoded.value;
     const known = this.#known.get(entry.server);
-    const isOlderRun = known !== undefined &&
+    const isOlderIncarnation = known !== undefined &&
       known.entry.bornMs > entry.bornMs;
-    if (isOlderRun) return;
+    if (isOlderIncarnation) return;
     const isNew = known === undefined || known.entry.bornMs !== entry.bornMs;
     if (isNew) {
       const { server, service, bornMs, host, port, zone } = entry;
       log.info("Server seen.", { server, service, bornMs, host, port, zone });
       if (!this.#options.evacuations.isKnown(zone)) {
         log.warn(
-          "Server of a zone that the settings don't name. Add the zone there.",
+          "Server is in a zone that the settings don't name. Add it there.",
           { server, zone },
         );
       }
@@ -259,39 +265,39 @@
       }
       : { ...known, entry, missingSinceMs: undefined };
     this.#known.set(entry.server, next);
-    this.#noteCold(next, entry.warmUpLeftMs);
-    if (entry.isDraining) this.#leave(next, "says that it drains");
+    this.#markCold(next, entry.warmUpLeftMs);
+    if (entry.isDraining) this.#markDraining(next, "says that it drains");
     else if (next.drainingSinceMs !== undefined) {
       log.info("Server is back.", { server: entry.server });
       next.drainingSinceMs = undefined;
     }
   }
 
-  /** The entry is not there: gone, or lapsed while the store was away. */
-  #noteMissing(known: KnownServer): void {
+  /** The entry is missing: removed, or expired during a store outage. */
+  #markMissing(known: KnownServer): void {
     if (known.drainingSinceMs !== undefined) return;
     known.missingSinceMs ??= this.#options.clock.nowMs();
-    if (this.#isStoreStable()) this.#leave(known, "its entry was removed");
+    if (this.#isStoreStable()) {
+      this.#markDraining(known, "its entry was removed");
+    }
   }
 
-  #leave(known: KnownServer, reason: string): void {
+  #markDraining(known: KnownServer, reason: string): void {
     if (known.drainingSinceMs !== undefined) return;
     known.drainingSinceMs = this.#options.clock.nowMs();
     const { server, service } = known.entry;
     this.#options.log.info("Server leaves.", { server, service, reason });
   }
 
-  /**
-   * An unreadable entry is logged once a version and names no server to use.
-   */
-  #noteUnreadable(
+  /** Logs an unreadable entry once per version; its server starts to drain. */
+  #rejectEntry(
     object: contracts.StoredObject,
     error: { readonly field: string; readonly message: string },
   ): void {
     if (this.#unreadable.get(object.name) === object.version) return;
     this.#unreadable.set(object.name, object.version);
     const { field, message } = error;
-    this.#options.log.warn("Ignores an entry.", {
+    this.#options.log.warn("Ignores an unreadable server entry.", {
       name: object.name,
       field,
       message,
@@ -299,14 +305,16 @@
     const known = this.#known.get(
       this.#serverOf(object.name) as contracts.ServerId,
     );
-    if (known !== undefined) this.#leave(known, "its entry became unreadable");
+    if (known !== undefined) {
+      this.#markDraining(known, "its entry became unreadable");
+    }
   }
 
   #serverOf(name: string): string {
     return name.slice(this.#options.adapter.prefixes.servers.length);
   }
 
-  #changed(): void {
+  #notify(): void {
     for (const listener of this.#listeners) listener();
   }
 }
--- a/packages/entry/src/gateway/server_registry_test.ts
+++ b/packages/entry/src/gateway/server_registry_test.ts
@@ -14,7 +14,7 @@
   nowMs = 0;
   storeCalmMs = 60_000;
   changes = 0;
-  /** What the next entry says of its time until it is warm. */
+  /** Remaining warm-up time in the next entry. */
   warmUpLeftMs = 0;
   readonly clock = { nowMs: () => this.nowMs };
   readonly evacuations = new ZoneEvacuations({
@@ -68,8 +68,8 @@
   return { name: `${PREFIX}${server}`, version: "1", value: "{}" };
 }
 
-/** Guards against work for each of hundreds of servers that start together. */
-test("should tell its listeners once of changes that came together", () => {
+/** Guards against repeated work when hundreds of servers start together. */
+test("should notify listeners once for a batch of changes", () => {
   const fixture = new Fixture();
   fixture.registry.applyChanges(["a", "b", "c"].map((server) => ({
     name: `${PREFIX}${server}`,
@@ -79,8 +79,8 @@
   expect(fixture.staying).toEqual(["a", "b", "c"]);
 });
 
-/** Guards against servers taken for gone whose entry lapsed with the store away. */
-test("should keep a server whose entry lapsed until the store is calm", () => {
+/** Guards against dropping servers whose entries expired in a store outage. */
+test("should keep a server whose entry expired until the store is stable", () => {
   const fixture = new Fixture();
   fixture.registry.applyList([objectOf("a"), objectOf("b")]);
   fixture.storeCalmMs = 0;
@@ -94,8 +94,8 @@
 
 const EVACUATION = `evacuations/${ZONE}`;
 
-/** Guards against new work for a zone that the operator wants empty. */
-test("should give no key to an evacuated zone's servers, and soon no request", () => {
+/** Guards against new requests to a zone that the operator evacuates. */
+test("should grant no keys and soon send no requests to an evacuated zone", () => {
   const fixture = new Fixture();
   fixture.registry.applyList([objectOf("a")]);
   fixture.evacuations.applyChanges([{
@@ -112,7 +112,7 @@
 });
 
 /** Guards against full load on servers that became cold while evacuated. */
-test("should take the servers of a zone that is taken back for cold", () => {
+test("should treat servers as cold when their zone's evacuation ends", () => {
   const fixture = new Fixture();
   fixture.registry.applyList([objectOf("a")]);
   fixture.evacuations.applyList([
@@ -125,8 +125,8 @@
   expect(fixture.registry.coldUntilMs(server)).toEqual(11_000);
 });
 
-/** Guards against full load on a server that says it has become cold. */
-test("should count the time until a server is warm from its last word", () => {
+/** Guards against full load on a server that reports that it is cold. */
+test("should count the warm-up time from the server's last entry", () => {
   const fixture = new Fixture();
   fixture.registry.applyList([objectOf("a")]);
   const server = "a" as contracts.ServerId;
@@ -140,7 +140,7 @@
   expect(fixture.registry.coldUntilMs(server)).toEqual(3_200);
 });
 
-/** Guards against an entry that names a zone nobody knows. */
+/** Guards against an evacuation object with a mistyped zone. */
 test("should ignore the evacuation of an unknown zone", () => {
   const fixture = new Fixture();
   fixture.evacuations.applyList([
@@ -149,8 +149,8 @@
   expect(fixture.evacuations.zones).toEqual([]);
 });
 
-/** Guards against work for all servers at each tick after one has left. */
-test("should tell its listeners once that a server is of no more use", () => {
+/** Guards against notifications at each tick after one server was removed. */
+test("should notify listeners once that a server gets no more requests", () => {
   const fixture = new Fixture();
   fixture.registry.applyList([objectOf("a"), objectOf("b")]);
   fixture.registry.applyChanges([{ name: `${PREFIX}a` }]);
--- a/packages/entry/src/gateway/slot_task.ts
+++ b/packages/entry/src/gateway/slot_task.ts
@@ -1,6 +1,6 @@
 /**
- * Slots of servers that own keys: asks for this VM's requests, and gives out
- * slots of the servers that are its share.
+ * Slots of servers of keyed services: requests slots from the coordinators, and
+ * grants slots of the servers that this VM coordinates.
  */
 import type * as contracts from "@guavatide/contracts";
 import * as admission from "@guavatide/decisions/admission/mod";
@@ -28,7 +28,7 @@
   readonly coldStarts: ColdStartLimits;
 }
 
-/** The queue whose requests ask for slots. */
+/** A queue whose requests need slots. */
 export interface SlotConsumer {
   grant(request: admission.WaitingRequest): void;
   refuse(
@@ -37,99 +37,106 @@
   ): void;
 }
 
-/** Interval at which lost words are made good and waits are looked through. */
+/** Interval at which lost messages are resent and waiting requests checked. */
 const ACTIVE_TICK_MS = 25;
-/** The same while no request waits. */
+/** The same interval while no request waits. */
 const IDLE_TICK_MS = 200;
 
-/** The task that speaks with the coordinators, and is one. */
+/** Client of the slot coordinators, and the coordinator of some servers. */
 export class SlotTask {
   readonly #options: SlotTaskOptions;
-  readonly #asks: admission.SlotAsks;
+  readonly #requester: admission.SlotAsks;
   readonly #coordinator: admission.SlotCoordinator;
-  readonly #order: grants.DutyOrder;
-  /** Answers of the own coordinator, not sent yet. */
-  readonly #words = new Map<contracts.VmId, admission.SlotWord[]>();
-  readonly #callers = new Map<admission.WaitingRequest, SlotConsumer>();
-  #work: RegularWork | undefined;
-  /** What changes in one turn of the event loop leaves together. */
+  readonly #coordinatorOrder: grants.DutyOrder;
+  /** Replies of this VM's coordinator that are not sent yet. */
+  readonly #replies = new Map<contracts.VmId, admission.SlotWord[]>();
+  readonly #consumers = new Map<admission.WaitingRequest, SlotConsumer>();
+  #tickWork: RegularWork | undefined;
+  /** Changes in one event loop iteration are sent together. */
   readonly #flushing = new OncePerTurn(() => this.#flush());
 
   constructor(options: SlotTaskOptions) {
     this.#options = options;
     const { gossip, zone, random, hasher, vm } = options;
-    this.#order = new grants.DutyOrder(hasher);
-    this.#asks = new admission.SlotAsks({
+    this.#coordinatorOrder = new grants.DutyOrder(hasher);
+    this.#requester = new admission.SlotAsks({
       vm,
-      coordinatorOf: (server, silent) => this.#coordinatorOf(server, silent),
+      coordinatorOf: (server, unresponsive) =>
+        this.#coordinatorOf(server, unresponsive),
       onMessage: () => this.#flushing.schedule(),
-      onGiven: (request) => this.#callers.get(request)?.grant(request),
+      onGiven: (request) => this.#consumers.get(request)?.grant(request),
       onRefused: (request, refusal) => {
-        const caller = this.#callers.get(request);
-        this.#callers.delete(request);
-        caller?.refuse(request, refusal);
+        const consumer = this.#consumers.get(request);
+        this.#consumers.delete(request);
+        consumer?.refuse(request, refusal);
       },
       onSilent: (coordinator) =>
-        options.log.warn("Leaves out a VM that gives out slots: no answer.", {
+        options.log.warn("Skips an unresponsive slot coordinator.", {
           peer: coordinator,
         }),
     });
     this.#coordinator = new admission.SlotCoordinator({
       zone,
       random,
-      decide: (decision) => this.#decide(decision),
+      decide: (decision) => this.#queueReply(decision),
       coldStartsOf: (service) => options.coldStarts.forCoordinator(service),
     });
     options.registry.onChange(() =>
-      this.#order.keepOnly(options.registry.ids())
+      this.#coordinatorOrder.keepOnly(options.registry.ids())
     );
     gossip.onGuarded(
       messages.SLOT_ASKS_METHOD,
       messages.isSlotAsks,
-      (asks) => this.#takeAsks(asks),
+      (requests) => this.#handleRequests(requests),
     );
     gossip.onGuarded(
       messages.SLOT_WORDS_METHOD,
       messages.isSlotWords,
-      (words) => this.#takeWords(words),
+      (replies) => this.#handleReplies(replies),
     );
   }
 
-  /** Starts the regular work. */
+  /** Starts the periodic work. */
   start(lifeCycle: LifeCycle): void {
-    this.#work = lifeCycle.every(IDLE_TICK_MS, () => {
+    this.#tickWork = lifeCycle.every(IDLE_TICK_MS, () => {
       const nowMs = this.#options.clock.nowMs();
-      this.#asks.tick(nowMs);
+      this.#requester.tick(nowMs);
       this.#coordinator.review(nowMs);
-      this.#followLoad();
+      this.#adjustInterval();
     });
   }
 
-  #followLoad(): void {
-    const isIdle = this.#asks.isIdle && !this.#coordinator.isWaited;
-    this.#work?.setIntervalMs(isIdle ? IDLE_TICK_MS : ACTIVE_TICK_MS);
+  #adjustInterval(): void {
+    const isIdle = this.#requester.isIdle && !this.#coordinator.isWaited;
+    this.#tickWork?.setIntervalMs(isIdle ? IDLE_TICK_MS : ACTIVE_TICK_MS);
   }
 
-  /** Slots for the requests of one queue. */
-  source(caller: SlotConsumer): admission.SlotSource {
+  /** A source of slots for the requests of one queue. */
+  source(consumer: SlotConsumer): admission.SlotSource {
     return {
       take: (request, load, nowMs) => {
-        this.#callers.set(request, caller);
+        this.#consumers.set(request, consumer);
         const ownRequests = load.own;
-        return this.#asks.take(request, load.entry, { ownRequests, nowMs });
+        return this.#requester.take(request, load.entry, {
+          ownRequests,
+          nowMs,
+        });
       },
       begin: (request) => {
-        this.#callers.delete(request);
-        return this.#asks.begin(request);
+        this.#consumers.delete(request);
+        return this.#requester.begin(request);
       },
       withdraw: (request) => {
-        this.#callers.delete(request);
-        this.#asks.withdraw(request);
+        this.#consumers.delete(request);
+        this.#requester.withdraw(request);
       },
     };
   }
 
-  /** How much longer than average each server takes, as this coordinator sees it. */
+  /**
+   * Latency of each server relative to the service's average, as measured by
+   * this VM's coordinator.
+   */
   latencyFactors(
     service: contracts.ServiceId,
   ): Map<contracts.ServerId, number> {
@@ -137,67 +144,69 @@
   }
 
   /**
-   * The first of the VMs in the server's availability zone, in an order of the
-   * server's own; of all VMs when that zone has none.
+   * The first eligible VM of the server's availability zone, in an order that
+   * depends on the server; of all VMs when that zone has none.
    */
   #coordinatorOf(
     { server }: admission.SlotServer,
-    silent: ReadonlySet<contracts.VmId>,
+    unresponsive: ReadonlySet<contracts.VmId>,
   ): contracts.VmId | undefined {
     const { gossip, registry, vm } = this.#options;
     const zone = registry.zoneOf(server);
     const inZone = zone === undefined ? [] : gossip.membersOf(zone);
-    const near = inZone.filter((it) => this.#isAble(it, silent));
-    const able = near.length > 0
-      ? near
+    const eligibleInZone = inZone.filter((it) =>
+      this.#isEligible(it, unresponsive)
+    );
+    const eligible = eligibleInZone.length > 0
+      ? eligibleInZone
       : [vm, ...gossip.live.map((peer) => peer.vm)]
-        .filter((it) => this.#isAble(it, silent)).sort();
-    return this.#order.of(server, able)[0];
+        .filter((it) => this.#isEligible(it, unresponsive)).sort();
+    return this.#coordinatorOrder.of(server, eligible)[0];
   }
 
-  #isAble(
+  #isEligible(
     candidate: contracts.VmId,
-    silent: ReadonlySet<contracts.VmId>,
+    unresponsive: ReadonlySet<contracts.VmId>,
   ): boolean {
     const { vm, isLeaving } = this.#options;
-    return !silent.has(candidate) && (candidate !== vm || !isLeaving());
+    return !unresponsive.has(candidate) && (candidate !== vm || !isLeaving());
   }
 
   #flush(): void {
-    this.#followLoad();
+    this.#adjustInterval();
     const { vm, gossip } = this.#options;
-    for (const [coordinator, message] of this.#asks.takeMessages()) {
-      const asks = this.#encodeAsks(message);
-      if (coordinator === vm) this.#takeAsks(asks);
-      else gossip.send(messages.SLOT_ASKS_METHOD, asks, [coordinator]);
+    for (const [coordinator, message] of this.#requester.takeMessages()) {
+      const requests = this.#encodeRequests(message);
+      if (coordinator === vm) this.#handleRequests(requests);
+      else gossip.send(messages.SLOT_ASKS_METHOD, requests, [coordinator]);
     }
-    const answers = [...this.#words];
-    this.#words.clear();
-    for (const [to, words] of answers) {
-      const answer = encodeReplies(vm, words);
-      if (to === vm) this.#takeWords(answer);
+    const pending = [...this.#replies];
+    this.#replies.clear();
+    for (const [to, replies] of pending) {
+      const answer = encodeReplies(vm, replies);
+      if (to === vm) this.#handleReplies(answer);
       else gossip.send(messages.SLOT_WORDS_METHOD, answer, [to]);
     }
   }
 
-  #encodeAsks(
+  #encodeRequests(
     { wishes, ended, held }: admission.SlotMessage,
   ): messages.SlotAsks {
     const { vm, clock } = this.#options;
     const nowMs = clock.nowMs();
     return {
       vm,
-      wishes: wishes.map((wish) => [
-        encodeSlot(wish),
-        Math.round(wish.targetMs - nowMs),
-        Math.round(wish.answerByMs - nowMs),
+      wishes: wishes.map((request) => [
+        encodeSlot(request),
+        Math.round(request.targetMs - nowMs),
+        Math.round(request.answerByMs - nowMs),
       ]),
       ended: ended.map(({ id, tookMs }) => [id, tookMs ?? null]),
       held: held?.map(encodeSlot) ?? null,
     };
   }
 
-  #takeAsks({ vm, wishes, ended, held }: messages.SlotAsks): void {
+  #handleRequests({ vm, wishes, ended, held }: messages.SlotAsks): void {
     const nowMs = this.#options.clock.nowMs();
     for (const [id, tookMs] of ended) {
       this.#coordinator.end(vm, id, { tookMs: tookMs ?? undefined, nowMs });
@@ -214,8 +223,8 @@
     this.#coordinator.noteHeld(vm, held.map(decodeSlot), nowMs);
   }
 
-  #takeWords({ vm, given, queued, refused }: messages.SlotWords): void {
-    const words: admission.SlotWord[] = [
+  #handleReplies({ vm, given, queued, refused }: messages.SlotWords): void {
+    const replies: admission.SlotWord[] = [
       ...given.map((id) => ({ id, kind: "given" as const })),
       ...queued.map((id) => ({ id, kind: "queued" as const })),
       ...refused.map(([id, reason, retryAfterMs, expectedWaitMs]) => ({
@@ -224,13 +233,13 @@
         refusal: { reason, retryAfterMs, expectedWaitMs },
       })),
     ];
-    this.#asks.noteWords(vm, words, this.#options.clock.nowMs());
+    this.#requester.noteWords(vm, replies, this.#options.clock.nowMs());
   }
 
-  #decide({ vm, ...word }: admission.SlotDecision): void {
-    const words = this.#words.get(vm);
-    if (words === undefined) this.#words.set(vm, [word]);
-    else words.push(word);
+  #queueReply({ vm, ...reply }: admission.SlotDecision): void {
+    const replies = this.#replies.get(vm);
+    if (replies === undefined) this.#replies.set(vm, [reply]);
+    else replies.push(reply);
     this.#flushing.schedule();
   }
 }
@@ -261,15 +270,15 @@
 
 function encodeReplies(
   vm: contracts.VmId,
-  words: readonly admission.SlotWord[],
+  replies: readonly admission.SlotWord[],
 ): messages.SlotWords {
-  const idsOf = (wanted: admission.SlotWord["kind"]) =>
-    words.filter(({ kind }) => kind === wanted).map(({ id }) => id);
+  const idsOf = (expectedKind: admission.SlotWord["kind"]) =>
+    replies.filter(({ kind }) => kind === expectedKind).map(({ id }) => id);
   return {
     vm,
     given: idsOf("given"),
     queued: idsOf("queued"),
-    refused: words.flatMap(({ id, refusal }) =>
+    refused: replies.flatMap(({ id, refusal }) =>
       refusal === undefined ? [] : [encodeRefusal(id, refusal)]
     ),
   };
--- a/packages/entry/src/gateway/wire_gateway.ts
+++ b/packages/entry/src/gateway/wire_gateway.ts
@@ -1,8 +1,8 @@
-/** The one module that wires an entry process on an outside platform. */
+/** Composition root of an entry process on an external platform. */
 import type * as contracts from "@guavatide/contracts";
 import * as grants from "@guavatide/decisions/grants/mod";
 import * as ownership from "@guavatide/decisions/ownership/mod";
-import * as linkParts from "../links/server_links.ts";
+import * as connectionPools from "../links/server_links.ts";
 import { MeteredStore } from "../metrics/metered_store.ts";
 import {
   MonotonicClock,
@@ -33,24 +33,24 @@
 import { VmDirectory } from "./vm_directory.ts";
 import { ZoneEvacuations } from "./zone_evacuations.ts";
 
-/** Descriptors kept for files, the store, peers and control calls. */
+/** File descriptors reserved for files, the store, peers and control calls. */
 const RESERVED_DESCRIPTORS = 400;
-/** Part of the rest that callers' connections may take. */
+/** Fraction of the remaining descriptors for callers' connections. */
 const CALLER_DESCRIPTOR_RATIO = 0.7;
 /**
- * Idle connections to servers are kept so long where servers tell no limit of
- * their own.
+ * Idle timeout of connections to servers that don't announce a keep-alive
+ * timeout.
  */
 const CONNECTION_IDLE_TIMEOUT_MS = 8_000;
 /**
- * Part of the bound on an evacuation for which owners in the zone may still get
- * requests; the rest covers late news.
+ * Fraction of the time limit of an evacuation in which owners in the zone may
+ * still get requests; the rest covers late notification of entry VMs.
  */
 const EVACUATION_GRACE_RATIO = 0.5;
-/** Longest wait for one step of a stop after the listener has ended. */
+/** Maximum time to close the connections to the platform on a stop. */
 const CLOSE_TIMEOUT_MS = 300;
 
-/** What the process is built from. */
+/** Options of {@link startGateway}. */
 export interface GatewayOptions {
   readonly settings: GatewaySettings;
   readonly adapter: PlatformAdapter;
@@ -59,11 +59,11 @@
 
 /** A running entry process. */
 export interface Gateway {
-  /** Stops gracefully: requests in flight end. */
+  /** Stops gracefully: requests in flight may finish within the grace time. */
   stop(): Promise<void>;
 }
 
-/** Starts an entry process. Errors: an address is taken. */
+/** Starts an entry process. Errors: an address is in use. */
 export async function startGateway(options: GatewayOptions): Promise<Gateway> {
   const parts = await createParts(options);
   await start(options, parts);
@@ -201,9 +201,9 @@
     isLeaving: () => lifeCycle.isStopping,
     coldStarts,
   });
-  const links = new linkParts.ConnectionPools(
+  const connections = new connectionPools.ConnectionPools(
     {
-      ...linkParts.CONNECTION_POOLS_DEFAULTS,
+      ...connectionPools.CONNECTION_POOLS_DEFAULTS,
       decoder: adapter.answerDecoder,
       idleTimeoutMs: CONNECTION_IDLE_TIMEOUT_MS,
     },
@@ -219,7 +219,7 @@
     grants: grantTask,
     gossip,
     slots,
-    connections: links,
+    connections,
     headers: adapter.headers,
     budget: {
       ...settings.retryBudget,
@@ -229,9 +229,9 @@
     clock,
     random,
     log: log.part("route"),
-    onFinished: (story) => {
-      metrics.recordRequest(story);
-      requestLog.record(story);
+    onFinished: (record) => {
+      metrics.recordRequest(record);
+      requestLog.record(record);
     },
   });
   const startedMs = clock.nowMs();
@@ -262,7 +262,7 @@
         onList: (objects) => registry.applyList(objects),
         onChanges: (changes) => registry.applyChanges(changes),
       }),
-      // Where no zone is ever evacuated the store isn't asked for them.
+      // Saves store calls where zones are never evacuated.
       evacuations: settings.evacuation && new KindWatch({
         ...common,
         prefix: adapter.prefixes.evacuations,
@@ -331,7 +331,7 @@
 ): Promise<void> {
   const { lifeCycle, gossip, watches, config, registry, grantTask } = parts;
   lifeCycle.onStop({
-    name: "links to the platform",
+    name: "connections to the platform",
     timeoutMs: CLOSE_TIMEOUT_MS,
     run: () => adapter.close(),
   });
@@ -388,7 +388,7 @@
   mainLog.info("Entry process stopped.", { vm: settings.vm });
 }
 
-/** A short id, as it travels with every status. */
+/** Creates a short id, as every status message carries it. */
 function createIncarnation(): contracts.Incarnation {
   return crypto.randomUUID().slice(0, 8) as contracts.Incarnation;
 }
--- a/packages/entry/src/gateway/zone_evacuations.ts
+++ b/packages/entry/src/gateway/zone_evacuations.ts
@@ -1,4 +1,4 @@
-/** Availability zones whose backend servers are to get no requests. */
+/** Evacuated availability zones, whose backend servers must get no requests. */
 import type * as contracts from "@guavatide/contracts";
 import type { PartLog } from "../utils/log.ts";
 import type { ObjectChange } from "./object_table.ts";
@@ -13,10 +13,10 @@
   readonly log: PartLog;
 }
 
-/** Called with the zones whose evacuation has ended. */
+/** Receives the zones whose evacuation has ended; empty when none has. */
 export type EvacuationListener = (ended: readonly contracts.ZoneId[]) => void;
 
-/** Follows the operator's evacuations. */
+/** Tracks the evacuations that operators start and end. */
 export class ZoneEvacuations {
   readonly #options: ZoneEvacuationsOptions;
   readonly #sinceMs = new Map<contracts.ZoneId, number>();
@@ -26,27 +26,27 @@
     this.#options = options;
   }
 
-  /** Called after each change. */
+  /** Registers a listener that runs after each change. */
   onChange(listener: EvacuationListener): void {
     this.#listeners.push(listener);
   }
 
-  /** When this VM learned of a zone's evacuation; undefined without one. */
+  /** When this VM learned of a zone's evacuation; undefined if there is none. */
   sinceMs(zone: contracts.ZoneId): number | undefined {
     return this.#sinceMs.get(zone);
   }
 
-  /** Whether the settings name a zone. */
+  /** Whether a zone is in the settings. */
   isKnown(zone: contracts.ZoneId): boolean {
     return this.#options.zones.has(zone);
   }
 
-  /** Zones that are evacuated. */
+  /** Evacuated zones. */
   get zones(): readonly contracts.ZoneId[] {
     return [...this.#sinceMs.keys()];
   }
 
-  /** Takes over a whole list. */
+  /** Applies a full list; evacuations that are not in it have ended. */
   applyList(objects: readonly contracts.StoredObject[]): void {
     const listed = new Set(objects.map(({ name }) => this.#zoneOf(name)));
     const ended = this.zones.filter((zone) => !listed.has(zone));
@@ -54,7 +54,7 @@
     this.#end(ended);
   }
 
-  /** Takes over changes that were learned together. */
+  /** Applies a batch of changes and notifies listeners once. */
   applyChanges(changes: readonly ObjectChange[]): void {
     const ended: contracts.ZoneId[] = [];
     for (const { name, object } of changes) {
@@ -78,7 +78,7 @@
     log.info("Zone is evacuated.", { zone });
   }
 
-  /** Ends evacuations, and tells listeners of these and of what has begun. */
+  /** Ends evacuations, then notifies listeners, also of those that began. */
   #end(zones: readonly contracts.ZoneId[]): void {
     const { clock, log } = this.#options;
     const ended = zones.filter((zone) => this.#sinceMs.has(zone));
