--- a/packages/entry/src/links/answer_decoder.ts
+++ b/packages/entry/src/links/answer_decoder.ts
@@ -1,15 +1,15 @@
 /**
- * Tells what a backend server's response means: the request's own answer, a
- * proof that it did not run, or bytes that belong to no request.
+ * Interprets a backend server's response: the answer to the request, a proof
+ * that the request did not run, or bytes that belong to no request.
  */
 import type * as contracts from "@guavatide/contracts";
 import type { ServerAnswer } from "../requests/caller_request.ts";
 
-/** A whole response as it came over a connection. */
+/** A whole response as received over a connection. */
 export interface RawAnswer {
   readonly method: string;
   readonly status: number;
-  /** Names and values in turn. */
+  /** Names and values alternating. */
   readonly headers: readonly string[];
   readonly body: Uint8Array;
 }
@@ -26,12 +26,12 @@
     readonly refusal: contracts.ServerRefusal;
     readonly inFlight: number | undefined;
   }
-  /** Not this request's answer, or not a whole one. */
+  /** Not the answer to this request, or possibly truncated. */
   | { readonly kind: "bad"; readonly message: string };
 
-/** What a response tells besides, whatever it means for the request. */
+/** What a response reports besides its outcome. */
 export interface AnswerReport {
-  /** The server's load; undefined when it tells none, or none that is sound. */
+  /** The server's load; undefined when it reports none or an invalid one. */
   readonly report?: contracts.ServerReport | undefined;
 }
 
--- a/packages/entry/src/links/header_list.ts
+++ b/packages/entry/src/links/header_list.ts
@@ -1,10 +1,10 @@
 /**
- * Lists of header names and values in turn, as Node and undici give them. A
- * list keeps repeated headers and is cheaper than a map.
+ * Lists of alternating header names and values, as Node and undici provide
+ * them. A list keeps repeated headers and is cheaper than a map.
  */
 import * as contracts from "@guavatide/contracts";
 
-/** Headers that concern one connection only and are never passed on. */
+/** Headers that apply to a single connection and are never forwarded. */
 const HOP_BY_HOP_HEADERS = new Set([
   "connection",
   "content-length",
@@ -21,12 +21,12 @@
   "upgrade",
 ]);
 
-/** Headers of this system; each side sets its own. */
+/** Headers of this system; each hop sets its own. */
 const INTERNAL_HEADERS: ReadonlySet<string> = new Set([
   contracts.REQUEST_ID_HEADER,
   contracts.DEADLINE_HEADER,
-  // A server that checks no fences would read a caller's own stamp in place of
-  // the bound that a move relies on.
+  // A server that checks no fencing tokens would use a caller's own stamp instead
+  // of the deadline that a handover relies on.
   contracts.DEADLINE_STAMP_HEADER,
   contracts.STAMP_HEADER,
   contracts.SLICE_HEADER,
@@ -39,7 +39,7 @@
   contracts.TIMEOUT_HEADER,
 ]);
 
-/** The value of a header, by its name in lower case. */
+/** The first value of a header, by its name in lower case. */
 export function readHeader(
   headers: readonly string[],
   name: string,
@@ -53,29 +53,29 @@
   return undefined;
 }
 
-/** Headers of a caller's request that go on to the server. */
+/** Headers of a caller's request to forward to the server. */
 export function requestHeaders(headers: readonly string[]): string[] {
   return forwardableHeaders(headers);
 }
 
-/** Headers of a server's answer that go on to the caller. */
+/** Headers of a server's response to forward to the caller. */
 export function answerHeaders(headers: readonly string[]): string[] {
   return forwardableHeaders(headers);
 }
 
 function forwardableHeaders(headers: readonly string[]): string[] {
   const listed = connectionTokens(headers);
-  const passed: string[] = [];
+  const kept: string[] = [];
   for (let index = 0; index + 1 < headers.length; index += 2) {
     const name = headers[index]!.toLowerCase();
     if (INTERNAL_HEADERS.has(name) || HOP_BY_HOP_HEADERS.has(name)) continue;
     if (listed?.includes(name)) continue;
-    passed.push(headers[index]!, headers[index + 1]!);
+    kept.push(headers[index]!, headers[index + 1]!);
   }
-  return passed;
+  return kept;
 }
 
-/** Names that the sender's Connection header declares as its own. */
+/** Names that the Connection header declares hop-by-hop, in lower case. */
 function connectionTokens(headers: readonly string[]): string[] | undefined {
   const value = readHeader(headers, "connection");
   if (value === undefined) return undefined;
--- a/packages/entry/src/links/link_pool.ts
+++ b/packages/entry/src/links/link_pool.ts
@@ -1,4 +1,4 @@
-/** The links from this entry VM to one backend server. */
+/** The connections from this entry VM to one backend server. */
 import type * as contracts from "@guavatide/contracts";
 import { ServerClock } from "./server_clock.ts";
 import {
@@ -10,30 +10,30 @@
 
 /** Options of {@link ConnectionPool}. */
 export interface ConnectionPoolOptions extends ServerConnectionOptions {
-  /** This VM's share of the connections that the server takes. */
+  /** This VM's share of the connections that the server accepts. */
   readonly connectionLimit: number;
   readonly clock: contracts.Clock;
 }
 
 /** Options of {@link ConnectionPool.send}. */
 export interface SendOptions {
-  /** Gives up after this time, counted from the call. */
+  /** The request is abandoned this long after the call. */
   readonly timeoutMs: number;
   readonly signal: AbortSignal;
 }
 
-/** Connections of a pool, for metrics. */
+/** Number of connections of a pool, for metrics. */
 export interface ConnectionCounts {
   readonly idle: number;
   readonly busy: number;
 }
 
-/** A bounded set of links; the one used last is used next. */
+/** A limited number of connections; the most recently used one is reused first. */
 export class ConnectionPool {
   readonly #options: ConnectionPoolOptions;
   readonly #idle: ServerConnection[] = [];
   readonly #busy = new Set<ServerConnection>();
-  /** The server's clock, as its answers tell it. */
+  /** The server's clock, from the stamps in its responses. */
   readonly serverClock: ServerClock;
   #isClosed = false;
 
@@ -46,63 +46,70 @@
     return { idle: this.#idle.length, busy: this.#busy.size };
   }
 
-  /** Sends a request over a free link, or over a new one. */
+  /**
+   * Sends a request over an idle connection, or over a new one. Results in
+   * `not-sent` when the connection limit is reached.
+   */
   async send(
     request: AttemptRequest,
     options: SendOptions,
   ): Promise<AttemptResult> {
-    const link = this.#take();
-    if (link === undefined) {
+    const connection = this.#acquire();
+    if (connection === undefined) {
       const message = "All connections are in use";
       return { kind: "not-sent", isLocal: true, message };
     }
-    const receivedBytes = link.bytesReceived;
+    const receivedBytes = connection.bytesReceived;
     const timer = setTimeout(
-      () => link.abandon("timeout-after-send", "No answer before the deadline"),
+      () =>
+        connection.abandon(
+          "timeout-after-send",
+          "No answer before the deadline",
+        ),
       options.timeoutMs,
     );
     const onAbort = () =>
-      link.abandon("connection-lost", "The caller has gone");
+      connection.abandon("connection-lost", "The caller has gone");
     options.signal.addEventListener("abort", onAbort, { once: true });
-    const result = await link.send(request);
+    const result = await connection.send(request);
     clearTimeout(timer);
     options.signal.removeEventListener("abort", onAbort);
-    this.#giveBack(link);
-    const isSilent = result.kind === "unknown" &&
-      link.bytesReceived === receivedBytes;
-    if (isSilent) this.#retireIdle();
+    this.#release(connection);
+    const hasNoResponse = result.kind === "unknown" &&
+      connection.bytesReceived === receivedBytes;
+    if (hasNoResponse) this.#retireIdle();
     return result;
   }
 
-  /** Closes the idle links and each busy one as its request ends. */
+  /** Closes idle connections, and each busy one when its request ends. */
   close(): void {
     this.#isClosed = true;
     this.#retireIdle();
   }
 
-  #take(): ServerConnection | undefined {
-    let link = this.#idle.pop();
-    while (link !== undefined && !link.isUsable) link = this.#idle.pop();
-    if (link === undefined) {
+  #acquire(): ServerConnection | undefined {
+    let conn = this.#idle.pop();
+    while (conn !== undefined && !conn.isUsable) conn = this.#idle.pop();
+    if (conn === undefined) {
       const isFull = this.#busy.size >= this.#options.connectionLimit;
       if (isFull || this.#isClosed) return undefined;
-      link = new ServerConnection(this.#options);
+      conn = new ServerConnection(this.#options);
     }
-    this.#busy.add(link);
-    return link;
+    this.#busy.add(conn);
+    return conn;
   }
 
-  #giveBack(link: ServerConnection): void {
-    this.#busy.delete(link);
-    if (this.#isClosed) link.retire();
-    if (link.isUsable) this.#idle.push(link);
+  #release(connection: ServerConnection): void {
+    this.#busy.delete(connection);
+    if (this.#isClosed) connection.retire();
+    if (connection.isUsable) this.#idle.push(connection);
   }
 
   /**
-   * After a request without one byte of answer the older connections may be
-   * lost without a sign; the next request opens a new one.
+   * Closes idle connections. After a request without one byte of response they
+   * may be broken too, without a reset; the next request opens a new one.
    */
   #retireIdle(): void {
-    for (const link of this.#idle.splice(0)) link.retire();
+    for (const connection of this.#idle.splice(0)) connection.retire();
   }
 }
--- a/packages/entry/src/links/own_answer_decoder.ts
+++ b/packages/entry/src/links/own_answer_decoder.ts
@@ -1,4 +1,4 @@
-/** Responses of backend servers that speak this system's own contract. */
+/** Decodes responses of backend servers that implement this system's protocol. */
 import type * as contracts from "@guavatide/contracts";
 import * as names from "@guavatide/contracts";
 import type {
@@ -8,7 +8,7 @@
 } from "./answer_decoder.ts";
 import { answerHeaders, readHeader } from "./header_list.ts";
 
-/** Decodes responses under `/serve/`. */
+/** Decoder for responses to requests under `/serve/`. */
 export class NativeAnswerDecoder implements AnswerDecoder {
   decode(requestId: contracts.RequestId, raw: RawAnswer): DecodedAnswer {
     const echoed = readHeader(raw.headers, names.REQUEST_ID_HEADER);
@@ -35,8 +35,8 @@
 }
 
 /**
- * Whether a cut-off body would have been noticed: one that ends with its
- * connection looks whole when the connection breaks.
+ * Whether a truncated body would have been detected: a close-delimited one
+ * looks complete when the connection breaks.
  */
 export function hasKnownEnd({ method, status, headers }: RawAnswer): boolean {
   const hasNoBody = method === "HEAD" || status === 204 || status === 304;
--- a/packages/entry/src/links/server_clock.ts
+++ b/packages/entry/src/links/server_clock.ts
@@ -1,11 +1,12 @@
 /**
- * A server's own clock, told with each answer, for deadlines in its time. "Time
- * left" would start anew when a frozen server wakes and reads its buffers, and
- * it would run requests for keys that it has lost.
+ * A server's own clock, sent in each response, for deadlines in the server's
+ * time. With a timeout instead, the time would start only when a paused server
+ * resumes and reads its buffers, and it would run requests for keys that it has
+ * lost.
  */
 import type * as contracts from "@guavatide/contracts";
 
-/** A stamp older than this is of no use: the clocks' rates differ. */
+/** Older stamps are ignored, as the clocks drift apart. */
 const STAMP_TTL_MS = 600_000;
 
 interface Stamp {
@@ -23,7 +24,10 @@
     this.#clock = clock;
   }
 
-  /** Takes the stamp of an answer, `<instance>/<milliseconds>`. */
+  /**
+   * Records the stamp of a response, `<instance>/<milliseconds>`. Ignores a
+   * missing or malformed one.
+   */
   recordStamp(text: string | undefined): void {
     const [instance, milliseconds] = text?.split("/") ?? [];
     const serverMs = Number(milliseconds);
@@ -33,8 +37,9 @@
   }
 
   /**
-   * A deadline on the server's clock in the same form; undefined without a
-   * stamp. It is early by the time that the stamp's answer was on its way.
+   * A local deadline in milliseconds as a stamp of the server's clock; undefined
+   * without a recent stamp. It is early by the network delay of the response
+   * that carried the stamp.
    */
   formatDeadline(deadlineMs: number): string | undefined {
     const stamp = this.#stamp;
--- a/packages/entry/src/links/server_link.ts
+++ b/packages/entry/src/links/server_link.ts
@@ -1,4 +1,4 @@
-/** One connection to a backend server, with one request at a time. */
+/** One connection to a backend server, for one request at a time. */
 import type * as contracts from "@guavatide/contracts";
 import * as names from "@guavatide/contracts";
 import type * as net from "node:net";
@@ -11,31 +11,31 @@
 } from "./answer_decoder.ts";
 import { readHeader } from "./header_list.ts";
 
-/** One attempt of a request, as it goes over a link. */
+/** One attempt of a request, as sent over a connection. */
 export interface AttemptRequest {
   readonly id: contracts.RequestId;
   readonly method: string;
   readonly path: string;
-  /** Names and values in turn. */
+  /** Names and values alternating. */
   readonly headers: readonly string[];
   readonly body: Uint8Array | undefined;
-  /** Called right before the bytes leave; false keeps them here. */
+  /** Called right before the request is sent; false withholds it. */
   maySend(): boolean;
-  /** The server's clock, sent with its answer. */
+  /** Receives the stamp of the server's clock from its response. */
   onServerStamp(text: string | undefined): void;
 }
 
-/** How an attempt ended. Only the first two leave the link usable. */
+/** How an attempt ended. Only answer and refusal leave the connection usable. */
 export type AttemptResult =
   | Exclude<DecodedAnswer, { readonly kind: "bad" }> & AnswerReport
-  /** No byte left. */
+  /** Not one byte was sent. */
   | {
     readonly kind: "not-sent";
-    /** True when it was kept here; says nothing about the server then. */
+    /** Whether this VM is the cause; if so, it says nothing about the server. */
     readonly isLocal: boolean;
     readonly message: string;
   }
-  /** Bytes left and no whole answer came. */
+  /** Bytes were sent and no whole response came. */
   | {
     readonly kind: "unknown";
     readonly reason: contracts.UnknownReason;
@@ -53,7 +53,7 @@
   readonly decoder: AnswerDecoder;
 }
 
-/** A request whose end is awaited. */
+/** A request in flight. */
 interface PendingRequest {
   readonly request: AttemptRequest;
   readonly settle: (result: AttemptResult) => void;
@@ -62,14 +62,14 @@
   abort: ((reason: Error) => void) | undefined;
 }
 
-/** A connection that serves one request after another until one goes wrong. */
+/** A connection that carries one request after another until one fails. */
 export class ServerConnection {
   readonly #client: undici.Client;
   readonly #options: ServerConnectionOptions;
   #socket: net.Socket | undefined;
   #pending: PendingRequest | undefined;
   #isUsable = true;
-  #wasBroken = false;
+  #hasSocketError = false;
 
   constructor(options: ServerConnectionOptions) {
     this.#options = options;
@@ -81,32 +81,32 @@
       pipelining: 1,
       keepAliveTimeout: options.idleTimeoutMs,
       keepAliveMaxTimeout: options.idleTimeoutMs,
-      // Deadlines are the request's own; the client's would hide them.
+      // Each attempt has its own deadline; undici's timeouts would preempt it.
       headersTimeout: 0,
       bodyTimeout: 0,
       connect: (connectOptions, callback) =>
         connect(connectOptions, (...result: unknown[]) => {
           const [error, socket] = result as [Error | null, net.Socket];
-          if (error === null) this.#watch(socket);
+          if (error === null) this.#trackSocket(socket);
           (callback as (...values: unknown[]) => void)(...result);
         }),
     });
-    // A lost connection ends the link: a request moved silently to a new
-    // connection could run twice.
+    // No reconnect: a request that undici resends over a new connection could
+    // run twice.
     this.#client.on("disconnect", () => this.retire());
   }
 
-  /** False once anything went wrong; the link then takes no request. */
+  /** False after any failure; the connection then accepts no request. */
   get isUsable(): boolean {
     return this.#isUsable;
   }
 
-  /** Bytes that the server has sent on this connection: its progress. */
+  /** Bytes received on this connection; shows whether the server responds. */
   get bytesReceived(): number {
     return this.#socket?.bytesRead ?? 0;
   }
 
-  /** Sends a request and waits for its end. One at a time. */
+  /** Sends a request and waits for its result. Only one may be in flight. */
   send(request: AttemptRequest): Promise<AttemptResult> {
     return new Promise((resolve) => {
       const pending: PendingRequest = {
@@ -127,7 +127,7 @@
     });
   }
 
-  /** Gives up the request in flight; the link is of no more use. */
+  /** Abandons the request in flight and retires the connection. */
   abandon(reason: contracts.UnknownReason, message: string): void {
     const pending = this.#pending;
     if (pending === undefined) return;
@@ -135,7 +135,7 @@
     pending.abort?.(new Error(message));
   }
 
-  /** Closes the connection and takes no further request. */
+  /** Closes the connection; it accepts no further request. */
   retire(): void {
     if (!this.#isUsable) return;
     this.#isUsable = false;
@@ -143,13 +143,13 @@
   }
 
   /**
-   * Remembers an error of the connection: the client library takes a reset
-   * answer without a length for a whole one.
+   * Records socket errors: undici takes a close-delimited response that ends
+   * with a reset for a whole one.
    */
-  #watch(socket: net.Socket): void {
+  #trackSocket(socket: net.Socket): void {
     this.#socket = socket;
     socket.once("error", () => {
-      this.#wasBroken = true;
+      this.#hasSocketError = true;
     });
   }
 
@@ -186,7 +186,7 @@
       },
       onResponseEnd: () =>
         pending.settle(
-          this.#wasBroken
+          this.#hasSocketError
             ? badAnswer("The connection broke before the answer's end")
             : answer!.finish(),
         ),
@@ -199,7 +199,7 @@
   }
 }
 
-/** The part of undici's controller that its types leave out. */
+/** A property of undici's controller that its types omit. */
 interface HeaderSource {
   readonly rawHeaders?: readonly Uint8Array[] | null;
 }
@@ -226,7 +226,7 @@
   readonly decoder: AnswerDecoder;
 }
 
-/** Gathers one answer and has it checked: the request's own, and whole. */
+/** Collects one response and decodes it at its end. */
 class AnswerReader {
   readonly #status: number;
   readonly #headers: readonly string[];
@@ -244,7 +244,7 @@
     this.#options = options;
   }
 
-  /** Adds a piece of the body; false when it grows beyond the limit. */
+  /** Adds a chunk of the body; false when the body exceeds the limit. */
   add(chunk: Uint8Array): boolean {
     this.#sizeBytes += chunk.length;
     this.#chunks.push(chunk);
--- a/packages/entry/src/links/server_link_test.ts
+++ b/packages/entry/src/links/server_link_test.ts
@@ -5,7 +5,7 @@
 import type { AnswerDecoder } from "./answer_decoder.ts";
 import { type AttemptResult, ServerConnection } from "./server_link.ts";
 
-/** Takes every response that came whole for the request's answer. */
+/** Decodes every response as the answer to the request. */
 const ACCEPT_ALL: AnswerDecoder = {
   decode: (_id, { status, headers, body }) => ({
     kind: "answer",
@@ -14,7 +14,7 @@
   }),
 };
 
-/** Sends one request to a server that behaves as told. */
+/** Sends one request to a server with the given behaviour. */
 async function sendTo(
   behave: (socket: net.Socket) => void,
 ): Promise<AttemptResult> {
@@ -24,7 +24,7 @@
   });
   await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
   const { port } = server.address() as net.AddressInfo;
-  const link = new ServerConnection({
+  const connection = new ServerConnection({
     host: "127.0.0.1",
     port,
     connectTimeoutMs: 1_000,
@@ -32,7 +32,7 @@
     answerLimitBytes: 10_000,
     decoder: ACCEPT_ALL,
   });
-  const result = await link.send({
+  const result = await connection.send({
     id: "1" as contracts.RequestId,
     method: "GET",
     path: "/",
@@ -41,20 +41,20 @@
     maySend: () => true,
     onServerStamp: () => {},
   });
-  link.retire();
+  connection.retire();
   server.close();
   return result;
 }
 
 const UNFRAMED_HEAD = "HTTP/1.1 200 OK\r\nconnection: close\r\n\r\n";
 
-test("should take an answer that ends with its connection", async () => {
+test("should accept a close-delimited response", async () => {
   const result = await sendTo((socket) => socket.end(UNFRAMED_HEAD + "whole"));
   expect(result.kind).toEqual("answer");
 });
 
-/** Guards against a cut-off answer that counts as whole. */
-test("should not take an answer without length that was reset", async () => {
+/** Guards against a truncated response that counts as whole. */
+test("should not accept a close-delimited response that was reset", async () => {
   const result = await sendTo((socket) => {
     socket.write(UNFRAMED_HEAD + "half");
     setTimeout(() => socket.resetAndDestroy(), 50);
@@ -62,7 +62,7 @@
   expect(result.kind).toEqual("unknown");
 });
 
-test("should not take an answer that is shorter than its length", async () => {
+test("should not accept a response shorter than its length", async () => {
   const head = "HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\n";
   const result = await sendTo((socket) => socket.end(head + "half"));
   expect(result.kind).toEqual("unknown");
--- a/packages/entry/src/links/server_links.ts
+++ b/packages/entry/src/links/server_links.ts
@@ -1,4 +1,4 @@
-/** All links of this entry VM to backend servers, one pool a server. */
+/** All connections of this entry VM to backend servers, one pool per server. */
 import type * as contracts from "@guavatide/contracts";
 import * as undici from "undici";
 import type { ServerAddress } from "../contracts/views.ts";
@@ -14,15 +14,15 @@
   readonly idleTimeoutMs: number;
   readonly answerLimitBytes: number;
   readonly decoder: AnswerDecoder;
-  /** Time a probe or a cancellation may take. */
+  /** Timeout of a probe or a cancellation. */
   readonly controlTimeoutMs: number;
 }
 
 /** Defaults of {@link ConnectionPoolsOptions}. */
 export const CONNECTION_POOLS_DEFAULTS: ConnectionPoolsOptions = {
   connectTimeoutMs: 500,
-  // Below the idle limit of common servers: a connection closed just as a
-  // request leaves makes that request's fate unknown.
+  // Below the idle timeout of common servers: when a server closes a connection
+  // just as a request is sent, it is unknown whether the request ran.
   idleTimeoutMs: 4000,
   answerLimitBytes: 8 * 1024 * 1024,
   decoder: new NativeAnswerDecoder(),
@@ -35,16 +35,16 @@
   readonly pool: ConnectionPool;
 }
 
-/** Pools by server; a server that changes its address gets a new one. */
+/** Pools by server; a server whose address changes gets a new pool. */
 export class ConnectionPools {
   readonly #options: ConnectionPoolsOptions;
-  readonly #places = new Map<contracts.ServerId, ServerPool>();
-  readonly #control: undici.Agent;
+  readonly #pools = new Map<contracts.ServerId, ServerPool>();
+  readonly #controlAgent: undici.Agent;
   readonly #clock = new MonotonicClock();
 
   constructor(options: ConnectionPoolsOptions, lifeCycle: LifeCycle) {
     this.#options = options;
-    this.#control = new undici.Agent({
+    this.#controlAgent = new undici.Agent({
       connections: 1,
       connect: { timeout: options.connectTimeoutMs },
       keepAliveTimeout: 1000,
@@ -52,21 +52,21 @@
       bodyTimeout: options.controlTimeoutMs,
     });
     lifeCycle.onStop({
-      name: "links to backend servers",
+      name: "connections to backend servers",
       timeoutMs: 2000,
       run: () => this.#close(),
     });
   }
 
-  /** The pool of a server, made on first use. */
+  /** The pool of a server, created on first use. */
   pool(
     address: Pick<ServerAddress, "server" | "host" | "port">,
     linkLimit: number,
   ): ConnectionPool {
-    const found = this.#places.get(address.server);
-    const isSame = found?.host === address.host && found.port === address.port;
-    if (found !== undefined && isSame) return found.pool;
-    found?.pool.close();
+    const known = this.#pools.get(address.server);
+    const isSame = known?.host === address.host && known.port === address.port;
+    if (known !== undefined && isSame) return known.pool;
+    known?.pool.close();
     const { host, port } = address;
     const pool = new ConnectionPool({
       ...this.#options,
@@ -75,36 +75,36 @@
       port,
       connectionLimit: linkLimit,
     });
-    this.#places.set(address.server, { host, port, pool });
+    this.#pools.set(address.server, { host, port, pool });
     return pool;
   }
 
-  /** Connections to each server; a busy one has a request in flight. */
+  /** Number of connections to each server; a busy one has a request in flight. */
   counts(): ReadonlyMap<contracts.ServerId, ConnectionCounts> {
     return new Map(
-      [...this.#places].map(([server, { pool }]) => [server, pool.counts]),
+      [...this.#pools].map(([server, { pool }]) => [server, pool.counts]),
     );
   }
 
-  /** Drops the pools of servers that are gone. */
+  /** Closes the pools of all other servers. */
   keepOnly(servers: ReadonlySet<contracts.ServerId>): void {
-    for (const [server, place] of this.#places) {
+    for (const [server, entry] of this.#pools) {
       if (servers.has(server)) continue;
-      place.pool.close();
-      this.#places.delete(server);
+      entry.pool.close();
+      this.#pools.delete(server);
     }
   }
 
   /**
-   * Asks a server to stop working on a request that nobody waits for. Best
-   * effort: the request's fate stays as it is.
+   * Asks a server to cancel a request whose caller no longer waits. Best effort:
+   * errors are ignored, and the request may still run.
    */
   cancel(address: ServerAddress, id: contracts.RequestId): void {
     const path = `/control/requests/${id}`;
     this.#controlCall(address, { method: "DELETE", path }).catch(() => {});
   }
 
-  /** Whether a server answers at all, asked over a connection of its own. */
+  /** Whether a server responds to a probe over a separate connection. */
   async probe(address: ServerAddress): Promise<boolean> {
     try {
       const path = "/control/load";
@@ -118,7 +118,7 @@
     address: ServerAddress,
     options: { readonly method: "GET" | "DELETE"; readonly path: string },
   ): Promise<number> {
-    const reply = await this.#control.request({
+    const reply = await this.#controlAgent.request({
       origin: `http://${address.host}:${address.port}`,
       method: options.method,
       path: options.path,
@@ -130,6 +130,6 @@
 
   async #close(): Promise<void> {
     this.keepOnly(new Set());
-    await this.#control.destroy();
+    await this.#controlAgent.destroy();
   }
 }
