--- a/packages/entry/src/gateway/front_listener.ts
+++ b/packages/entry/src/gateway/front_listener.ts
@@ -74,7 +74,7 @@
 const CLOSE_IDLE_GRACE_RATIO = 0.72;
 /** Fraction of the grace time within which running requests may finish. */
 const DRAIN_GRACE_RATIO = 0.93;
-const DRAIN_CHECK_INTERVAL_MS = 20;
+const DRAIN_CHECK_MS = 20;
 /**
  * Above this event loop lag requests are shed before they are read: a refusal
  * takes a fraction of the processor time of a forwarded request.
@@ -260,13 +260,11 @@
     this.#stoppedAtMs = startMs;
     const closeIdleMs = startMs + graceMs * CLOSE_IDLE_GRACE_RATIO;
     const endMs = startMs + graceMs * DRAIN_GRACE_RATIO;
-    while (clock.nowMs() < closeIdleMs) {
-      await timers.setTimeout(DRAIN_CHECK_INTERVAL_MS);
-    }
+    while (clock.nowMs() < closeIdleMs) await timers.setTimeout(DRAIN_CHECK_MS);
     const closed = new Promise((resolve) => this.#server.close(resolve));
     this.#server.closeIdleConnections();
     while (this.#inFlight > 0 && clock.nowMs() < endMs) {
-      await timers.setTimeout(DRAIN_CHECK_INTERVAL_MS);
+      await timers.setTimeout(DRAIN_CHECK_MS);
     }
     log.info("Listener stops.", { inFlight: this.#inFlight });
     this.#server.closeAllConnections();
--- a/packages/entry/src/gateway/gateway_settings.ts
+++ b/packages/entry/src/gateway/gateway_settings.ts
@@ -100,8 +100,7 @@
   } catch (error) {
     return neverthrow.err({
       kind: "not-json",
-      message: `The settings file is not valid JSON: ${String(error)}. ` +
-        "Correct it",
+      message: `Correct the JSON of the settings file: ${String(error)}`,
     });
   }
   const parsed = gatewaySettingsSchema.safeParse(raw);
--- a/packages/entry/src/gateway/request_story.ts
+++ b/packages/entry/src/gateway/request_story.ts
@@ -30,8 +30,8 @@
 }
 
 /** Log lines per second for failed requests, and for all others. */
-const FAILED_LINES_PER_SECOND = 60;
-const ANSWERED_LINES_PER_SECOND = 2;
+const FAILED_PER_SECOND = 60;
+const SERVED_PER_SECOND = 2;
 const WINDOW_MS = 1_000;
 
 /**
@@ -42,8 +42,8 @@
   readonly #log: PartLog;
   readonly #clock: contracts.Clock;
   #windowStartMs = 0;
-  #failedCount = 0;
-  #answeredCount = 0;
+  #failed = 0;
+  #served = 0;
   #omittedCount = 0;
 
   constructor(log: PartLog, clock: contracts.Clock) {
@@ -54,27 +54,24 @@
   /** Logs the request unless the limit for this second is reached. */
   record(record: RequestRecord): void {
     this.#rollWindow();
-    const isAnswered = record.answer.kind === "passed-on" &&
+    const isServed = record.answer.kind === "passed-on" &&
       record.answer.answer.status < 500;
-    if (isAnswered) {
-      this.#answeredCount++;
-      if (this.#answeredCount <= ANSWERED_LINES_PER_SECOND) {
-        this.#write("Answered.", record);
-      }
+    if (isServed) {
+      this.#served++;
+      if (this.#served <= SERVED_PER_SECOND) this.#write("Answered.", record);
       return;
     }
-    this.#failedCount++;
-    if (this.#failedCount <= FAILED_LINES_PER_SECOND) {
-      this.#write("Ended badly.", record);
-    } else this.#omittedCount++;
+    this.#failed++;
+    if (this.#failed <= FAILED_PER_SECOND) this.#write("Ended badly.", record);
+    else this.#omittedCount++;
   }
 
   #rollWindow(): void {
     const nowMs = this.#clock.nowMs();
     if (nowMs - this.#windowStartMs < WINDOW_MS) return;
     this.#windowStartMs = nowMs;
-    this.#failedCount = 0;
-    this.#answeredCount = 0;
+    this.#failed = 0;
+    this.#served = 0;
     if (this.#omittedCount === 0) return;
     this.#log.warn("Left out lines of requests that ended badly.", {
       count: this.#omittedCount,
--- a/packages/entry/src/gateway/server_registry.ts
+++ b/packages/entry/src/gateway/server_registry.ts
@@ -176,7 +176,7 @@
       const isExpired = missingSinceMs !== undefined &&
         drainingSinceMs === undefined && this.#isStoreStable();
       if (isExpired) {
-        this.#markDraining(known, "missing since the store is back");
+        this.#drain(known, "missing since the store is back");
         isChanged = true;
       }
       const wasUsable = known.isUsable;
@@ -266,7 +266,7 @@
       : { ...known, entry, missingSinceMs: undefined };
     this.#known.set(entry.server, next);
     this.#markCold(next, entry.warmUpLeftMs);
-    if (entry.isDraining) this.#markDraining(next, "says that it drains");
+    if (entry.isDraining) this.#drain(next, "says that it drains");
     else if (next.drainingSinceMs !== undefined) {
       log.info("Server is back.", { server: entry.server });
       next.drainingSinceMs = undefined;
@@ -277,12 +277,10 @@
   #markMissing(known: KnownServer): void {
     if (known.drainingSinceMs !== undefined) return;
     known.missingSinceMs ??= this.#options.clock.nowMs();
-    if (this.#isStoreStable()) {
-      this.#markDraining(known, "its entry was removed");
-    }
+    if (this.#isStoreStable()) this.#drain(known, "its entry was removed");
   }
 
-  #markDraining(known: KnownServer, reason: string): void {
+  #drain(known: KnownServer, reason: string): void {
     if (known.drainingSinceMs !== undefined) return;
     known.drainingSinceMs = this.#options.clock.nowMs();
     const { server, service } = known.entry;
@@ -305,9 +303,7 @@
     const known = this.#known.get(
       this.#serverOf(object.name) as contracts.ServerId,
     );
-    if (known !== undefined) {
-      this.#markDraining(known, "its entry became unreadable");
-    }
+    if (known !== undefined) this.#drain(known, "its entry became unreadable");
   }
 
   #serverOf(name: string): string {
