--- a/packages/entry/src/metrics/counted_moves.ts
+++ b/packages/entry/src/metrics/counted_moves.ts
@@ -1,5 +1,5 @@
 /**
- * Counts the steps of moves on their way to the journal: churn by reason, and
+ * Meters the steps of handovers on their way to the journal: churn by step, and
  * how long each slice was without an owner.
  */
 import type * as contracts from "@guavatide/contracts";
@@ -7,11 +7,11 @@
 import type { MovedSteps, MoveRecord } from "../ownership/service_context.ts";
 import type { Metrics } from "./metrics.ts";
 
-/** A record of moves that is counted. */
+/** A record of handovers that counts their steps. */
 export class MeteredMoves implements MoveRecord {
   readonly #record: MoveRecord;
   readonly #metrics: Metrics;
-  readonly #vacatedAtMs = new Map<string, number>();
+  readonly #handoverStartedMs = new Map<string, number>();
 
   constructor(record: MoveRecord, metrics: Metrics) {
     this.#record = record;
@@ -27,12 +27,12 @@
     this.#metrics.sliceMoves.add(1, { service, step: step.step });
     const name = `${service}/${step.slice}`;
     if (step.step === "vacate") {
-      this.#vacatedAtMs.set(name, performance.now());
+      this.#handoverStartedMs.set(name, performance.now());
       return;
     }
-    const sinceMs = this.#vacatedAtMs.get(name);
+    const sinceMs = this.#handoverStartedMs.get(name);
     if (sinceMs === undefined) return;
-    this.#vacatedAtMs.delete(name);
+    this.#handoverStartedMs.delete(name);
     const unavailableMs = performance.now() - sinceMs;
     this.#metrics.sliceUnavailableMs.record(unavailableMs, { service });
   }
--- a/packages/entry/src/metrics/labelled_counts.ts
+++ b/packages/entry/src/metrics/labelled_counts.ts
@@ -1,6 +1,6 @@
-/** Plain counts by labels, for counters of a library that is loaded late. */
+/** Counts by labels, kept until the metrics library is loaded. */
 
-/** Labels of a count; all counts of one table have the same. */
+/** Labels of a count; all counts of one instance have the same label names. */
 export type CountLabels = Readonly<Record<string, string>>;
 
 interface LabelledCount {
@@ -8,7 +8,7 @@
   count: number;
 }
 
-/** Counts since the last look. */
+/** Counts since the last drain. */
 export class LabelledCounts {
   readonly #counts = new Map<string, LabelledCount>();
 
@@ -20,7 +20,7 @@
     else this.#counts.set(name, { labels, count });
   }
 
-  /** Hands over all counts and forgets them. */
+  /** Passes all counts to a callback and resets them. */
   drain(take: (count: number, labels: CountLabels) => void): void {
     for (const { count, labels } of this.#counts.values()) take(count, labels);
     this.#counts.clear();
--- a/packages/entry/src/metrics/latency_tally.ts
+++ b/packages/entry/src/metrics/latency_tally.ts
@@ -1,4 +1,4 @@
-/** Latencies counted by bucket, for a histogram that is filled later. */
+/** Latencies counted by bucket, kept until the metrics library is loaded. */
 
 /** Upper bounds of the latency buckets, in milliseconds. */
 export const LATENCY_BOUNDS_MS: readonly number[] = [
@@ -23,12 +23,12 @@
   5000,
 ];
 
-/** Counts and sums by bucket; keeps the histogram's counts and sum exact. */
+/** Count and sum by bucket; the drained histogram's counts and sum are exact. */
 export class LatencyBuckets {
   readonly #counts = new Array<number>(LATENCY_BOUNDS_MS.length + 1).fill(0);
   readonly #sumsMs = new Array<number>(LATENCY_BOUNDS_MS.length + 1).fill(0);
 
-  /** Counts one latency. */
+  /** Records one latency, in milliseconds. */
   record(tookMs: number): void {
     let bucket = 0;
     while (tookMs > (LATENCY_BOUNDS_MS[bucket] ?? Infinity)) bucket++;
@@ -36,7 +36,7 @@
     this.#sumsMs[bucket]! += tookMs;
   }
 
-  /** Hands over each latency counted, as the mean of its bucket, and forgets it. */
+  /** Passes on each latency, as the mean of its bucket, and resets the buckets. */
   drain(record: (tookMs: number) => void): void {
     for (const [bucket, count] of this.#counts.entries()) {
       for (let index = 0; index < count; index++) {
--- a/packages/entry/src/metrics/latency_tally_test.ts
+++ b/packages/entry/src/metrics/latency_tally_test.ts
@@ -6,7 +6,7 @@
   return LATENCY_BOUNDS_MS.findIndex((bound) => tookMs <= bound);
 }
 
-test("should hand over latencies with their buckets and their sum", () => {
+test("should keep the buckets and the sum of latencies when drained", () => {
   const tally = new LatencyBuckets();
   const noted = [0.2, 1, 60, 70, 75, 9_000];
   for (const tookMs of noted) tally.record(tookMs);
--- a/packages/entry/src/metrics/metered_store.ts
+++ b/packages/entry/src/metrics/metered_store.ts
@@ -1,6 +1,6 @@
 /**
- * Counts every call to the platform's store by kind, objects and result: the
- * platform counts them too and allows a few thousand a second.
+ * Counts every call to the platform's store by kind, object type and result: the
+ * platform limits calls to a few thousand per second.
  */
 import type * as contracts from "@guavatide/contracts";
 import type { ResultAsync } from "neverthrow";
@@ -12,11 +12,11 @@
   | "put"
   | "delete"
   | "watch"
-  /** Reads that may be answered with what is some seconds old. */
+  /** Reads that may return data some seconds old. */
   | "stale get"
   | "stale list";
 
-/** Where the calls are counted. */
+/** Counter of store calls. */
 export interface StoreCallCounter {
   add(count: number, labels: CountLabels): void;
 }
--- a/packages/entry/src/metrics/metrics.ts
+++ b/packages/entry/src/metrics/metrics.ts
@@ -1,6 +1,6 @@
 /**
- * Metrics by OpenTelemetry, scraped over HTTP in Prometheus text form. Each
- * instrument's name carries its unit.
+ * OpenTelemetry metrics, scraped over HTTP in the Prometheus text format. The
+ * name of each instrument ends with its unit, if it has one.
  */
 import type * as api from "@opentelemetry/api";
 import * as prometheus from "@opentelemetry/exporter-prometheus";
@@ -14,23 +14,23 @@
     preventServerStart: true,
   });
   readonly #meter: api.Meter;
-  /** Requests of callers by service, outcome and reason. */
+  /** Callers' requests by service, outcome and reason. */
   readonly requests: api.Counter;
-  /** Time from a caller's request to its answer. */
+  /** Milliseconds from a caller's request to its response. */
   readonly requestMs: api.Histogram;
-  /** Attempts beyond the first. */
+  /** Attempts beyond the first, by service. */
   readonly retries: api.Counter;
   /** Connections to backend servers that were closed, by reason. */
   readonly linksRetired: api.Counter;
   /** Calls to the platform's store by kind and result. */
   readonly storeCalls: api.Counter;
-  /** Datagrams to other entry VMs by method and way. */
+  /** Datagrams to other entry VMs by method and by zone crossing. */
   readonly peerDatagrams: api.Counter;
-  /** Their bytes. */
+  /** Bytes in datagrams to other entry VMs, by the same labels. */
   readonly peerBytes: api.Counter;
-  /** Slices that changed owner, by service and reason: churn. */
+  /** Steps of handovers of slices, by service and step: churn. */
   readonly sliceMoves: api.Counter;
-  /** Time from taking a slice from its owner to giving it to the next. */
+  /** Milliseconds from the start of a slice's handover until its next step. */
   readonly sliceUnavailableMs: api.Histogram;
 
   constructor() {
@@ -49,7 +49,7 @@
     );
   }
 
-  /** Adds a value that is read at each scrape. */
+  /** Registers a gauge that is read at each scrape. */
   registerGauge(
     name: string,
     description: string,
@@ -58,7 +58,7 @@
     this.#meter.createObservableGauge(name, { description }).addCallback(read);
   }
 
-  /** Answers one scrape. */
+  /** Serves one scrape. */
   handle(request: http.IncomingMessage, response: http.ServerResponse): void {
     this.#exporter.getMetricsRequestHandler(request, response);
   }
--- a/packages/entry/src/metrics/metrics_door.ts
+++ b/packages/entry/src/metrics/metrics_door.ts
@@ -1,7 +1,7 @@
 /**
- * Where monitoring asks: `/metrics`, `/healthz` (the process runs its event
- * loop) and `/readyz` (it can serve requests: a configuration is in force and
- * it is not stopping). A balancer asks `/readyz`; a supervisor `/healthz`.
+ * Monitoring endpoints: `/metrics`, the liveness probe `/healthz` (the event
+ * loop runs) for a supervisor, and the readiness probe `/readyz` (a
+ * configuration is in force and the process isn't stopping) for a load balancer.
  */
 import type * as http from "node:http";
 import * as httpServer from "../utils/http_server.ts";
@@ -12,7 +12,7 @@
 
 /** Options of {@link MetricsServer}. */
 export interface MetricsServerOptions {
-  /** IP number to listen on. */
+  /** IP address to listen on. */
   readonly host: string;
   readonly port: number;
   readonly metrics: Metrics;
@@ -21,7 +21,7 @@
   notReadyReason(): string | undefined;
 }
 
-/** Listens for scrapes and probes. */
+/** HTTP server for scrapes and probes. */
 export class MetricsServer {
   readonly #options: MetricsServerOptions;
 
@@ -29,7 +29,7 @@
     this.#options = options;
   }
 
-  /** Starts listening and returns the port. */
+  /** Starts to listen and returns the port. Errors: the address is in use. */
   async listen(lifeCycle: LifeCycle): Promise<number> {
     const server = httpServer.createHttpServer({}, this.#options.tls);
     server.on(
@@ -38,7 +38,7 @@
     );
     server.requestTimeout = REQUEST_TIMEOUT_MS;
     lifeCycle.onStop({
-      name: "metrics door",
+      name: "metrics server",
       timeoutMs: 500,
       run: () => {
         server.close();
--- a/packages/entry/src/metrics/observe_state.ts
+++ b/packages/entry/src/metrics/observe_state.ts
@@ -1,4 +1,4 @@
-/** Gauges read at each scrape: configuration, ownership, membership. */
+/** Gauges of the configuration, ownership, membership and connections. */
 import type * as contracts from "@guavatide/contracts";
 import type * as decisions from "@guavatide/decisions";
 import type { ConfigTask } from "../configuration/mod.ts";
@@ -7,7 +7,7 @@
 import type { OwnershipTask } from "../ownership/mod.ts";
 import type { Metrics } from "./metrics.ts";
 
-/** Parts whose state is shown. */
+/** Components whose state the gauges show. */
 export interface StateSources {
   readonly config: ConfigTask;
   readonly owners: OwnershipTask;
@@ -16,12 +16,12 @@
   readonly connections: ConnectionPools;
 }
 
-/** Registers the gauges. */
+/** Registers the gauges, which read the state at each scrape. */
 export function registerStateGauges(
   metrics: Metrics,
-  parts: StateSources,
+  sources: StateSources,
 ): void {
-  const { config, owners, membership, loads, connections: links } = parts;
+  const { config, owners, membership, loads, connections } = sources;
   metrics.registerGauge(
     "guavatide_config_revision",
     "Revision of the configuration in force",
@@ -61,7 +61,7 @@
   );
   metrics.registerGauge(
     "guavatide_evidence_age_ms",
-    "Age of the evidence by which leases are renewed",
+    "Age of the confirmation by which leases are renewed",
     (result) => {
       for (const { name } of config.services()) {
         const ageMs = owners.evidenceAgeMs(name);
@@ -71,7 +71,7 @@
   );
   metrics.registerGauge(
     "guavatide_imbalance",
-    "Largest load of a server over the mean, at the holder of control duty",
+    "Largest load of a server over the mean, at the service's leader",
     (result) => {
       for (const { name } of config.services()) {
         const imbalance = loads.imbalance(name);
@@ -85,7 +85,7 @@
     "guavatide_links",
     "Connections to each server; a busy one takes a slot of the server",
     (result) => {
-      for (const [server, { idle, busy }] of links.counts()) {
+      for (const [server, { idle, busy }] of connections.counts()) {
         result.observe(idle, { server, state: "idle" });
         result.observe(busy, { server, state: "busy" });
       }
@@ -93,7 +93,7 @@
   );
   metrics.registerGauge(
     "guavatide_duties_held",
-    "Services whose moves this VM plans",
+    "Services whose handovers this VM plans as their leader",
     (result) => result.observe(owners.heldDuties().length),
   );
 }
--- a/packages/entry/src/metrics/request_metrics_of.ts
+++ b/packages/entry/src/metrics/request_metrics_of.ts
@@ -1,8 +1,8 @@
-/** Binds what the request path reports to the process's instruments. */
+/** Connects the events of the request path to the process's metrics. */
 import type { RequestMetrics } from "../requests/request_metrics.ts";
 import type { Metrics } from "./metrics.ts";
 
-/** Request metrics that count into OpenTelemetry. */
+/** Creates request metrics that record to OpenTelemetry instruments. */
 export function createRequestMetrics(
   metrics: Metrics,
 ): Omit<RequestMetrics, "keyedWork"> {
