--- a/packages/entry/src/gateway/forwarded_request.ts
+++ b/packages/entry/src/gateway/forwarded_request.ts
@@ -36,7 +36,7 @@
     nowMs: number,
   ): void;
   /** The request is finished. */
-  onFinished(story: RequestRecord): void;
+  onFinished(record: RequestRecord): void;
   /** This VM's load on the service's servers has changed. */
   onLoadChange(): void;
 }
@@ -74,7 +74,7 @@
   #fallback: FrontAnswer | undefined;
   /** Whether an attempt may have run although no response came. */
   #mayHaveRun = false;
-  #sends = 0;
+  #attemptCount = 0;
   #waitingSinceMs: number;
   #queuedMs = 0;
   #isSendPending = false;
@@ -112,7 +112,7 @@
   placed(placement: admission.Placement): void {
     const nowMs = this.#context.clock.nowMs();
     this.#queuedMs += nowMs - this.#waitingSinceMs;
-    this.#sends++;
+    this.#attemptCount++;
     this.#send(placement, nowMs).catch((error) =>
       this.#finish(
         { kind: "own", status: 502, message: "The entry VM failed" },
@@ -145,7 +145,7 @@
     );
     this.#isSendPending = false;
     const endedMs = this.#context.clock.nowMs();
-    const end = this.#sendEnd(result);
+    const end = this.#attemptEnd(result);
     recordEnd(end, endedMs);
     const report = "report" in result ? result.report : undefined;
     if (report !== undefined) {
@@ -191,7 +191,7 @@
     };
   }
 
-  #sendEnd(result: AttemptResult): admission.SendEnd {
+  #attemptEnd(result: AttemptResult): admission.SendEnd {
     if (this.#isDone) return { kind: "abandoned" };
     if (result.kind === "answer") {
       return { kind: "answered", isFailure: isFailure(result.answer.status) };
@@ -209,7 +209,7 @@
         return this.#handleRefusal(result.refusal, server);
       case "not-sent":
         // Not one byte was sent, so this doesn't count as an attempt.
-        this.#sends--;
+        this.#attemptCount--;
         if (this.key === undefined) this.tried.add(server);
         return this.#retryOrGiveUp("no connection", false);
       case "unknown":
@@ -284,7 +284,7 @@
       MIN_RETRY_TIME_LEFT_MS,
       this.#context.times.routeMs(this.route) * MIN_RETRY_TIME_RATIO,
     );
-    return !this.#isDone && this.#sends < this.route.attemptLimit &&
+    return !this.#isDone && this.#attemptCount < this.route.attemptLimit &&
       leftMs > neededMs;
   }
 
