--- a/packages/entry/src/gateway/forwarded_request.ts
+++ b/packages/entry/src/gateway/forwarded_request.ts
@@ -1,13 +1,16 @@
 /** One request from queueing through its attempts to its single response. */
 import type * as contracts from "@guavatide/contracts";
 import type * as admission from "@guavatide/decisions/admission/mod";
-import type { AttemptRequest, AttemptResult } from "../links/server_link.ts";
+import type {
+  AttemptRequest,
+  AttemptResult,
+} from "../links/server_connection.ts";
 import {
   type FrontAnswer,
   type FrontRequest,
   notRunAnswer,
 } from "./front_request.ts";
-import type { AttemptRecord, RequestRecord } from "./request_story.ts";
+import type { AttemptRecord, RequestRecord } from "./request_log.ts";
 
 /** What a request needs from the forwarder. */
 export interface ForwardingContext {
--- a/packages/entry/src/gateway/forwarder.ts
+++ b/packages/entry/src/gateway/forwarder.ts
@@ -1,11 +1,11 @@
 /** Forwards requests of a platform's clients to backend servers. */
 import type * as contracts from "@guavatide/contracts";
 import * as admission from "@guavatide/decisions/admission/mod";
-import type { ConnectionPools } from "../links/server_links.ts";
+import type { ConnectionPools } from "../links/connection_pools.ts";
 import { FoldedLine } from "../utils/folded_line.ts";
 import type { LifeCycle, RegularWork } from "../utils/life_cycle.ts";
 import type { PartLog } from "../utils/log.ts";
-import type { ColdStartLimits } from "./cold_starts.ts";
+import type { ColdStartLimits } from "./cold_start_limits.ts";
 import type { ConfigHolder } from "./config_holder.ts";
 import {
   ForwardedRequest,
@@ -21,7 +21,7 @@
 import type { PeerGossip } from "./peer_gossip.ts";
 import type { LoadNews, PeerStatus } from "./peer_messages.ts";
 import type { HeaderNames } from "./platform_adapter.ts";
-import type { RequestRecord } from "./request_story.ts";
+import type { RequestRecord } from "./request_log.ts";
 import type { ServerRegistry } from "./server_registry.ts";
 import type { SlotTask } from "./slot_task.ts";
 
--- a/packages/entry/src/gateway/gateway_metrics.ts
+++ b/packages/entry/src/gateway/gateway_metrics.ts
@@ -2,13 +2,13 @@
 import type * as contracts from "@guavatide/contracts";
 import * as http from "node:http";
 import { LabelledCounts } from "../metrics/labelled_counts.ts";
-import { LatencyBuckets } from "../metrics/latency_tally.ts";
+import { LatencyBuckets } from "../metrics/latency_buckets.ts";
 import type { Metrics } from "../metrics/metrics.ts";
 import * as httpServer from "../utils/http_server.ts";
 import type { LifeCycle } from "../utils/life_cycle.ts";
 import type { PartLog } from "../utils/log.ts";
 import type { GatewaySettings } from "./gateway_settings.ts";
-import type { RequestRecord } from "./request_story.ts";
+import type { RequestRecord } from "./request_log.ts";
 
 /**
  * Metrics and their endpoint. The metrics library is slow to load, so values
--- a/packages/entry/src/gateway/slot_task.ts
+++ b/packages/entry/src/gateway/slot_task.ts
@@ -9,7 +9,7 @@
 import type { LifeCycle, RegularWork } from "../utils/life_cycle.ts";
 import { OncePerTurn } from "../utils/once_per_turn.ts";
 import type { PartLog } from "../utils/log.ts";
-import type { ColdStartLimits } from "./cold_starts.ts";
+import type { ColdStartLimits } from "./cold_start_limits.ts";
 import type { PeerGossip } from "./peer_gossip.ts";
 import * as messages from "./peer_messages.ts";
 import type { ServerRegistry } from "./server_registry.ts";
--- a/packages/entry/src/gateway/wire_gateway.ts
+++ b/packages/entry/src/gateway/wire_gateway.ts
@@ -2,7 +2,7 @@
 import type * as contracts from "@guavatide/contracts";
 import * as grants from "@guavatide/decisions/grants/mod";
 import * as ownership from "@guavatide/decisions/ownership/mod";
-import * as connectionPools from "../links/server_links.ts";
+import * as connectionPools from "../links/connection_pools.ts";
 import { MeteredStore } from "../metrics/metered_store.ts";
 import {
   MonotonicClock,
@@ -11,7 +11,7 @@
 } from "../utils/clock.ts";
 import { LifeCycle } from "../utils/life_cycle.ts";
 import type { Log } from "../utils/log.ts";
-import { ColdStartLimits } from "./cold_starts.ts";
+import { ColdStartLimits } from "./cold_start_limits.ts";
 import { ConfigHolder } from "./config_holder.ts";
 import { Forwarder } from "./forwarder.ts";
 import { FrontListener } from "./front_listener.ts";
@@ -23,8 +23,8 @@
 import { type OwnState, PeerGossip } from "./peer_gossip.ts";
 import type { PlatformAdapter } from "./platform_adapter.ts";
 import { RangeMapStore } from "./range_map_store.ts";
-import { ReadinessServer } from "./readiness_door.ts";
-import { RequestLog } from "./request_story.ts";
+import { ReadinessServer } from "./readiness_server.ts";
+import { RequestLog } from "./request_log.ts";
 import { ServerRegistry } from "./server_registry.ts";
 import { SlotTask } from "./slot_task.ts";
 import { StoreHealth } from "./store_health.ts";
--- a/packages/entry/src/links/link_pool.ts
+++ b/packages/entry/src/links/connection_pool.ts
@@ -6,7 +6,7 @@
   type AttemptResult,
   ServerConnection,
   type ServerConnectionOptions,
-} from "./server_link.ts";
+} from "./server_connection.ts";
 
 /** Options of {@link ConnectionPool}. */
 export interface ConnectionPoolOptions extends ServerConnectionOptions {
--- a/packages/entry/src/links/server_links.ts
+++ b/packages/entry/src/links/connection_pools.ts
@@ -5,8 +5,8 @@
 import { MonotonicClock } from "../utils/clock.ts";
 import type { LifeCycle } from "../utils/life_cycle.ts";
 import type { AnswerDecoder } from "./answer_decoder.ts";
-import { type ConnectionCounts, ConnectionPool } from "./link_pool.ts";
-import { NativeAnswerDecoder } from "./own_answer_decoder.ts";
+import { type ConnectionCounts, ConnectionPool } from "./connection_pool.ts";
+import { NativeAnswerDecoder } from "./native_answer_decoder.ts";
 
 /** Options of {@link ConnectionPools}. */
 export interface ConnectionPoolsOptions {
--- a/packages/entry/src/links/server_link_test.ts
+++ b/packages/entry/src/links/server_connection_test.ts
@@ -3,7 +3,7 @@
 import * as net from "node:net";
 import { test } from "node:test";
 import type { AnswerDecoder } from "./answer_decoder.ts";
-import { type AttemptResult, ServerConnection } from "./server_link.ts";
+import { type AttemptResult, ServerConnection } from "./server_connection.ts";
 
 /** Decodes every response as the answer to the request. */
 const ACCEPT_ALL: AnswerDecoder = {
--- a/packages/entry/src/metrics/latency_tally_test.ts
+++ b/packages/entry/src/metrics/latency_buckets_test.ts
@@ -1,6 +1,6 @@
 import { expect } from "earl";
 import { test } from "node:test";
-import { LATENCY_BOUNDS_MS, LatencyBuckets } from "./latency_tally.ts";
+import { LATENCY_BOUNDS_MS, LatencyBuckets } from "./latency_buckets.ts";
 
 function bucketOf(tookMs: number): number {
   return LATENCY_BOUNDS_MS.findIndex((bound) => tookMs <= bound);
--- a/packages/entry/src/metrics/metrics.ts
+++ b/packages/entry/src/metrics/metrics.ts
@@ -6,7 +6,7 @@
 import * as prometheus from "@opentelemetry/exporter-prometheus";
 import * as sdk from "@opentelemetry/sdk-metrics";
 import type * as http from "node:http";
-import { LATENCY_BOUNDS_MS } from "./latency_tally.ts";
+import { LATENCY_BOUNDS_MS } from "./latency_buckets.ts";
 
 /** All instruments of one process. */
 export class Metrics {
--- a/packages/entry/src/metrics/observe_state.ts
+++ b/packages/entry/src/metrics/state_gauges.ts
@@ -2,7 +2,7 @@
 import type * as contracts from "@guavatide/contracts";
 import type * as decisions from "@guavatide/decisions";
 import type { ConfigTask } from "../configuration/mod.ts";
-import type { ConnectionPools } from "../links/server_links.ts";
+import type { ConnectionPools } from "../links/connection_pools.ts";
 import type { LoadTask } from "../loads/load_task.ts";
 import type { OwnershipTask } from "../ownership/mod.ts";
 import type { Metrics } from "./metrics.ts";
--- a/packages/entry/src/requests/fakes_test_support.ts
+++ b/packages/entry/src/requests/fakes_test_support.ts
@@ -13,7 +13,7 @@
 import {
   CONNECTION_POOLS_DEFAULTS,
   ConnectionPools,
-} from "../links/server_links.ts";
+} from "../links/connection_pools.ts";
 import { MonotonicClock, SystemRandom } from "../utils/clock.ts";
 import { LifeCycle } from "../utils/life_cycle.ts";
 import { createLog } from "../utils/log.ts";
--- a/packages/entry/src/requests/request_router.ts
+++ b/packages/entry/src/requests/request_router.ts
@@ -7,7 +7,7 @@
   ServerAddress,
   ServerView,
 } from "../contracts/views.ts";
-import type { ConnectionPools } from "../links/server_links.ts";
+import type { ConnectionPools } from "../links/connection_pools.ts";
 import type { LifeCycle } from "../utils/life_cycle.ts";
 import type { Log, PartLog } from "../utils/log.ts";
 import {
--- a/packages/entry/src/requests/request_run.ts
+++ b/packages/entry/src/requests/request_run.ts
@@ -3,7 +3,10 @@
 import * as names from "@guavatide/contracts";
 import * as routing from "@guavatide/decisions/routing/mod";
 import type { ServerClock } from "../links/server_clock.ts";
-import type { AttemptRequest, AttemptResult } from "../links/server_link.ts";
+import type {
+  AttemptRequest,
+  AttemptResult,
+} from "../links/server_connection.ts";
 import {
   type CallerAnswer,
   type CallerRequest,
--- a/packages/entry/src/requests/service_parts.ts
+++ b/packages/entry/src/requests/service_parts.ts
@@ -2,7 +2,7 @@
 import type * as contracts from "@guavatide/contracts";
 import type * as routing from "@guavatide/decisions/routing/mod";
 import type { OwnerView, ServerAddress } from "../contracts/views.ts";
-import type { ConnectionPool } from "../links/link_pool.ts";
+import type { ConnectionPool } from "../links/connection_pool.ts";
 import type { PartLog } from "../utils/log.ts";
 import type { RequestMetrics } from "./request_metrics.ts";
 import type { SlotAllocator } from "./slot_allocator.ts";
--- a/packages/standins/src/proofs/given_up_request_test.ts
+++ b/packages/standins/src/proofs/given_up_request_test.ts
@@ -1,6 +1,6 @@
 import type * as contracts from "@guavatide/contracts";
 import { expect } from "earl";
-import { ServerConnection } from "guavatide/links/server_link";
+import { ServerConnection } from "guavatide/links/server_connection";
 import * as net from "node:net";
 import { test } from "node:test";
 import * as timers from "node:timers/promises";
