--- a/packages/entry/src/metrics/state_gauges.ts
+++ b/packages/entry/src/metrics/state_gauges.ts
@@ -61,7 +61,7 @@
   );
   metrics.registerGauge(
     "guavatide_evidence_age_ms",
-    "Age of the confirmation by which leases are renewed",
+    "Age of the evidence by which leases are renewed",
     (result) => {
       for (const { name } of config.services()) {
         const ageMs = owners.evidenceAgeMs(name);
@@ -71,7 +71,7 @@
   );
   metrics.registerGauge(
     "guavatide_imbalance",
-    "Largest load of a server over the mean, at the service's leader",
+    "Largest load of a server over the mean, at the holder of control duty",
     (result) => {
       for (const { name } of config.services()) {
         const imbalance = loads.imbalance(name);
@@ -93,7 +93,7 @@
   );
   metrics.registerGauge(
     "guavatide_duties_held",
-    "Services whose handovers this VM plans as their leader",
+    "Services whose moves this VM plans",
     (result) => result.observe(owners.heldDuties().length),
   );
 }
