--- a/packages/entry/src/gateway/readiness_door.ts
+++ b/packages/entry/src/gateway/readiness_server.ts
@@ -1,33 +1,36 @@
-/** Answers the platform's balancer whether this VM takes new connections. */
+/** Readiness probe: whether this VM accepts new connections. */
 import * as http from "node:http";
 import * as httpServer from "../utils/http_server.ts";
 import type { LifeCycle } from "../utils/life_cycle.ts";
 import type { PartLog } from "../utils/log.ts";
 
-/** Options of {@link ReadinessDoor}. */
-export interface ReadinessDoorOptions extends httpServer.ListenAddress {
+/** Options of {@link ReadinessServer}. */
+export interface ReadinessServerOptions extends httpServer.ListenAddress {
   readonly path: string;
   readonly log: PartLog;
   /** Why the VM is not ready; undefined when it is. */
   notReadyReason(): string | undefined;
 }
 
-/** Listens for the balancer. */
-export class ReadinessDoor {
-  readonly #options: ReadinessDoorOptions;
+/** Serves readiness probes of the platform's load balancer. */
+export class ReadinessServer {
+  readonly #options: ReadinessServerOptions;
   #lastReason: string | undefined = "not asked yet";
 
-  constructor(options: ReadinessDoorOptions) {
+  constructor(options: ReadinessServerOptions) {
     this.#options = options;
   }
 
-  /** Starts to listen; stays open until the process ends. */
+  /**
+   * Starts to listen; the last stop steps close it. Errors: the address is in
+   * use.
+   */
   async listen(lifeCycle: LifeCycle): Promise<void> {
     const server = http.createServer((request, response) =>
-      this.#answer(request, response)
+      this.#handleProbe(request, response)
     );
     lifeCycle.onStop({
-      name: "readiness door",
+      name: "readiness server",
       timeoutMs: 100,
       run: () => {
         server.close();
@@ -37,7 +40,10 @@
     await httpServer.listenOn(server, this.#options);
   }
 
-  #answer(request: http.IncomingMessage, response: http.ServerResponse): void {
+  #handleProbe(
+    request: http.IncomingMessage,
+    response: http.ServerResponse,
+  ): void {
     const reason = this.#options.notReadyReason();
     if (reason !== this.#lastReason) {
       this.#lastReason = reason;
@@ -46,8 +52,8 @@
         { reason },
       );
     }
-    const isAsked = request.url === this.#options.path;
-    const status = !isAsked ? 404 : reason === undefined ? 200 : 503;
+    const isKnownPath = request.url === this.#options.path;
+    const status = !isKnownPath ? 404 : reason === undefined ? 200 : 503;
     response.writeHead(status, { "content-length": "0" });
     response.end();
   }
--- a/packages/entry/src/gateway/wire_gateway.ts
+++ b/packages/entry/src/gateway/wire_gateway.ts
@@ -1,8 +1,8 @@
-/** The one module that wires an entry process on an outside platform. */
+/** Composition root of an entry process on an external platform. */
 import type * as contracts from "@guavatide/contracts";
 import * as grants from "@guavatide/decisions/grants/mod";
 import * as ownership from "@guavatide/decisions/ownership/mod";
-import * as linkParts from "../links/server_links.ts";
+import * as connectionPools from "../links/connection_pools.ts";
 import { MeteredStore } from "../metrics/metered_store.ts";
 import {
   MonotonicClock,
@@ -11,7 +11,7 @@
 } from "../utils/clock.ts";
 import { LifeCycle } from "../utils/life_cycle.ts";
 import type { Log } from "../utils/log.ts";
-import { ColdStarts } from "./cold_starts.ts";
+import { ColdStartLimits } from "./cold_start_limits.ts";
 import { ConfigHolder } from "./config_holder.ts";
 import { Forwarder } from "./forwarder.ts";
 import { FrontListener } from "./front_listener.ts";
@@ -23,8 +23,8 @@
 import { type OwnState, PeerGossip } from "./peer_gossip.ts";
 import type { PlatformAdapter } from "./platform_adapter.ts";
 import { RangeMapStore } from "./range_map_store.ts";
-import { ReadinessDoor } from "./readiness_door.ts";
-import { RequestLog } from "./request_story.ts";
+import { ReadinessServer } from "./readiness_server.ts";
+import { RequestLog } from "./request_log.ts";
 import { ServerRegistry } from "./server_registry.ts";
 import { SlotTask } from "./slot_task.ts";
 import { StoreHealth } from "./store_health.ts";
@@ -33,24 +33,24 @@
 import { VmDirectory } from "./vm_directory.ts";
 import { ZoneEvacuations } from "./zone_evacuations.ts";
 
-/** Descriptors kept for files, the store, peers and control calls. */
+/** File descriptors reserved for files, the store, peers and control calls. */
 const RESERVED_DESCRIPTORS = 400;
-/** Part of the rest that callers' connections may take. */
-const CALLER_DESCRIPTOR_PART = 0.7;
+/** Fraction of the remaining descriptors for callers' connections. */
+const CALLER_DESCRIPTOR_RATIO = 0.7;
 /**
- * Idle connections to servers are kept so long where servers tell no limit of
- * their own.
+ * Idle timeout of connections to servers that don't announce a keep-alive
+ * timeout.
  */
-const LINK_IDLE_MS = 8_000;
+const CONNECTION_IDLE_TIMEOUT_MS = 8_000;
 /**
- * Part of the bound on an evacuation for which owners in the zone may still get
- * requests; the rest covers late news.
+ * Fraction of the time limit of an evacuation in which owners in the zone may
+ * still get requests; the rest covers late notification of entry VMs.
  */
-const EVACUATION_USE_PART = 0.5;
-/** Longest wait for one step of a stop after the listener has ended. */
+const EVACUATION_GRACE_RATIO = 0.5;
+/** Maximum time to close the connections to the platform on a stop. */
 const CLOSE_TIMEOUT_MS = 300;
 
-/** What the process is built from. */
+/** Options of {@link startGateway}. */
 export interface GatewayOptions {
   readonly settings: GatewaySettings;
   readonly adapter: PlatformAdapter;
@@ -59,11 +59,11 @@
 
 /** A running entry process. */
 export interface Gateway {
-  /** Stops gracefully: requests in flight end. */
+  /** Stops gracefully: requests in flight may finish within the grace time. */
   stop(): Promise<void>;
 }
 
-/** Starts an entry process. Errors: an address is taken. */
+/** Starts an entry process. Errors: an address is in use. */
 export async function startGateway(options: GatewayOptions): Promise<Gateway> {
   const parts = await createParts(options);
   await start(options, parts);
@@ -90,8 +90,8 @@
   const registry: ServerRegistry = new ServerRegistry({
     adapter,
     evacuations,
-    evacuationUseMs: (settings.evacuation?.boundMs ?? 0) *
-      EVACUATION_USE_PART,
+    evacuationGraceMs: (settings.evacuation?.boundMs ?? 0) *
+      EVACUATION_GRACE_RATIO,
     coldStartOf: (service) => config.service(service)?.coldStart,
     storeCalmMs: () => relay.storeCalmMs,
     clock,
@@ -99,7 +99,7 @@
   });
   const self = {
     vm: settings.vm,
-    incarnation: drawIncarnation(),
+    incarnation: createIncarnation(),
     host: settings.host,
     port: settings.peerPort,
     zone: settings.zone,
@@ -134,7 +134,7 @@
     store,
     health,
     name: adapter.prefixes.configObject,
-    onObject: (object) => config.take(object),
+    onObject: (object) => config.applyObject(object),
     clock,
     need: () => {
       if (relay.isReader || grantTask.isMover) return "duty";
@@ -159,7 +159,7 @@
     tryStore: () => probe.ask(),
   });
   const watches = createWatches();
-  const coldStarts = new ColdStarts({
+  const coldStarts = new ColdStartLimits({
     vm: settings.vm,
     bound: settings.coldStarts,
     config,
@@ -186,7 +186,7 @@
     isCold: ({ server, service }) =>
       registry.coldUntilMs(server) > clock.nowMs() &&
       config.service(service)?.coldStart !== undefined,
-    serverFactorsOf: (service) => slots.factors(service),
+    serverFactorsOf: (service) => slots.latencyFactors(service),
     isLeaving: () => lifeCycle.isStopping,
   });
   const slots = new SlotTask({
@@ -201,11 +201,11 @@
     isLeaving: () => lifeCycle.isStopping,
     coldStarts,
   });
-  const links = new linkParts.ServerLinks(
+  const connections = new connectionPools.ConnectionPools(
     {
-      ...linkParts.SERVER_LINKS_DEFAULTS,
-      decoder: adapter.answers,
-      idleTimeoutMs: LINK_IDLE_MS,
+      ...connectionPools.CONNECTION_POOLS_DEFAULTS,
+      decoder: adapter.answerDecoder,
+      idleTimeoutMs: CONNECTION_IDLE_TIMEOUT_MS,
     },
     lifeCycle,
   );
@@ -219,7 +219,7 @@
     grants: grantTask,
     gossip,
     slots,
-    links,
+    connections,
     headers: adapter.headers,
     budget: {
       ...settings.retryBudget,
@@ -229,9 +229,9 @@
     clock,
     random,
     log: log.part("route"),
-    onStory: (story) => {
-      metrics.note(story);
-      requestLog.note(story);
+    onFinished: (record) => {
+      metrics.recordRequest(record);
+      requestLog.record(record);
     },
   });
   const startedMs = clock.nowMs();
@@ -249,24 +249,25 @@
       config: new KindWatch({
         ...common,
         prefix: adapter.prefixes.config,
-        onList: (objects) => objects.forEach((object) => config.take(object)),
+        onList: (objects) =>
+          objects.forEach((object) => config.applyObject(object)),
         onChanges: (changes) =>
           changes.forEach(({ object }) =>
-            object !== undefined && config.take(object)
+            object !== undefined && config.applyObject(object)
           ),
       }),
       servers: new KindWatch({
         ...common,
         prefix: adapter.prefixes.servers,
-        onList: (objects) => registry.takeList(objects),
-        onChanges: (changes) => registry.takeChanges(changes),
+        onList: (objects) => registry.applyList(objects),
+        onChanges: (changes) => registry.applyChanges(changes),
       }),
-      // Where no zone is ever evacuated the store isn't asked for them.
+      // Saves store calls where zones are never evacuated.
       evacuations: settings.evacuation && new KindWatch({
         ...common,
         prefix: adapter.prefixes.evacuations,
-        onList: (objects) => evacuations.takeList(objects),
-        onChanges: (changes) => evacuations.takeChanges(changes),
+        onList: (objects) => evacuations.applyList(objects),
+        onChanges: (changes) => evacuations.applyChanges(changes),
       }),
     };
   }
@@ -290,7 +291,7 @@
     log: log.part("route"),
     connectionLimit: Math.floor(
       (settings.limits.descriptors - RESERVED_DESCRIPTORS) *
-        CALLER_DESCRIPTOR_PART,
+        CALLER_DESCRIPTOR_RATIO,
     ),
     graceMs: settings.timings.graceSeconds * 1000,
     forward: (request) => forwarder.forward(request),
@@ -330,7 +331,7 @@
 ): Promise<void> {
   const { lifeCycle, gossip, watches, config, registry, grantTask } = parts;
   lifeCycle.onStop({
-    name: "links to the platform",
+    name: "connections to the platform",
     timeoutMs: CLOSE_TIMEOUT_MS,
     run: () => adapter.close(),
   });
@@ -340,7 +341,7 @@
     if (!registry.isListed) return "No list of servers yet";
     return grantTask.isKnown ? undefined : "Owners of keys are not known yet";
   };
-  const readiness = new ReadinessDoor({
+  const readiness = new ReadinessServer({
     ...settings.readiness,
     path: adapter.readinessPath,
     log: log.part("main"),
@@ -387,8 +388,8 @@
   mainLog.info("Entry process stopped.", { vm: settings.vm });
 }
 
-/** A short id, as it travels with every status. */
-function drawIncarnation(): contracts.Incarnation {
+/** Creates a short id, as every status message carries it. */
+function createIncarnation(): contracts.Incarnation {
   return crypto.randomUUID().slice(0, 8) as contracts.Incarnation;
 }
 
--- a/packages/entry/src/links/server_link.ts
+++ b/packages/entry/src/links/server_connection.ts
@@ -1,4 +1,4 @@
-/** One connection to a backend server, with one request at a time. */
+/** One connection to a backend server, for one request at a time. */
 import type * as contracts from "@guavatide/contracts";
 import * as names from "@guavatide/contracts";
 import type * as net from "node:net";
@@ -11,39 +11,39 @@
 } from "./answer_decoder.ts";
 import { readHeader } from "./header_list.ts";
 
-/** One attempt of a request, as it goes over a link. */
-export interface LinkRequest {
+/** One attempt of a request, as sent over a connection. */
+export interface AttemptRequest {
   readonly id: contracts.RequestId;
   readonly method: string;
   readonly path: string;
-  /** Names and values in turn. */
+  /** Names and values alternating. */
   readonly headers: readonly string[];
   readonly body: Uint8Array | undefined;
-  /** Called right before the bytes leave; false keeps them here. */
-  mayLeave(): boolean;
-  /** The server's clock, sent with its answer. */
-  noteStamp(text: string | undefined): void;
+  /** Called right before the request is sent; false withholds it. */
+  maySend(): boolean;
+  /** Receives the stamp of the server's clock from its response. */
+  onServerStamp(text: string | undefined): void;
 }
 
-/** How an attempt ended. Only the first two leave the link usable. */
-export type LinkResult =
+/** How an attempt ended. Only answer and refusal leave the connection usable. */
+export type AttemptResult =
   | Exclude<DecodedAnswer, { readonly kind: "bad" }> & AnswerReport
-  /** No byte left. */
+  /** Not one byte was sent. */
   | {
     readonly kind: "not-sent";
-    /** True when it was kept here; says nothing about the server then. */
-    readonly isOurs: boolean;
+    /** Whether this VM is the cause; if so, it says nothing about the server. */
+    readonly isLocal: boolean;
     readonly message: string;
   }
-  /** Bytes left and no whole answer came. */
+  /** Bytes were sent and no whole response came. */
   | {
     readonly kind: "unknown";
     readonly reason: contracts.UnknownReason;
     readonly message: string;
   };
 
-/** Options of {@link ServerLink}. */
-export interface ServerLinkOptions {
+/** Options of {@link ServerConnection}. */
+export interface ServerConnectionOptions {
   readonly host: string;
   readonly port: number;
   readonly connectTimeoutMs: number;
@@ -53,25 +53,25 @@
   readonly decoder: AnswerDecoder;
 }
 
-/** A request whose end is awaited. */
-interface Pending {
-  readonly request: LinkRequest;
-  readonly settle: (result: LinkResult) => void;
-  hasLeft: boolean;
-  wasKept: boolean;
+/** A request in flight. */
+interface PendingRequest {
+  readonly request: AttemptRequest;
+  readonly settle: (result: AttemptResult) => void;
+  isSent: boolean;
+  wasWithheld: boolean;
   abort: ((reason: Error) => void) | undefined;
 }
 
-/** A connection that serves one request after another until one goes wrong. */
-export class ServerLink {
+/** A connection that carries one request after another until one fails. */
+export class ServerConnection {
   readonly #client: undici.Client;
-  readonly #options: ServerLinkOptions;
+  readonly #options: ServerConnectionOptions;
   #socket: net.Socket | undefined;
-  #pending: Pending | undefined;
+  #pending: PendingRequest | undefined;
   #isUsable = true;
-  #wasBroken = false;
+  #hasSocketError = false;
 
-  constructor(options: ServerLinkOptions) {
+  constructor(options: ServerConnectionOptions) {
     this.#options = options;
     const connect = buildResettingConnector({
       timeout: options.connectTimeoutMs,
@@ -81,38 +81,38 @@
       pipelining: 1,
       keepAliveTimeout: options.idleTimeoutMs,
       keepAliveMaxTimeout: options.idleTimeoutMs,
-      // Deadlines are the request's own; the client's would hide them.
+      // Each attempt has its own deadline; undici's timeouts would preempt it.
       headersTimeout: 0,
       bodyTimeout: 0,
       connect: (connectOptions, callback) =>
         connect(connectOptions, (...result: unknown[]) => {
           const [error, socket] = result as [Error | null, net.Socket];
-          if (error === null) this.#watch(socket);
+          if (error === null) this.#trackSocket(socket);
           (callback as (...values: unknown[]) => void)(...result);
         }),
     });
-    // A lost connection ends the link: a request moved silently to a new
-    // connection could run twice.
+    // No reconnect: a request that undici resends over a new connection could
+    // run twice.
     this.#client.on("disconnect", () => this.retire());
   }
 
-  /** False once anything went wrong; the link then takes no request. */
+  /** False after any failure; the connection then accepts no request. */
   get isUsable(): boolean {
     return this.#isUsable;
   }
 
-  /** Bytes that the server has sent on this connection: its progress. */
+  /** Bytes received on this connection; shows whether the server responds. */
   get bytesReceived(): number {
     return this.#socket?.bytesRead ?? 0;
   }
 
-  /** Sends a request and waits for its end. One at a time. */
-  send(request: LinkRequest): Promise<LinkResult> {
+  /** Sends a request and waits for its result. Only one may be in flight. */
+  send(request: AttemptRequest): Promise<AttemptResult> {
     return new Promise((resolve) => {
-      const pending: Pending = {
+      const pending: PendingRequest = {
         request,
-        hasLeft: false,
-        wasKept: false,
+        isSent: false,
+        wasWithheld: false,
         abort: undefined,
         settle: (result) => {
           if (this.#pending !== pending) return;
@@ -127,15 +127,15 @@
     });
   }
 
-  /** Gives up the request in flight; the link is of no more use. */
+  /** Abandons the request in flight and retires the connection. */
   abandon(reason: contracts.UnknownReason, message: string): void {
     const pending = this.#pending;
     if (pending === undefined) return;
-    pending.settle(endWithoutAnswer(pending, reason, message));
+    pending.settle(resultWithoutAnswer(pending, reason, message));
     pending.abort?.(new Error(message));
   }
 
-  /** Closes the connection and takes no further request. */
+  /** Closes the connection; it accepts no further request. */
   retire(): void {
     if (!this.#isUsable) return;
     this.#isUsable = false;
@@ -143,17 +143,17 @@
   }
 
   /**
-   * Remembers an error of the connection: the client library takes a reset
-   * answer without a length for a whole one.
+   * Records socket errors: undici takes a close-delimited response that ends
+   * with a reset for a whole one.
    */
-  #watch(socket: net.Socket): void {
+  #trackSocket(socket: net.Socket): void {
     this.#socket = socket;
     socket.once("error", () => {
-      this.#wasBroken = true;
+      this.#hasSocketError = true;
     });
   }
 
-  #dispatch(pending: Pending): void {
+  #dispatch(pending: PendingRequest): void {
     const { request } = pending;
     let answer: AnswerReader | undefined;
     this.#client.dispatch({
@@ -164,12 +164,12 @@
     }, {
       onRequestStart: (controller) => {
         pending.abort = (reason) => controller.abort(reason);
-        if (this.#pending !== pending || !request.mayLeave()) {
-          pending.wasKept = true;
+        if (this.#pending !== pending || !request.maySend()) {
+          pending.wasWithheld = true;
           controller.abort(new Error("The request may not leave any more"));
           return;
         }
-        pending.hasLeft = true;
+        pending.isSent = true;
       },
       onResponseStart: (controller, status) => {
         const raw = (controller as HeaderSource).rawHeaders ?? [];
@@ -186,20 +186,20 @@
       },
       onResponseEnd: () =>
         pending.settle(
-          this.#wasBroken
+          this.#hasSocketError
             ? badAnswer("The connection broke before the answer's end")
             : answer!.finish(),
         ),
       onResponseError: (_controller, error) => {
         pending.settle(
-          endWithoutAnswer(pending, "connection-lost", error.message),
+          resultWithoutAnswer(pending, "connection-lost", error.message),
         );
       },
     });
   }
 }
 
-/** The part of undici's controller that its types leave out. */
+/** A property of undici's controller that its types omit. */
 interface HeaderSource {
   readonly rawHeaders?: readonly Uint8Array[] | null;
 }
@@ -209,24 +209,24 @@
     .toString("latin1");
 }
 
-function endWithoutAnswer(
-  pending: Pending,
+function resultWithoutAnswer(
+  pending: PendingRequest,
   reason: contracts.UnknownReason,
   message: string,
-): LinkResult {
-  const isOurs = pending.wasKept;
-  if (!pending.hasLeft) return { kind: "not-sent", isOurs, message };
+): AttemptResult {
+  const isOurs = pending.wasWithheld;
+  if (!pending.isSent) return { kind: "not-sent", isLocal: isOurs, message };
   return { kind: "unknown", reason, message };
 }
 
 /** Options of {@link AnswerReader}. */
 interface AnswerReaderOptions {
-  readonly request: LinkRequest;
+  readonly request: AttemptRequest;
   readonly limitBytes: number;
   readonly decoder: AnswerDecoder;
 }
 
-/** Gathers one answer and has it checked: the request's own, and whole. */
+/** Collects one response and decodes it at its end. */
 class AnswerReader {
   readonly #status: number;
   readonly #headers: readonly string[];
@@ -244,14 +244,14 @@
     this.#options = options;
   }
 
-  /** Adds a piece of the body; false when it grows beyond the limit. */
+  /** Adds a chunk of the body; false when the body exceeds the limit. */
   add(chunk: Uint8Array): boolean {
     this.#sizeBytes += chunk.length;
     this.#chunks.push(chunk);
     return this.#sizeBytes <= this.#options.limitBytes;
   }
 
-  finish(): LinkResult {
+  finish(): AttemptResult {
     const { request, decoder } = this.#options;
     const decoded = decoder.decode(request.id, {
       method: request.method,
@@ -262,11 +262,11 @@
         : Buffer.concat(this.#chunks),
     });
     if (decoded.kind === "bad") return badAnswer(decoded.message);
-    request.noteStamp(readHeader(this.#headers, names.STAMP_HEADER));
+    request.onServerStamp(readHeader(this.#headers, names.STAMP_HEADER));
     return decoded;
   }
 }
 
-function badAnswer(message: string): LinkResult {
+function badAnswer(message: string): AttemptResult {
   return { kind: "unknown", reason: "bad-answer", message };
 }
--- a/packages/entry/src/metrics/metrics_door.ts
+++ b/packages/entry/src/metrics/metrics_server.ts
@@ -1,7 +1,7 @@
 /**
- * Where monitoring asks: `/metrics`, `/healthz` (the process runs its event
- * loop) and `/readyz` (it can serve requests: a configuration is in force and
- * it is not stopping). A balancer asks `/readyz`; a supervisor `/healthz`.
+ * Monitoring endpoints: `/metrics`, the liveness probe `/healthz` (the event
+ * loop runs) for a supervisor, and the readiness probe `/readyz` (a
+ * configuration is in force and the process isn't stopping) for a load balancer.
  */
 import type * as http from "node:http";
 import * as httpServer from "../utils/http_server.ts";
@@ -10,9 +10,9 @@
 
 const REQUEST_TIMEOUT_MS = 2_000;
 
-/** Options of {@link MetricsDoor}. */
-export interface MetricsDoorOptions {
-  /** IP number to listen on. */
+/** Options of {@link MetricsServer}. */
+export interface MetricsServerOptions {
+  /** IP address to listen on. */
   readonly host: string;
   readonly port: number;
   readonly metrics: Metrics;
@@ -21,15 +21,15 @@
   notReadyReason(): string | undefined;
 }
 
-/** Listens for scrapes and probes. */
-export class MetricsDoor {
-  readonly #options: MetricsDoorOptions;
+/** HTTP server for scrapes and probes. */
+export class MetricsServer {
+  readonly #options: MetricsServerOptions;
 
-  constructor(options: MetricsDoorOptions) {
+  constructor(options: MetricsServerOptions) {
     this.#options = options;
   }
 
-  /** Starts listening and returns the port. */
+  /** Starts to listen and returns the port. Errors: the address is in use. */
   async listen(lifeCycle: LifeCycle): Promise<number> {
     const server = httpServer.createHttpServer({}, this.#options.tls);
     server.on(
@@ -38,7 +38,7 @@
     );
     server.requestTimeout = REQUEST_TIMEOUT_MS;
     lifeCycle.onStop({
-      name: "metrics door",
+      name: "metrics server",
       timeoutMs: 500,
       run: () => {
         server.close();
