--- a/packages/entry/src/gateway/forwarder.ts
+++ b/packages/entry/src/gateway/forwarder.ts
@@ -16,7 +16,7 @@
 } from "./front_request.ts";
 import type { GrantTask } from "./grant_task.ts";
 import type { PeerGossip } from "./peer_gossip.ts";
-import type { LoadNews, PeerStatus } from "./peer_messages.ts";
+import type { LoadUpdate, PeerStatus } from "./peer_messages.ts";
 import type { HeaderNames } from "./platform_adapter.ts";
 import type { RequestStory } from "./request_story.ts";
 import type { ServerRegistry } from "./server_registry.ts";
@@ -89,7 +89,7 @@
     options.grants.onChange((service) =>
       this.#services.get(service)?.queue.pump(options.clock.nowMs())
     );
-    options.gossip.onMembers(() => this.#followMembers());
+    options.gossip.onMembersChange(() => this.#followMembers());
     options.gossip.onStatus((status) => this.#takeStatus(status));
     options.gossip.onLoad((news) => this.#takeLoads(news));
   }
@@ -168,7 +168,7 @@
   }
 
   /** Speeds that have changed since the last call; undefined for none. */
-  takeSlowdowns(): LoadNews["slowdowns"] {
+  takeSlowdowns(): LoadUpdate["slowdowns"] {
     const slowdowns = this.#slowdowns;
     this.#slowdowns = undefined;
     return slowdowns;
@@ -215,7 +215,7 @@
       noteReport: (server, report, nowMs) =>
         this.#noteReport(part, { server, report, nowMs }),
       ended: onStory,
-      noteLoad: part.isKeyed ? () => {} : () => gossip.noteChanged(),
+      noteLoad: part.isKeyed ? () => {} : () => gossip.scheduleLoadUpdate(),
     };
   }
 
@@ -310,7 +310,7 @@
     const { registry, gossip, vm } = this.#options;
     const entries = registry.servers(service);
     times.keepOnly(new Set(entries.map(({ server }) => server)));
-    const { plan } = gossip;
+    const { cellPlan: plan } = gossip;
     const staying = entries.filter(({ isDraining }) => !isDraining);
     queue.setServers(
       entries,
@@ -358,7 +358,7 @@
     }
   }
 
-  #takeLoads({ vm, loads, slowdowns }: LoadNews): void {
+  #takeLoads({ vm, loads, slowdowns }: LoadUpdate): void {
     const atMs = this.#options.clock.nowMs();
     for (const [server, slowdownRatio] of Object.entries(slowdowns ?? {})) {
       this.#find(server)?.load.noteSpeed({ slowdownRatio, atMs });
--- a/packages/entry/src/gateway/grant_sender.ts
+++ b/packages/entry/src/gateway/grant_sender.ts
@@ -1,6 +1,7 @@
 /**
- * Sends grants to one service's backend servers, one at a time to each, and
- * remembers when: a mover must know what may still take effect.
+ * Sends the grants (leases of key ranges) of one service to its backend
+ * servers, one at a time to each server, and records when each was sent: a
+ * handover has to wait for every lease that may still be in force.
  */
 import type * as contracts from "@guavatide/contracts";
 import type * as grants from "@guavatide/decisions/grants/mod";
@@ -12,189 +13,219 @@
   readonly control: contracts.GrantControl;
   readonly timings: grants.GrantTimings;
   readonly clock: contracts.Clock;
-  /** The system's unless given. */
+  /** Default: the system's random source. */
   readonly random?: contracts.RandomSource;
   readonly log: PartLog;
-  /** The server of an owner, also when it leaves; undefined when unknown. */
-  readonly entry: (
+  /**
+   * Finds the server of an owner, also while it is draining; undefined when it
+   * is unknown.
+   */
+  readonly findServer: (
     owner: contracts.RangeOwner,
   ) => contracts.ServerEntry | undefined;
-  /** An owner confirmed a range for the first time since this fence is known. */
-  readonly onConfirmed: (range: contracts.RangeState) => void;
-  /** A grant was answered or given up. */
-  readonly onEnded: (server: contracts.ServerId) => void;
-  /** An owner has seen a higher fence: the map known here is old or wrong. */
+  /**
+   * An owner accepted a range for the first time since this VM knows its fence.
+   */
+  readonly onAccepted: (range: contracts.RangeState) => void;
+  /** A grant to the server was answered, failed, or was not sent after all. */
+  readonly onCompleted: (server: contracts.ServerId) => void;
+  /**
+   * An owner has seen a higher fence: the map known here is outdated or wrong.
+   */
   readonly onFencedOff: (range: contracts.RangeState) => void;
 }
 
-/** Grants to one server. */
-interface ServerGrants {
-  isUnderWay: boolean;
-  /** When the last grant was answered or given up. */
-  lastEndMs: number;
-  lastUnansweredMs: number | undefined;
-  /** First of the grants in a row that were not answered. */
-  silentSinceMs: number | undefined;
-  /** Grants in a row that were not granted. */
-  failures: number;
-  /** No grant is sent before. */
-  notBeforeMs: number;
+/** State of the grants to one server. Times are those of the clock, in ms. */
+interface ServerState {
+  isInFlight: boolean;
+  /** When the last grant was answered or failed. */
+  lastEndedAtMs: number;
+  lastUnansweredAtMs: number | undefined;
+  /** Start of the oldest of the consecutive grants without an answer. */
+  unansweredSinceMs: number | undefined;
+  /** Consecutive grants that failed or were refused. */
+  consecutiveFailures: number;
+  /** No grant is sent before this time. */
+  retryAtMs: number;
 }
 
 /**
- * Suspicion of a silent server lapses after this time: it gets no grants once
- * its ranges are taken away, so nothing else could show that it is back.
+ * A server no longer counts as unresponsive this long after the last grant: it
+ * gets no grants once its ranges are taken away, so no answer could show that
+ * it has recovered.
  */
 const SUSPICION_TTL_MS = 1_500;
 /**
- * Back-off after failed grants: a refused connection fails within a
+ * Exponential backoff after failed grants: a refused connection fails within a
  * millisecond.
  */
 const RETRY_MIN_MS = 40;
 const RETRY_MAX_MS = 320;
 
-/** A range to be granted or renewed. */
-export interface GrantOrder {
+/** A lease of a range to be granted or renewed. */
+export interface GrantRequest {
   readonly range: contracts.RangeState;
+  /** State that the old owner hands to the new one; undefined when none. */
   readonly handover: string | undefined;
-  readonly holdMs: number;
-  /** Whether the grant rests on good evidence, asked as its bytes leave. */
-  readonly mayLeave: () => boolean;
+  /** Lease duration. */
+  readonly leaseMs: number;
+  /**
+   * Whether the grant may still be sent; checked when its bytes are written.
+   */
+  readonly isStillAllowed: () => boolean;
 }
 
-/** Renewals of one entry VM for one service. */
+/** Grants and renews the ranges of one service on behalf of one entry VM. */
 export class GrantSender {
   readonly #options: GrantSenderOptions;
-  readonly #servers = new Map<contracts.ServerId, ServerGrants>();
-  /** When each range was last confirmed, by its fence and first key. */
-  readonly #confirmedMs = new Map<string, number>();
+  readonly #servers = new Map<contracts.ServerId, ServerState>();
+  /** When the last accepted grant of each range was sent, by range key. */
+  readonly #acceptedAtMs = new Map<string, number>();
 
   constructor(options: GrantSenderOptions) {
     this.#options = options;
   }
 
-  /** When a range was last confirmed to this VM; undefined when never. */
-  confirmedMs(range: contracts.RangeState): number | undefined {
-    return this.#confirmedMs.get(nameOf(range));
+  /**
+   * When the last grant of a range that its owner accepted was sent; undefined
+   * when none was.
+   */
+  acceptedAtMs(range: contracts.RangeState): number | undefined {
+    return this.#acceptedAtMs.get(rangeKeyOf(range));
   }
 
   /**
-   * Whether a grant may be sent: the owner is known, none is under way, and
-   * none just failed.
+   * Whether a grant may be sent: the owner is known, no other grant to it is in
+   * flight, and the backoff after a failure is over.
    */
-  isFree(owner: contracts.RangeOwner): boolean {
-    if (this.#options.entry(owner) === undefined) return false;
+  canSend(owner: contracts.RangeOwner): boolean {
+    if (this.#options.findServer(owner) === undefined) return false;
     const state = this.#servers.get(owner.server);
     if (state === undefined) return true;
-    return !state.isUnderWay &&
-      this.#options.clock.nowMs() >= state.notBeforeMs;
+    return !state.isInFlight &&
+      this.#options.clock.nowMs() >= state.retryAtMs;
   }
 
-  /** Servers that have left this VM's grants unanswered for `silentMs`. */
-  silentServers(): contracts.ServerId[] {
+  /**
+   * Servers that have not answered this VM's grants for at least
+   * `timings.silentMs`.
+   */
+  unresponsiveServers(): contracts.ServerId[] {
     const { clock, timings } = this.#options;
     const nowMs = clock.nowMs();
     return [...this.#servers]
-      .filter(([, { silentSinceMs, lastEndMs, isUnderWay }]) =>
-        silentSinceMs !== undefined &&
-        nowMs - silentSinceMs >= timings.silentMs &&
-        (isUnderWay || nowMs - lastEndMs < SUSPICION_TTL_MS)
+      .filter(([, { unansweredSinceMs, lastEndedAtMs, isInFlight }]) =>
+        unansweredSinceMs !== undefined &&
+        nowMs - unansweredSinceMs >= timings.silentMs &&
+        (isInFlight || nowMs - lastEndedAtMs < SUSPICION_TTL_MS)
       )
       .map(([server]) => server);
   }
 
   /**
-   * Age of the last grant and of the last unanswered one, by server, from the
-   * end of the call: a busy VM may send late.
+   * Age in ms of the last grant and of the last unanswered one (null when there
+   * was none), by server. Measured from the end of the call, as a busy VM may
+   * send late.
    */
-  agesMs(): Map<contracts.ServerId, [number, number | null]> {
+  grantAgesMs(): Map<contracts.ServerId, [number, number | null]> {
     const nowMs = this.#options.clock.nowMs();
     const ages = new Map<contracts.ServerId, [number, number | null]>();
     for (const [server, state] of this.#servers) {
-      const { isUnderWay, lastEndMs, lastUnansweredMs } = state;
-      // Nothing has left yet, and peers can't be told an infinite age.
-      if (!isUnderWay && lastEndMs === Number.NEGATIVE_INFINITY) continue;
-      const unansweredMs = lastUnansweredMs === undefined
+      const { isInFlight, lastEndedAtMs, lastUnansweredAtMs } = state;
+      // No grant was sent yet; JSON can't represent an infinite age.
+      if (!isInFlight && lastEndedAtMs === Number.NEGATIVE_INFINITY) continue;
+      const unansweredMs = lastUnansweredAtMs === undefined
         ? null
-        : Math.floor(nowMs - lastUnansweredMs);
+        : Math.floor(nowMs - lastUnansweredAtMs);
       ages.set(
         server,
-        isUnderWay ? [0, 0] : [Math.floor(nowMs - lastEndMs), unansweredMs],
+        isInFlight ? [0, 0] : [Math.floor(nowMs - lastEndedAtMs), unansweredMs],
       );
     }
     return ages;
   }
 
-  /** Sends one grant. */
-  async send({ range, handover, holdMs, mayLeave }: GrantOrder): Promise<void> {
-    const { clock, control, timings, entry, log } = this.#options;
-    const server = entry(range.owner);
+  /**
+   * Sends one grant. Failures are logged, and reported through the callbacks.
+   */
+  async send(
+    { range, handover, leaseMs, isStillAllowed }: GrantRequest,
+  ): Promise<void> {
+    const { clock, control, timings, findServer, log } = this.#options;
+    const server = findServer(range.owner);
     if (server === undefined) return;
     const state = this.#state(range.owner.server);
-    const sentMs = clock.nowMs();
-    const { silentSinceMs } = state;
-    state.isUnderWay = true;
-    state.silentSinceMs ??= sentMs;
+    const sentAtMs = clock.nowMs();
+    const { unansweredSinceMs } = state;
+    state.isInFlight = true;
+    state.unansweredSinceMs ??= sentAtMs;
     const { fromKey, toKey, fence } = range;
     const result = await control.grant(
       server,
-      { fromKey, toKey, fence, holdMs, handover },
-      { timeoutMs: timings.orderTimeoutMs, mayLeave },
+      { fromKey, toKey, fence, holdMs: leaseMs, handover },
+      { timeoutMs: timings.orderTimeoutMs, mayLeave: isStillAllowed },
     );
-    state.isUnderWay = false;
+    state.isInFlight = false;
     const fields = { server: server.server, fromKey, toKey, fence };
     if (result.isErr() && result.error.kind === "kept") {
-      state.silentSinceMs = silentSinceMs;
-      this.#options.onEnded(server.server);
-      return log.warn("Grant kept back: its evidence is too old.", fields);
+      state.unansweredSinceMs = unansweredSinceMs;
+      this.#options.onCompleted(server.server);
+      return log.warn(
+        "Grant not sent: its range map is outdated or no longer confirmed.",
+        fields,
+      );
     }
-    state.lastEndMs = clock.nowMs();
-    this.#notePause(state, result.isOk() && result.value === "granted");
-    if (result.isErr()) state.lastUnansweredMs = state.lastEndMs;
-    this.#options.onEnded(server.server);
+    state.lastEndedAtMs = clock.nowMs();
+    this.#scheduleRetry(state, result.isOk() && result.value === "granted");
+    if (result.isErr()) state.lastUnansweredAtMs = state.lastEndedAtMs;
+    this.#options.onCompleted(server.server);
     if (result.isErr()) {
       log.warn("Grant not answered.", {
         ...fields,
-        tookMs: Math.round(state.lastEndMs - sentMs),
+        tookMs: Math.round(state.lastEndedAtMs - sentAtMs),
         reason: result.error.message,
       });
       return;
     }
-    state.silentSinceMs = undefined;
-    if (result.value === "granted") return this.#confirm(range, sentMs);
+    state.unansweredSinceMs = undefined;
+    if (result.value === "granted") return this.#noteAccepted(range, sentAtMs);
     log.warn("Grant refused.", { ...fields, answer: result.value });
     if (result.value === "fenced-off") this.#options.onFencedOff(range);
   }
 
-  #notePause(state: ServerGrants, isGranted: boolean): void {
-    state.failures = isGranted ? 0 : state.failures + 1;
+  #scheduleRetry(state: ServerState, isGranted: boolean): void {
+    state.consecutiveFailures = isGranted ? 0 : state.consecutiveFailures + 1;
     if (isGranted) return;
     const { random = SYSTEM_RANDOM } = this.#options;
-    const pauseMs = Math.min(
+    const backoffMs = Math.min(
       RETRY_MAX_MS,
-      RETRY_MIN_MS * 2 ** (state.failures - 1),
+      RETRY_MIN_MS * 2 ** (state.consecutiveFailures - 1),
     );
-    state.notBeforeMs = state.lastEndMs + pauseMs * (0.5 + random.next() / 2);
+    state.retryAtMs = state.lastEndedAtMs +
+      backoffMs * (0.5 + random.next() / 2);
   }
 
-  /** Forgets servers and ranges that are gone; grants last for `holdMs`. */
-  keepOnly(ranges: readonly contracts.RangeState[], holdMs: number): void {
-    const names = new Set(ranges.map(nameOf));
-    for (const name of this.#confirmedMs.keys()) {
-      if (!names.has(name)) this.#confirmedMs.delete(name);
+  /**
+   * Removes the state of ranges that are not listed, and of servers without a
+   * grant for four times the lease duration `leaseMs`.
+   */
+  prune(ranges: readonly contracts.RangeState[], leaseMs: number): void {
+    const listed = new Set(ranges.map(rangeKeyOf));
+    for (const rangeKey of this.#acceptedAtMs.keys()) {
+      if (!listed.has(rangeKey)) this.#acceptedAtMs.delete(rangeKey);
     }
-    const oldMs = this.#options.clock.nowMs() - 4 * holdMs;
+    const expiryMs = this.#options.clock.nowMs() - 4 * leaseMs;
     for (const [server, state] of this.#servers) {
-      if (!state.isUnderWay && state.lastEndMs < oldMs) {
+      if (!state.isInFlight && state.lastEndedAtMs < expiryMs) {
         this.#servers.delete(server);
       }
     }
   }
 
-  #confirm(range: contracts.RangeState, sentMs: number): void {
-    const name = nameOf(range);
-    const isFirst = !this.#confirmedMs.has(name);
-    this.#confirmedMs.set(name, sentMs);
+  #noteAccepted(range: contracts.RangeState, sentAtMs: number): void {
+    const rangeKey = rangeKeyOf(range);
+    const isFirst = !this.#acceptedAtMs.has(rangeKey);
+    this.#acceptedAtMs.set(rangeKey, sentAtMs);
     if (!isFirst) return;
     const { fromKey, toKey, fence, owner } = range;
     this.#options.log.info("Range granted.", {
@@ -203,19 +234,19 @@
       toKey,
       fence,
     });
-    this.#options.onConfirmed(range);
+    this.#options.onAccepted(range);
   }
 
-  #state(server: contracts.ServerId): ServerGrants {
+  #state(server: contracts.ServerId): ServerState {
     const found = this.#servers.get(server);
     if (found !== undefined) return found;
-    const created: ServerGrants = {
-      isUnderWay: false,
-      lastEndMs: Number.NEGATIVE_INFINITY,
-      lastUnansweredMs: undefined,
-      silentSinceMs: undefined,
-      failures: 0,
-      notBeforeMs: Number.NEGATIVE_INFINITY,
+    const created: ServerState = {
+      isInFlight: false,
+      lastEndedAtMs: Number.NEGATIVE_INFINITY,
+      lastUnansweredAtMs: undefined,
+      unansweredSinceMs: undefined,
+      consecutiveFailures: 0,
+      retryAtMs: Number.NEGATIVE_INFINITY,
     };
     this.#servers.set(server, created);
     return created;
@@ -224,14 +255,14 @@
 
 const SYSTEM_RANDOM = new SystemRandom();
 
-/** Names of ranges: they are asked for at every tick. */
-const names = new WeakMap<contracts.RangeState, string>();
+/** Cache of range keys, which are needed at every tick. */
+const rangeKeys = new WeakMap<contracts.RangeState, string>();
 
-function nameOf(range: contracts.RangeState): string {
-  const known = names.get(range);
-  if (known !== undefined) return known;
+function rangeKeyOf(range: contracts.RangeState): string {
+  const cached = rangeKeys.get(range);
+  if (cached !== undefined) return cached;
   const { fromKey, toKey, fence, owner } = range;
-  const name = `${owner.server}/${fence}/${fromKey}-${toKey}`;
-  names.set(range, name);
-  return name;
+  const rangeKey = `${owner.server}/${fence}/${fromKey}-${toKey}`;
+  rangeKeys.set(range, rangeKey);
+  return rangeKey;
 }
--- a/packages/entry/src/gateway/grant_sender_test.ts
+++ b/packages/entry/src/gateway/grant_sender_test.ts
@@ -3,8 +3,8 @@
 import { expect } from "earl";
 import * as neverthrow from "neverthrow";
 import { test } from "node:test";
-import { type GrantOrder, GrantSender } from "./grant_sender.ts";
-import { entryOf } from "./grant_test_support.ts";
+import { type GrantRequest, GrantSender } from "./grant_sender.ts";
+import { serverEntryOf } from "./grant_test_support.ts";
 
 const SERVER = "k1" as contracts.ServerId;
 const RANGE: contracts.RangeState = {
@@ -14,14 +14,14 @@
   fence: 1,
 };
 
-const ORDER: GrantOrder = {
+const REQUEST: GrantRequest = {
   range: RANGE,
   handover: undefined,
-  holdMs: 1_500,
-  mayLeave: () => true,
+  leaseMs: 1_500,
+  isStillAllowed: () => true,
 };
 
-/** A sender whose grants end as told. */
+/** A sender whose grants are answered by `grant`. */
 function createSender(
   grant: contracts.GrantControl["grant"],
   nowMs: () => number,
@@ -37,9 +37,9 @@
     clock: { nowMs },
     random: { next: () => 0.5 },
     log: { debug() {}, info() {}, warn() {}, error() {} },
-    entry: () => isKnown ? entryOf(SERVER) : undefined,
-    onConfirmed: () => {},
-    onEnded: () => {},
+    findServer: () => isKnown ? serverEntryOf(SERVER) : undefined,
+    onAccepted: () => {},
+    onCompleted: () => {},
     onFencedOff: () => {},
   });
 }
@@ -50,20 +50,26 @@
   );
 }
 
-/** Guards against a server that is called silent, and unused, for ever. */
-test("should not call a server silent that it has left alone for long", async () => {
+/**
+ * Guards against a server that counts as unresponsive, and stays unused, for
+ * good.
+ */
+test("should not count a server as unresponsive long after its last grant", async () => {
   let nowMs = 0;
   const sender = createSender(refuse, () => nowMs);
-  await sender.send(ORDER);
+  await sender.send(REQUEST);
   nowMs = 800;
-  await sender.send(ORDER);
-  expect(sender.silentServers()).toEqual([SERVER]);
+  await sender.send(REQUEST);
+  expect(sender.unresponsiveServers()).toEqual([SERVER]);
   nowMs = 10_000;
-  expect(sender.silentServers()).toEqual([]);
+  expect(sender.unresponsiveServers()).toEqual([]);
 });
 
-/** Guards against refused grants that take the processor from callers. */
-test("should pause between grants that a server refuses", async () => {
+/**
+ * Guards against a loop of refused grants that takes the processor from
+ * requests.
+ */
+test("should back off between grants that a server refuses", async () => {
   let nowMs = 0;
   let calls = 0;
   const count = () => {
@@ -72,28 +78,31 @@
   };
   const sender = createSender(count, () => nowMs);
   for (; nowMs < 2_000; nowMs++) {
-    if (!sender.isFree(RANGE.owner)) continue;
-    await sender.send(ORDER);
+    if (!sender.canSend(RANGE.owner)) continue;
+    await sender.send(REQUEST);
   }
   expect(calls >= 8 && calls <= 12).toEqual(true);
 });
 
-/** Guards against waits and votes for a grant that never left. */
-test("should not count a grant that was kept back", async () => {
+/**
+ * Guards against handover waits and loss votes because of a grant that was
+ * never sent.
+ */
+test("should not count a grant that was withheld", async () => {
   let nowMs = 0;
-  const keep = () =>
+  const withhold = () =>
     neverthrow.errAsync({ kind: "kept", message: "Kept back" } as const);
-  const sender = createSender(keep, () => nowMs);
-  await sender.send(ORDER);
+  const sender = createSender(withhold, () => nowMs);
+  await sender.send(REQUEST);
   nowMs = 800;
-  await sender.send(ORDER);
-  expect(sender.silentServers()).toEqual([]);
-  expect(sender.agesMs().has(SERVER)).toEqual(false);
-  expect(sender.isFree(RANGE.owner)).toEqual(true);
+  await sender.send(REQUEST);
+  expect(sender.unresponsiveServers()).toEqual([]);
+  expect(sender.grantAgesMs().has(SERVER)).toEqual(false);
+  expect(sender.canSend(RANGE.owner)).toEqual(true);
 });
 
-/** Guards against renewals that follow one another in a loop without a call. */
-test("should send no grant to an owner that is not known", () => {
+/** Guards against a busy loop of renewals that make no call. */
+test("should send no grant to an unknown owner", () => {
   const sender = createSender(refuse, () => 0, false);
-  expect(sender.isFree(RANGE.owner)).toEqual(false);
+  expect(sender.canSend(RANGE.owner)).toEqual(false);
 });
--- a/packages/entry/src/gateway/grant_task.ts
+++ b/packages/entry/src/gateway/grant_task.ts
@@ -1,4 +1,4 @@
-/** Ownership of all keyed services on one entry VM. */
+/** Key ownership of all keyed services on one entry VM. */
 import * as contracts from "@guavatide/contracts";
 import type * as admission from "@guavatide/decisions/admission/mod";
 import * as grants from "@guavatide/decisions/grants/mod";
@@ -8,7 +8,7 @@
 import type { PartLog } from "../utils/log.ts";
 import type { ConfigHolder } from "./config_holder.ts";
 import type { MovePlannerOptions } from "./move_planner.ts";
-import type { PeerCalls } from "./peer_calls.ts";
+import type { PeerRpc } from "./peer_calls.ts";
 import type { GossipIdentity, PeerGossip } from "./peer_gossip.ts";
 import * as messages from "./peer_messages.ts";
 import type { RangeMapStore } from "./range_map_store.ts";
@@ -20,13 +20,13 @@
 export interface GrantTaskOptions {
   readonly self: GossipIdentity;
   readonly timings: grants.GrantTimings;
-  /** Longest grant that servers take. */
-  readonly longestGrantMs: number;
+  /** Longest lease duration that servers accept. */
+  readonly maxLeaseMs: number;
   readonly hasher: ownership.KeyHasher;
   readonly config: ConfigHolder;
   readonly registry: ServerRegistry;
   readonly gossip: PeerGossip;
-  readonly calls: PeerCalls;
+  readonly rpc: PeerRpc;
   readonly maps: RangeMapStore;
   readonly control: contracts.GrantControl;
   readonly health: StoreHealth;
@@ -34,34 +34,42 @@
   readonly log: PartLog;
   readonly capacity: MovePlannerOptions["capacity"];
   readonly isCold: MovePlannerOptions["isCold"];
-  /** How much longer than average servers take, as this VM's coordinator saw. */
-  readonly serverFactorsOf: (
+  /**
+   * By server, how much longer than average it takes, as this VM's slot
+   * coordinator has measured.
+   */
+  readonly latencyFactorsOf: (
     service: contracts.ServiceId,
   ) => ReadonlyMap<contracts.ServerId, number>;
   readonly isLeaving: () => boolean;
 }
 
-/** Interval of the regular work of a keeper or mover. */
-const DUTY_TICK_MS = 40;
-/** The same of any other VM. */
+/** Tick interval of a voter or leader. */
+const ACTIVE_TICK_MS = 40;
+/** Tick interval of any other VM. */
 const TICK_MS = 200;
-/** Least interval at which requests by key are sent to the mover. */
-const KEY_COUNTS_MS = 200;
-/** The interval for each VM, so that the mover takes a bounded number. */
+/** Shortest interval at which request counts by key are sent to the leader. */
+const KEY_COUNTS_INTERVAL_MS = 200;
+/**
+ * The interval grows by this for each VM, which limits the message rate at the
+ * leader.
+ */
 const KEY_COUNTS_PER_VM_MS = 6;
-const RANGE_MAP_CALL = "rangeMap";
-/** Keys in one message; of more, the most requested are sent. */
-const KEYS_PER_MESSAGE = 400;
+const RANGE_MAP_RPC = "rangeMap";
+/**
+ * Largest number of keys in one message; of more, the most requested are sent.
+ */
+const MAX_KEYS_PER_MESSAGE = 400;
 
 /** Runs {@link ServiceGrants} for each keyed service. */
 export class GrantTask {
   readonly #options: GrantTaskOptions;
   readonly #services = new Map<contracts.ServiceId, ServiceGrants>();
   readonly #counts = new Map<contracts.ServiceId, Map<number, number>>();
-  /** Length of grants that the routes of each service need. */
-  readonly #wishedHoldMs = new Map<contracts.ServiceId, number>();
+  /** Lease duration that the routes of each service need. */
+  readonly #desiredLeaseMs = new Map<contracts.ServiceId, number>();
   readonly #listeners: ((service: contracts.ServiceId) => void)[] = [];
-  #keepers: ReadonlySet<contracts.VmId> = new Set();
+  #voters: ReadonlySet<contracts.VmId> = new Set();
   #suspensions = 0;
   #work: RegularWork | undefined;
   #countsSentAtMs = Number.NEGATIVE_INFINITY;
@@ -69,27 +77,28 @@
   constructor(options: GrantTaskOptions) {
     this.#options = options;
     const { gossip } = options;
-    gossip.onKeeper(({ status, askedAtMs, receivedAtMs }) => {
+    gossip.onVoterStatus(({ status, sentAtMs, receivedAtMs }) => {
       for (const service of this.#services.values()) {
-        service.noteKeeper(status, askedAtMs, receivedAtMs);
+        service.noteVoterStatus(status, sentAtMs, receivedAtMs);
       }
       this.#noteRevisions(status);
     });
     gossip.onHello((hello) => this.#noteRevisions(hello));
-    options.calls.on(
-      RANGE_MAP_CALL,
-      (id) => this.#services.get(id as contracts.ServiceId)?.map,
+    options.rpc.on(
+      RANGE_MAP_RPC,
+      (serviceId) => this.#services.get(serviceId as contracts.ServiceId)?.map,
     );
     gossip.on(
       messages.RANGE_MAP_METHOD,
-      messages.rangeMapNewsSchema,
-      (news) => {
-        const service = this.#services.get(news.map.service);
-        const isNewer = news.map.revision > (service?.map?.revision ?? 0);
-        service?.noteNews(news);
-        // The mover waits until a majority of keepers knows the map.
-        const mustTell = isNewer && this.#keepers.has(options.self.vm);
-        if (mustTell) gossip.tellKeepers();
+      messages.rangeMapUpdateSchema,
+      (update) => {
+        const service = this.#services.get(update.map.service);
+        const isNewerRevision =
+          update.map.revision > (service?.map?.revision ?? 0);
+        service?.applyUpdate(update);
+        // The leader waits until a majority of voters has acknowledged the map.
+        const mustNotify = isNewerRevision && this.#voters.has(options.self.vm);
+        if (mustNotify) gossip.notifyVoters();
       },
     );
     gossip.on(
@@ -97,28 +106,28 @@
       messages.keyCountsSchema,
       (counts) => this.#services.get(counts.service)?.noteKeyCounts(counts),
     );
-    options.config.onChange(() => this.#followConfig());
+    options.config.onChange(() => this.#applyConfig());
   }
 
-  /** Starts the regular work. */
+  /** Starts the periodic work. */
   start(lifeCycle: LifeCycle): void {
     this.#work = lifeCycle.every(TICK_MS, () => this.#tick());
-    lifeCycle.every(KEY_COUNTS_MS, () => this.#sendKeyCounts());
+    lifeCycle.every(KEY_COUNTS_INTERVAL_MS, () => this.#sendKeyCounts());
   }
 
-  /** Called when owners of a service's keys have changed. */
+  /** Registers a listener for changes of the owners of a service's keys. */
   onChange(listener: (service: contracts.ServiceId) => void): void {
     this.#listeners.push(listener);
   }
 
-  /** Who owns a key of a service. */
+  /** The owner of a key of a service. */
   ownerOf(service: contracts.ServiceId, key: number): admission.KeyOwner {
     return this.#services.get(service)?.ownerOf(key) ?? { kind: "unknown" };
   }
 
-  /** Whether the owners of all keyed services are known. */
-  get isKnown(): boolean {
-    return [...this.#services.values()].every(({ isKnown }) => isKnown);
+  /** Whether the range maps of all keyed services are known. */
+  get areOwnersKnown(): boolean {
+    return [...this.#services.values()].every(({ isMapKnown }) => isMapKnown);
   }
 
   /** Counts a request for a key. */
@@ -127,48 +136,48 @@
     counts?.set(key, (counts.get(key) ?? 0) + 1);
   }
 
-  /** What all VMs are told of ownership. */
+  /** This VM's part of the hello that concerns ownership. */
   ownHello(): Pick<messages.PeerHello, "maps"> {
     const maps: messages.PeerHello["maps"] = {};
-    for (const [id, { word }] of this.#services) maps[id] = word;
+    for (const [id, { mapStatus }] of this.#services) maps[id] = mapStatus;
     return { maps };
   }
 
-  /** Whether this VM makes the moves of some service. */
-  get isMover(): boolean {
-    return [...this.#services.values()].some(({ isMover }) => isMover);
+  /** Whether this VM is the leader of a service's ranges. */
+  get isLeader(): boolean {
+    return [...this.#services.values()].some(({ isLeader }) => isLeader);
   }
 
-  /** VMs that answer for the maps of any service. */
-  keepers(): ReadonlySet<contracts.VmId> {
-    return this.#keepers;
+  /** Voters of the range maps of all services. */
+  voters(): ReadonlySet<contracts.VmId> {
+    return this.#voters;
   }
 
   #noteRevisions(
     { maps, vm }: Pick<messages.PeerHello, "maps" | "vm">,
   ): void {
     for (const [id, service] of this.#services) {
-      service.noteRevision(maps[id]?.[0] ?? 0, vm);
+      service.notePeerRevision(maps[id]?.[0] ?? 0, vm);
     }
   }
 
-  /** What the other keepers are told of this VM's grants. */
-  ownKeeperState(): Pick<
-    messages.KeeperStatus,
+  /** This VM's grants, as reported to the other voters. */
+  ownVoterState(): Pick<
+    messages.VoterStatus,
     "grantAgesMs" | "silentServers"
   > {
-    const grantAgesMs: messages.KeeperStatus["grantAgesMs"] = {};
+    const grantAgesMs: messages.VoterStatus["grantAgesMs"] = {};
     const silentServers: string[] = [];
     for (const service of this.#services.values()) {
       for (const [server, ages] of service.grantAgesMs) {
         grantAgesMs[server] = ages;
       }
-      silentServers.push(...service.silentServers);
+      silentServers.push(...service.unresponsiveServers);
     }
     return { grantAgesMs, silentServers };
   }
 
-  /** Services with their map, for metrics. */
+  /** The range map of each service, for metrics. */
   maps(): ReadonlyMap<contracts.ServiceId, contracts.RangeMap | undefined> {
     return new Map([...this.#services].map(([id, { map }]) => [id, map]));
   }
@@ -178,19 +187,21 @@
     clock.nowMs();
     if (clock.suspensions !== this.#suspensions) {
       this.#suspensions = clock.suspensions;
-      log.warn("The machine was suspended; evidence is dropped.");
+      log.warn(
+        "The machine was suspended; discards confirmations of range maps.",
+      );
       for (const service of this.#services.values()) service.noteSuspension();
     }
     for (const service of this.#services.values()) service.tick();
-    const hasDuty = this.isMover || this.#keepers.has(this.#options.self.vm);
-    this.#work?.setIntervalMs(hasDuty ? DUTY_TICK_MS : TICK_MS);
+    const isActive = this.isLeader || this.#voters.has(this.#options.self.vm);
+    this.#work?.setIntervalMs(isActive ? ACTIVE_TICK_MS : TICK_MS);
   }
 
-  #followConfig(): void {
+  #applyConfig(): void {
     const { services, routes } = this.#options.config.active!.config;
     for (const { name, isKeyed } of services.values()) {
       if (!isKeyed) continue;
-      this.#wishedHoldMs.set(name, this.#holdMsFor(name, routes));
+      this.#desiredLeaseMs.set(name, this.#desiredLeaseFor(name, routes));
       if (this.#services.has(name)) continue;
       this.#services.set(name, this.#create(name));
       this.#counts.set(name, new Map());
@@ -199,7 +210,7 @@
       if (services.get(id)?.isKeyed) continue;
       this.#services.delete(id);
       this.#counts.delete(id);
-      this.#wishedHoldMs.delete(id);
+      this.#desiredLeaseMs.delete(id);
     }
   }
 
@@ -209,53 +220,54 @@
       ...this.#options,
       ...self,
       service,
-      peers: () => this.#peers(),
-      wishedHoldMs: () =>
-        this.#wishedHoldMs.get(service) ?? this.#options.timings.holdMs,
-      silentMs: (vm) => gossip.silentMs(vm),
-      askMap: (peer) => this.#askMap(service, peer),
-      publish: (news) => {
-        // Keepers whose status the mover waits for get the map directly.
-        const keepers = [...this.#keepers];
-        gossip.send(messages.RANGE_MAP_METHOD, news, keepers);
-        gossip.spread(messages.RANGE_MAP_METHOD, news);
-        gossip.tellKeepers();
+      peers: () => this.#grantPeers(),
+      desiredLeaseMs: () =>
+        this.#desiredLeaseMs.get(service) ?? this.#options.timings.holdMs,
+      sinceLastMessageMs: (vm) => gossip.sinceLastMessageMs(vm),
+      fetchMap: (peer) => this.#fetchMap(service, peer),
+      publish: (update) => {
+        // The leader waits for the status of all voters, so they get the map
+        // directly.
+        const voters = [...this.#voters];
+        gossip.send(messages.RANGE_MAP_METHOD, update, voters);
+        gossip.broadcast(messages.RANGE_MAP_METHOD, update);
+        gossip.notifyVoters();
       },
-      tellPeers: () => gossip.tellKeepers(),
+      notifyVoters: () => gossip.notifyVoters(),
       onChange: () => {
-        this.#gatherKeepers();
+        this.#collectVoters();
         for (const listener of this.#listeners) listener(service);
       },
     });
   }
 
-  #holdMsFor(
+  #desiredLeaseFor(
     service: contracts.ServiceId,
     routes: readonly contracts.Route[],
   ): number {
-    const { timings, longestGrantMs } = this.#options;
+    const { timings, maxLeaseMs } = this.#options;
     const targetsMs = routes
       .filter(({ targets }) => targets.some((it) => it.service === service))
       .map(({ targetLatencyMs }) => targetLatencyMs);
-    const limits = { leastMs: timings.holdMs, mostMs: longestGrantMs };
+    const limits = { leastMs: timings.holdMs, mostMs: maxLeaseMs };
     return grants.wishedHoldMs(targetsMs, limits);
   }
 
-  /** The map as a peer knows it; undefined without an answer. */
-  async #askMap(
+  /** Fetches the map from a peer; undefined without an answer. */
+  async #fetchMap(
     service: contracts.ServiceId,
     peer: contracts.VmId,
   ): Promise<contracts.RangeMap | undefined> {
-    const { gossip, calls, log } = this.#options;
+    const { gossip, rpc, log } = this.#options;
     const address = gossip.live.find(({ vm }) => vm === peer);
     if (address === undefined) return undefined;
-    const answer = await calls.ask(address, {
-      method: RANGE_MAP_CALL,
+    const answer = await rpc.call(address, {
+      method: RANGE_MAP_RPC,
       name: service,
-      result: contracts.rangeMapSchema,
+      resultSchema: contracts.rangeMapSchema,
     });
     if (answer.isOk()) return answer.value;
-    log.warn("A peer did not tell its range map.", {
+    log.warn("Fetching the range map from a peer failed.", {
       service,
       peer,
       reason: answer.error.message,
@@ -263,39 +275,39 @@
     return undefined;
   }
 
-  #gatherKeepers(): void {
-    this.#keepers = new Set(
+  #collectVoters(): void {
+    this.#voters = new Set(
       [...this.#services.values()]
         .flatMap(({ map }) => map?.keeperSets.flat() ?? []),
     );
   }
 
-  #peers(): readonly GrantPeer[] {
+  #grantPeers(): readonly GrantPeer[] {
     const { gossip, self, health, isLeaving } = this.#options;
     const peers: GrantPeer[] = [...gossip.live];
     if (!isLeaving() || peers.length === 0) {
-      peers.push({ ...self, hasStore: health.isReached });
+      peers.push({ ...self, hasStore: health.isReachable });
     }
     return peers;
   }
 
   #sendKeyCounts(): void {
-    const { gossip, self, clock, serverFactorsOf } = this.#options;
+    const { gossip, self, clock, latencyFactorsOf } = this.#options;
     const intervalMs = gossip.vmCount * KEY_COUNTS_PER_VM_MS;
     if (clock.nowMs() - this.#countsSentAtMs < intervalMs) return;
     this.#countsSentAtMs = clock.nowMs();
     for (const [service, counts] of this.#counts) {
       if (counts.size === 0) continue;
-      const told = [...counts].sort((a, b) => b[1] - a[1])
-        .slice(0, KEYS_PER_MESSAGE).flat();
+      const flatCounts = [...counts].sort((a, b) => b[1] - a[1])
+        .slice(0, MAX_KEYS_PER_MESSAGE).flat();
       counts.clear();
-      const owner = this.#services.get(service)!;
-      const mover = owner.moverVm;
-      const serverFactors = Object.fromEntries(serverFactorsOf(service));
-      const message = { service, counts: told, serverFactors };
-      if (mover === self.vm) owner.noteKeyCounts(message);
-      else if (mover !== undefined) {
-        gossip.send(messages.KEY_COUNTS_METHOD, message, [mover]);
+      const grantsOfService = this.#services.get(service)!;
+      const leader = grantsOfService.leaderVm;
+      const serverFactors = Object.fromEntries(latencyFactorsOf(service));
+      const message = { service, counts: flatCounts, serverFactors };
+      if (leader === self.vm) grantsOfService.noteKeyCounts(message);
+      else if (leader !== undefined) {
+        gossip.send(messages.KEY_COUNTS_METHOD, message, [leader]);
       }
     }
   }
--- a/packages/entry/src/gateway/grant_test_support.ts
+++ b/packages/entry/src/gateway/grant_test_support.ts
@@ -1,11 +1,13 @@
-/** A backend server as tests of grants know it. */
+/** Registry entries of backend servers for tests of grants. */
 import type * as contracts from "@guavatide/contracts";
 
-/** The keyed service of tests of grants. */
+/** The keyed service in these tests. */
 export const KEYED_SERVICE = "keyed" as contracts.ServiceId;
 
-/** The entry of a server in its first life. */
-export function entryOf(server: contracts.ServerId): contracts.ServerEntry {
+/** The registry entry of a server in its first incarnation. */
+export function serverEntryOf(
+  server: contracts.ServerId,
+): contracts.ServerEntry {
   return {
     server,
     bornMs: 1,
--- a/packages/entry/src/gateway/kind_watch.ts
+++ b/packages/entry/src/gateway/kind_watch.ts
@@ -1,13 +1,14 @@
 /**
- * Keeps a copy of all objects of one kind of the platform's store: by a watch
- * of its own on the VMs that read for all, else by what these tell.
+ * Keeps a copy of all objects with one prefix of the platform's store: readers
+ * list and watch the store, all other VMs follow the changes that readers
+ * relay.
  */
 import type * as contracts from "@guavatide/contracts";
 import * as timers from "node:timers/promises";
 import type { LifeCycle } from "../utils/life_cycle.ts";
 import type { PartLog } from "../utils/log.ts";
 import { type ObjectChange, ObjectTable } from "./object_table.ts";
-import type { KindState } from "./peer_messages.ts";
+import type { KindSnapshot } from "./peer_messages.ts";
 import type { StoreHealth } from "./store_health.ts";
 import type {
   RelayedChanges,
@@ -24,15 +25,15 @@
   readonly clock: contracts.Clock;
   readonly random: contracts.RandomSource;
   readonly relay: WatchRelay;
-  /** All objects, at the first list. */
+  /** Called once, with all objects of the first list. */
   readonly onList: (objects: readonly contracts.StoredObject[]) => void;
-  /** Changes that were learned together, in their order. */
+  /** Called with changes that were learned together, in their order. */
   readonly onChanges: (changes: readonly ObjectChange[]) => void;
 }
 
 /**
- * Longest wait of one watch. Two readers tell one another what they hear, so
- * that a connection that has gone silent is noticed with the next change.
+ * Longest wait of one watch call. Two readers notify each other of changes, so
+ * that a dead connection is noticed with the next change.
  */
 const WATCH_WAIT_MS = 20_000;
 /**
@@ -40,40 +41,42 @@
  * replaced, and each batch costs every reader one call.
  */
 const BATCH_PAUSE_MS = 250;
-/** Time beyond its wait after which a watch without an answer is given up. */
-const WATCH_SLACK_MS = 1_000;
-/** Longest time of a list: the store answers in a few milliseconds. */
+/** A watch call times out this long after its wait. */
+const WATCH_TIMEOUT_SLACK_MS = 1_000;
+/** Timeout of a list call: the store answers in a few milliseconds. */
 const LIST_TIMEOUT_MS = 1_000;
 const RETRY_MIN_MS = 60;
 const RETRY_MAX_MS = 600;
-/** Time that a peer's news may take to arrive over the own watch. */
-const NEWS_GRACE_MS = 250;
+/** A change known to a peer may take this long to arrive over the own watch. */
+const WATCH_GRACE_MS = 250;
 /**
- * Time that peers may take to tell what this VM missed; then it asks one of
- * them for all objects. A change has to be known within 2 s.
+ * Peers have this long to send the changes that this VM missed; then it fetches
+ * all objects from one of them. A change has to be known within 2 s.
  */
 const RELAY_GRACE_MS = 600;
-/** Least time between two questions for them. */
-const ASK_SPACING_MS = 150;
+/** Shortest interval between two requests for missed changes. */
+const REQUEST_INTERVAL_MIN_MS = 150;
 
-/** A task that follows a kind. */
+/** Lists and watches the objects of one prefix. */
 export class KindWatch implements RelayedWatch {
   readonly #options: KindWatchOptions;
   readonly #table = new ObjectTable();
   #isListed = false;
-  /** All changes up to here are known, also when there was none. */
-  #knownTo = 0;
+  /** Changes up to this position are known, also when there were none. */
+  #knownPosition = 0;
   #position = 0;
-  /** Whether the objects have to be listed or asked for anew. */
+  /** Whether all objects have to be listed or fetched again. */
   #isStale = true;
   #failures = 0;
   #abort: AbortController | undefined;
-  /** Highest position that peers have told of, and since when it is missed. */
-  #newsPosition = 0;
-  #newsSinceMs: number | undefined;
-  #newsPeer: contracts.VmId | undefined;
-  #askedMs = Number.NEGATIVE_INFINITY;
-  /** Ends the wait of a VM that leaves reading to others. */
+  /**
+   * Highest position reported by peers, and since when it is ahead of the own.
+   */
+  #peerPosition = 0;
+  #behindSinceMs: number | undefined;
+  #aheadPeer: contracts.VmId | undefined;
+  #requestedAtMs = Number.NEGATIVE_INFINITY;
+  /** Ends the wait of a VM that is not a reader. */
   #wake: () => void = () => {};
 
   constructor(options: KindWatchOptions) {
@@ -85,18 +88,21 @@
     return this.#options.prefix;
   }
 
-  /** Position of the last change that this VM has heard of. */
+  /** Position of the last change known to this VM. */
   get position(): number {
     return this.#position;
   }
 
-  /** Up to here nothing is missing. */
-  get #completeTo(): number {
-    return Math.max(this.#position, this.#knownTo);
+  /** Position up to which no change is missing. */
+  get #completePosition(): number {
+    return Math.max(this.#position, this.#knownPosition);
   }
 
-  /** All objects, for a peer that has none or missed some. */
-  get state(): KindState | undefined {
+  /**
+   * All objects, for a peer that has none or missed changes; undefined before
+   * the first list.
+   */
+  get snapshot(): KindSnapshot | undefined {
     if (!this.#isListed) return undefined;
     const objects = this.#table.all
       .map(({ name, version, value }): [string, string, string] => [
@@ -107,79 +113,88 @@
     return { position: this.#position, objects };
   }
 
-  /** Starts the task. */
+  /** Starts to list and watch, until the life cycle ends. */
   start(lifeCycle: LifeCycle): void {
     lifeCycle.signal.addEventListener("abort", () => this.#abort?.abort());
-    // A watch that was waiting when the store went silent would go on waiting,
-    // and changes made after its return would be known seconds late.
-    this.#options.health.onRegained(() => {
+    // A watch that was waiting when the store became unreachable would go on
+    // waiting, and changes made after its return would be known seconds late.
+    this.#options.health.onRecovered(() => {
       if (this.#isListed && this.#options.relay.isReader) {
-        this.#renew("the store is back");
+        this.#relist("the store is back");
       }
     });
     this.#run(lifeCycle.signal).catch((error) =>
-      this.#options.log.error("Watch ended.", { error: String(error) })
+      this.#options.log.error("Watch failed.", { error: String(error) })
     );
   }
 
-  noteNews(position: number, peer: contracts.VmId): void {
+  notePeerPosition(position: number, peer: contracts.VmId): void {
     if (!this.#isListed) return;
-    this.#newsPosition = Math.max(this.#newsPosition, position);
-    const known = this.#completeTo;
-    if (this.#newsPosition <= known) {
-      this.#newsSinceMs = undefined;
+    this.#peerPosition = Math.max(this.#peerPosition, position);
+    const known = this.#completePosition;
+    if (this.#peerPosition <= known) {
+      this.#behindSinceMs = undefined;
       return;
     }
-    // This peer may lack the news as well.
+    // This peer may lack the changes as well.
     if (position <= known) return;
     const nowMs = this.#options.clock.nowMs();
-    this.#newsSinceMs ??= nowMs;
-    this.#newsPeer = peer;
-    const sinceMs = nowMs - this.#newsSinceMs;
-    if (!this.#options.relay.isReader && sinceMs < RELAY_GRACE_MS) {
-      return this.#ask(peer);
+    this.#behindSinceMs ??= nowMs;
+    this.#aheadPeer = peer;
+    const behindMs = nowMs - this.#behindSinceMs;
+    if (!this.#options.relay.isReader && behindMs < RELAY_GRACE_MS) {
+      return this.#requestMissed(peer);
     }
-    if (sinceMs < NEWS_GRACE_MS) return;
-    this.#newsSinceMs = undefined;
-    this.#renew("peers know newer changes");
+    if (behindMs < WATCH_GRACE_MS) return;
+    this.#behindSinceMs = undefined;
+    this.#relist("peers know newer changes");
   }
 
-  takeRelayed(changes: RelayedChanges, from: contracts.VmId): void {
+  applyRelayed(changes: RelayedChanges, from: contracts.VmId): void {
     const { fromPosition, toPosition, events, names } = changes;
     if (!this.#isListed || toPosition <= this.#position) return;
     if (events === undefined) {
-      this.#newsPeer = from;
-      return this.#renew("changes are not told");
+      this.#aheadPeer = from;
+      return this.#relist("changes are not told");
     }
-    if (fromPosition > this.#completeTo) {
-      return this.#ask(from);
+    if (fromPosition > this.#completePosition) {
+      return this.#requestMissed(from);
     }
-    const missing = names === undefined ? [] : this.#table.missing(names);
-    // Those up to the own position come again, in their order: the last change
-    // of each object is the one that stays.
+    const missing = names === undefined
+      ? []
+      : this.#table.deletionsExcept(names);
+    // Changes up to the own position are applied again, in their order: the
+    // last change of each object prevails.
     this.#apply([...events, ...missing]);
     this.#position = toPosition;
-    this.#knownTo = Math.max(this.#knownTo, toPosition);
+    this.#knownPosition = Math.max(this.#knownPosition, toPosition);
   }
 
-  /** Asks a peer for what was missed, not with each word of each peer. */
-  #ask(peer: contracts.VmId): void {
+  /**
+   * Requests missed changes from a peer, at a limited rate, as every peer
+   * reports positions.
+   */
+  #requestMissed(peer: contracts.VmId): void {
     const { clock, relay, prefix } = this.#options;
     const nowMs = clock.nowMs();
-    if (nowMs - this.#askedMs < ASK_SPACING_MS) return;
-    this.#askedMs = nowMs;
-    relay.ask(prefix, this.#completeTo, peer);
+    if (nowMs - this.#requestedAtMs < REQUEST_INTERVAL_MIN_MS) return;
+    this.#requestedAtMs = nowMs;
+    relay.requestChanges(prefix, this.#completePosition, peer);
   }
 
-  roleChanged(): void {
+  onRoleChange(): void {
     this.#abort?.abort();
     this.#wake();
   }
 
-  /** Learns all objects anew. */
-  #renew(reason: string): void {
+  /** Lists or fetches all objects again. */
+  #relist(reason: string): void {
     const { log, prefix } = this.#options;
-    log.info("Lists anew.", { prefix, reason, position: this.#position });
+    log.info("Lists all objects again.", {
+      prefix,
+      reason,
+      position: this.#position,
+    });
     this.#isStale = true;
     this.#abort?.abort();
     this.#wake();
@@ -189,22 +204,24 @@
     while (!signal.aborted) {
       this.#abort = new AbortController();
       const isDone = await this.#step(signal);
-      if (!isDone && !signal.aborted) await this.#pause();
+      if (!isDone && !signal.aborted) await this.#backOff();
     }
   }
 
   #step(signal: AbortSignal): Promise<boolean> {
     const { isReader } = this.#options.relay;
-    if (!this.#isListed) return this.#begin();
+    if (!this.#isListed) return this.#listFirst();
     if (this.#isStale) {
       return isReader
         ? this.#list({ mayBeStale: false })
-        : this.#takeFromPeer();
+        : this.#fetchFromPeer();
     }
     return isReader ? this.#watch() : this.#untilWoken(signal);
   }
 
-  /** Waits until this VM is to read, or to learn all objects anew. */
+  /**
+   * Waits until this VM becomes a reader, or has to fetch all objects again.
+   */
   #untilWoken(signal: AbortSignal): Promise<boolean> {
     return new Promise((resolve) => {
       const wake = () => {
@@ -217,29 +234,29 @@
   }
 
   /**
-   * The first list may be some seconds old: readers tell what has changed since.
-   * With the store away a peer's knowledge serves.
+   * Gets the first list. It may be some seconds old, as readers send what has
+   * changed since. After a failure of the store a peer is asked in turn.
    */
-  async #begin(): Promise<boolean> {
-    if (this.#failures % 2 === 1 && await this.#takeFromPeer()) return true;
+  async #listFirst(): Promise<boolean> {
+    if (this.#failures % 2 === 1 && await this.#fetchFromPeer()) return true;
     return this.#list({ mayBeStale: !this.#options.relay.isReader });
   }
 
-  async #takeFromPeer(): Promise<boolean> {
+  async #fetchFromPeer(): Promise<boolean> {
     const { relay, prefix } = this.#options;
-    const state = await relay.fetchState(prefix, this.#newsPeer);
-    this.#newsPeer = undefined;
-    // Nobody answers: the store does, or the next peer.
-    if (state === undefined) {
+    const snapshot = await relay.fetchSnapshot(prefix, this.#aheadPeer);
+    this.#aheadPeer = undefined;
+    // Without an answer: lists the store, or retries with the next peer.
+    if (snapshot === undefined) {
       return this.#isListed ? this.#list({ mayBeStale: false }) : false;
     }
     this.#isStale = false;
-    if (this.#isListed && state.position <= this.#position) return true;
-    const objects = state.objects
+    if (this.#isListed && snapshot.position <= this.#position) return true;
+    const objects = snapshot.objects
       .map(([name, version, value]) => ({ name, version, value }));
     this.#replace(objects);
-    this.#position = state.position;
-    this.#knownTo = Math.max(this.#knownTo, state.position);
+    this.#position = snapshot.position;
+    this.#knownPosition = Math.max(this.#knownPosition, snapshot.position);
     return true;
   }
 
@@ -250,31 +267,31 @@
       timeoutMs: LIST_TIMEOUT_MS,
       signal: this.#abort!.signal,
     });
-    if (result.isErr()) return this.#failed(result.error);
+    if (result.isErr()) return this.#noteFailure(result.error);
     health.noteAnswer();
     this.#failures = 0;
     this.#isStale = false;
     const { objects, cursor } = result.value;
-    const newest = Math.max(
+    const newestPosition = Math.max(
       0,
       ...objects.map(({ version }) => Number(version)),
     );
     if (options.mayBeStale) {
       this.#replace(objects);
-      // Objects may be older than the list's own position says.
-      this.#position = newest;
-      this.#knownTo = newest;
+      // A stale list's objects may be older than its cursor says.
+      this.#position = newestPosition;
+      this.#knownPosition = newestPosition;
       return true;
     }
     const wasListed = this.#isListed;
-    const fromPosition = this.#completeTo;
+    const fromPosition = this.#completePosition;
     const events = this.#replace(objects);
-    this.#knownTo = Number(cursor);
-    // The list's own position also rises with changes of other kinds, and peers
-    // that listed a little earlier would seem to lack something.
-    this.#position = Math.max(this.#position, newest);
+    this.#knownPosition = Number(cursor);
+    // The cursor of a list also rises with changes of other prefixes, and peers
+    // that listed a little earlier would seem to lack changes.
+    this.#position = Math.max(this.#position, newestPosition);
     if (!wasListed || events.length === 0) return true;
-    this.#position = this.#knownTo;
+    this.#position = this.#knownPosition;
     const names = this.#table.names;
     const toPosition = this.#position;
     relay.publish(prefix, { fromPosition, toPosition, events, names });
@@ -283,18 +300,18 @@
 
   async #watch(): Promise<boolean> {
     const { store, prefix, health, relay } = this.#options;
-    const cursor = this.#completeTo;
+    const cursor = this.#completePosition;
     const waitMs = this.#waitMs();
     const result = await store.watch(prefix, {
       cursor: String(cursor),
       waitMs,
-      timeoutMs: waitMs + WATCH_SLACK_MS,
+      timeoutMs: waitMs + WATCH_TIMEOUT_SLACK_MS,
       signal: this.#abort!.signal,
     });
-    // Asked to list anew meanwhile, or not to read any more: what came of the
-    // watch is of no interest.
+    // The result is dropped if this VM has meanwhile to list again, or is no
+    // longer a reader.
     if (this.#isStale || this.#abort!.signal.aborted) return true;
-    if (result.isErr()) return this.#failed(result.error);
+    if (result.isErr()) return this.#noteFailure(result.error);
     health.noteAnswer();
     this.#failures = 0;
     const { events, reset } = result.value;
@@ -303,12 +320,12 @@
       return true;
     }
     const toPosition = Number(result.value.cursor);
-    this.#knownTo = Math.max(this.#knownTo, toPosition);
+    this.#knownPosition = Math.max(this.#knownPosition, toPosition);
     if (events.length === 0) return true;
-    // Nothing has changed between the last change known here and the watch's
-    // begin, so peers that know as much can take these changes.
+    // Nothing has changed between the last change known here and the start of
+    // the watch, so peers that know as much can apply these changes.
     const fromPosition = Math.min(cursor, this.#position);
-    // A peer may have told these changes, and later ones, meanwhile.
+    // A peer may have sent these changes, and later ones, meanwhile.
     if (toPosition > this.#position) {
       this.#position = toPosition;
       this.#apply(events);
@@ -318,11 +335,11 @@
     return true;
   }
 
-  /** Makes the table equal to a list, and returns what that changed. */
+  /** Makes the table equal to a list, and returns the changes. */
   #replace(
     objects: readonly contracts.StoredObject[],
   ): readonly ObjectChange[] {
-    const changes = this.#table.changesTo(objects);
+    const changes = this.#table.diff(objects);
     if (this.#isListed) {
       this.#apply(changes);
       return changes;
@@ -344,21 +361,22 @@
     return Math.round(WATCH_WAIT_MS * (0.5 + random.next() / 2));
   }
 
-  #failed(error: contracts.StoreError): boolean {
+  #noteFailure(error: contracts.StoreError): boolean {
     if (this.#abort!.signal.aborted) return true;
     this.#failures++;
     this.#options.health.noteFailure(error);
     return false;
   }
 
-  async #pause(): Promise<void> {
-    const limitMs = Math.min(
+  async #backOff(): Promise<void> {
+    const backoffMs = Math.min(
       RETRY_MAX_MS,
       RETRY_MIN_MS * 2 ** Math.min(8, this.#failures),
     );
-    // Jitter keeps the VMs from asking a store that is just back all at once.
+    // Jitter keeps the VMs from calling a store that has just recovered all at
+    // once.
     await timers.setTimeout(
-      limitMs * (0.5 + this.#options.random.next() / 2),
+      backoffMs * (0.5 + this.#options.random.next() / 2),
     );
   }
 }
--- a/packages/entry/src/gateway/map_publisher.ts
+++ b/packages/entry/src/gateway/map_publisher.ts
@@ -1,54 +1,57 @@
-/** Tells all entry VMs the range map that the mover has written. */
+/** Publishes the range map that the leader has written to all entry VMs. */
 import type * as contracts from "@guavatide/contracts";
 import * as grants from "@guavatide/decisions/grants/mod";
-import type { RangeMapNews } from "./peer_messages.ts";
+import type { RangeMapUpdate } from "./peer_messages.ts";
 
 /** Options of {@link MapPublisher}. */
 export interface MapPublisherOptions {
   readonly clock: contracts.Clock;
   /** Sends an update of the map to all peers. */
-  readonly publish: (news: RangeMapNews) => void;
+  readonly publish: (update: RangeMapUpdate) => void;
 }
 
-/** The mover tells its map again at this interval: datagrams get lost. */
-const RESEND_MS = 400;
-/** So many times after each change. */
-const RESENDS = 2;
+/** Interval at which the leader resends its map, as datagrams may be lost. */
+const RESEND_INTERVAL_MS = 400;
+/** Number of sends after each change, the first included. */
+const SENDS_PER_CHANGE = 2;
 
-/** News of one service's map. */
+/** Publishes the changes of one service's map. */
 export class MapPublisher {
   readonly #options: MapPublisherOptions;
-  readonly #news = new grants.RangeNews();
-  #resendsLeft = 0;
+  readonly #history = new grants.RangeNews();
+  #sendsLeft = 0;
   #sentAtMs = 0;
 
   constructor(options: MapPublisherOptions) {
     this.#options = options;
   }
 
-  /** A map came in force here, whoever wrote it. */
+  /** A newer map was adopted, whoever wrote it. */
   noteMap(map: contracts.RangeMap): void {
-    this.#news.noteMap(map, this.#options.clock.nowMs());
+    this.#history.noteMap(map, this.#options.clock.nowMs());
   }
 
-  /** Tells the latest map now, and some more times. */
+  /**
+   * Sends the latest map now, and resends it later. `pendingFences`: fences
+   * whose owners have not accepted their grant.
+   */
   publish(pendingFences: Iterable<number>): void {
-    this.#resendsLeft = RESENDS;
+    this.#sendsLeft = SENDS_PER_CHANGE;
     this.#send(pendingFences);
   }
 
-  /** Tells it again when that is due. */
-  repeat(pendingFences: Iterable<number>): void {
+  /** Resends the map when that is due. */
+  resendIfDue(pendingFences: Iterable<number>): void {
     const sinceMs = this.#options.clock.nowMs() - this.#sentAtMs;
-    if (this.#resendsLeft > 0 && sinceMs >= RESEND_MS) {
+    if (this.#sendsLeft > 0 && sinceMs >= RESEND_INTERVAL_MS) {
       this.#send(pendingFences);
     }
   }
 
   #send(pendingFences: Iterable<number>): void {
-    const change = this.#news.change();
+    const change = this.#history.change();
     if (change === undefined) return;
-    this.#resendsLeft--;
+    this.#sendsLeft--;
     this.#sentAtMs = this.#options.clock.nowMs();
     this.#options.publish({ ...change, pendingFences: [...pendingFences] });
   }
--- a/packages/entry/src/gateway/move_planner.ts
+++ b/packages/entry/src/gateway/move_planner.ts
@@ -1,4 +1,6 @@
-/** Plans the moves of one service's ranges from the load that VMs report. */
+/**
+ * Plans the handovers of one service's ranges from the load that VMs report.
+ */
 import type * as contracts from "@guavatide/contracts";
 import * as grants from "@guavatide/decisions/grants/mod";
 import type { PartLog } from "../utils/log.ts";
@@ -10,46 +12,47 @@
   readonly clock: contracts.Clock;
   readonly log: PartLog;
   /**
-   * Requests a second that a server can carry; `factor` is how much longer than
-   * average it takes where others have measured that.
+   * Capacity of a server in requests per second; `factor` is how much longer
+   * than average it takes, if other VMs have measured that.
    */
   readonly capacity: (
     server: contracts.ServerEntry,
     factor: number | undefined,
   ) => number;
-  /** Whether a server has just started and bears little load. */
+  /** Whether a server is in slow start and can take little load. */
   readonly isCold: (server: contracts.ServerEntry) => boolean;
 }
 
-/** Interval of plans that even out load. */
-const BALANCE_MS = 250;
-/** A mover that has just taken over first gathers counts of keys. */
-const BALANCE_AFTER_MS = 600;
+/** Interval of plans that rebalance load. */
+const REBALANCE_INTERVAL_MS = 250;
+/** A new leader first gathers request counts by key for this long. */
+const REBALANCE_GRACE_MS = 600;
 
-/** The plans of one service. */
+/** Plans the handovers of one service. */
 export class MovePlanner {
   readonly #options: MovePlannerOptions;
   readonly #loads = new grants.KeyLoads();
   /**
-   * How much longer than average servers take, as peers' coordinators report.
+   * By server, how much longer than average it takes, as peers' slot
+   * coordinators report.
    */
-  readonly #factors = new Map<contracts.ServerId, number>();
-  #begunMs = 0;
-  #balancedAtMs = 0;
+  readonly #latencyFactors = new Map<contracts.ServerId, number>();
+  #startedAtMs = 0;
+  #rebalancedAtMs = 0;
 
   constructor(options: MovePlannerOptions) {
     this.#options = options;
   }
 
-  /** This VM makes the moves from now on. */
-  begin(nowMs: number): void {
-    this.#begunMs = nowMs;
+  /** This VM is the leader from now on. */
+  start(nowMs: number): void {
+    this.#startedAtMs = nowMs;
   }
 
-  /** Requests by key since the last message of a peer, or of this VM. */
+  /** Adds request counts by key since the last message of a peer or this VM. */
   noteKeyCounts({ counts, serverFactors }: KeyCounts): void {
     for (const [server, factor] of Object.entries(serverFactors)) {
-      this.#factors.set(server as contracts.ServerId, factor);
+      this.#latencyFactors.set(server as contracts.ServerId, factor);
     }
     const pairs: [number, number][] = [];
     for (let index = 0; index + 1 < counts.length; index += 2) {
@@ -59,7 +62,7 @@
     this.#loads.add(pairs);
   }
 
-  /** Moves to make now; none while there is nothing to gain. */
+  /** Handovers to start now; none while there is nothing to gain. */
   plan(
     map: contracts.RangeMap,
     usable: ReadonlyMap<contracts.ServerId, contracts.ServerEntry>,
@@ -67,22 +70,25 @@
   ): grants.RangeMove[] {
     if (usable.size === 0) return [];
     const { capacity, isCold, service, log } = this.#options;
-    const mayBalance = nowMs - this.#begunMs >= BALANCE_AFTER_MS &&
-      nowMs - this.#balancedAtMs >= BALANCE_MS;
-    const hasLoss = map.ranges.some(({ owner }) =>
+    const mayBalance = nowMs - this.#startedAtMs >= REBALANCE_GRACE_MS &&
+      nowMs - this.#rebalancedAtMs >= REBALANCE_INTERVAL_MS;
+    const hasLostOwner = map.ranges.some(({ owner }) =>
       usable.get(owner.server)?.bornMs !== owner.bornMs
     );
-    if (!mayBalance && !hasLoss) return [];
-    if (mayBalance) this.#balancedAtMs = nowMs;
+    if (!mayBalance && !hasLostOwner) return [];
+    if (mayBalance) this.#rebalancedAtMs = nowMs;
     this.#loads.decay(nowMs);
-    for (const server of this.#factors.keys()) {
-      if (!usable.has(server)) this.#factors.delete(server);
+    for (const server of this.#latencyFactors.keys()) {
+      if (!usable.has(server)) this.#latencyFactors.delete(server);
     }
     const servers = new Map(
       [...usable.values()].map((entry) => {
         const { server, bornMs } = entry;
         const owner = { server, bornMs };
-        const capacityPerSecond = capacity(entry, this.#factors.get(server));
+        const capacityPerSecond = capacity(
+          entry,
+          this.#latencyFactors.get(server),
+        );
         return [server, { owner, capacityPerSecond, isCold: isCold(entry) }];
       }),
     );
@@ -93,7 +99,12 @@
       mayBalance,
     });
     for (const { fromKey, toKey, to } of moves) {
-      log.info("Plans a move.", { service, fromKey, toKey, to: to.server });
+      log.info("Planned a handover.", {
+        service,
+        fromKey,
+        toKey,
+        to: to.server,
+      });
     }
     return moves;
   }
--- a/packages/entry/src/gateway/object_table.ts
+++ b/packages/entry/src/gateway/object_table.ts
@@ -1,4 +1,4 @@
-/** The objects of one kind of the platform's store, as last known. */
+/** The last known objects of one prefix of the platform's store. */
 import type * as contracts from "@guavatide/contracts";
 
 /** A change of one object; without the object when it was deleted. */
@@ -18,24 +18,27 @@
     return [...this.#objects.keys()];
   }
 
-  /** Takes over one change. */
+  /** Applies one change. */
   apply({ name, object }: ObjectChange): void {
     if (object === undefined) this.#objects.delete(name);
     else this.#objects.set(name, object);
   }
 
-  /** What makes this table equal to a whole list. */
-  changesTo(objects: readonly contracts.StoredObject[]): ObjectChange[] {
+  /** Changes that make this table equal to a complete list. */
+  diff(objects: readonly contracts.StoredObject[]): ObjectChange[] {
     const changes: ObjectChange[] = objects
       .filter(({ name, version }) =>
         this.#objects.get(name)?.version !== version
       )
       .map((object) => ({ name: object.name, object }));
-    return [...changes, ...this.missing(objects.map(({ name }) => name))];
+    return [
+      ...changes,
+      ...this.deletionsExcept(objects.map(({ name }) => name)),
+    ];
   }
 
-  /** Deletions of the objects that are not among the names. */
-  missing(names: readonly string[]): ObjectChange[] {
+  /** Deletions of all objects whose names are not listed. */
+  deletionsExcept(names: readonly string[]): ObjectChange[] {
     const listed = new Set(names);
     return this.names.filter((name) => !listed.has(name))
       .map((name) => ({ name }));
--- a/packages/entry/src/gateway/peer_book.ts
+++ b/packages/entry/src/gateway/peer_book.ts
@@ -1,74 +1,84 @@
-/** The entry VMs that this one knows, who of them is up, and their cells. */
+/**
+ * Registry of the entry VMs that this one knows: which of them are up, and
+ * their division into cells.
+ */
 import type * as contracts from "@guavatide/contracts";
 import * as cells from "@guavatide/decisions/cells/mod";
 import type { PartLog } from "../utils/log.ts";
 import type {
-  KeeperStatus,
+  PeerFailure,
   PeerHello,
-  PeerLoss,
   PeerStatus,
+  VoterStatus,
 } from "./peer_messages.ts";
 
-/** A VM that was named or heard. */
+/** A VM that the store or a peer has named, or that has sent a message. */
 export interface Peer {
   readonly vm: contracts.VmId;
   host: string;
   port: number;
   incarnation: contracts.Incarnation | undefined;
+  /** Sequence number of its last message; -1 before the first. */
   sequence: number;
-  heardAtMs: number;
+  /** When its last message arrived; when it was added, before the first. */
+  lastMessageAtMs: number;
   /**
-   * Heartbeat timeout: without another message the peer then counts as lost.
+   * Heartbeat timeout: without another message the peer counts as lost then.
    */
   liveUntilMs: number;
   /** When this VM last sent it a heartbeat. */
   sentAtMs: number;
   isLive: boolean;
   /**
-   * Lost without a leave message, it keeps its place in the cells until then.
+   * A peer lost without a leave message stays a member of its cell until then;
+   * undefined for any other.
    */
-  placeUntilMs: number | undefined;
-  /** Whether it got this VM's last status. */
-  isInCell: boolean;
-  /** Whether it got this VM's last status as a keeper. */
-  isFellowKeeper: boolean;
+  cellMemberUntilMs: number | undefined;
+  /** Whether it was sent this VM's last status. */
+  receivesStatus: boolean;
+  /** Whether it was sent this VM's last status as a voter. */
+  receivesVoterStatus: boolean;
   hello: PeerHello | undefined;
   status: PeerStatus | undefined;
 }
 
-/** Options of {@link PeerBook}. */
-export interface PeerBookOptions {
+/** Options of {@link PeerRegistry}. */
+export interface PeerRegistryOptions {
   readonly self: cells.CellVm;
   readonly clock: contracts.Clock;
   readonly log: PartLog;
-  /** VMs that answer for range maps: all of them stay in close touch. */
-  readonly keepers: () => ReadonlySet<contracts.VmId>;
+  /** Voters of range maps: each exchanges its status with all others. */
+  readonly voters: () => ReadonlySet<contracts.VmId>;
 }
 
-/** A peer silent for this long is forgotten. */
+/** A peer without a message for this long is removed. */
 const PEER_TTL_MS = 60_000;
 /**
- * A lost peer keeps its place in the cells: busy VMs miss one another's
- * heartbeats for a moment, and new cells make all of them list the store.
+ * A lost peer stays a member of its cell for this long: busy VMs miss one
+ * another's heartbeats for a moment, and new cells make all of them list the
+ * store.
  */
-const CELL_PLACE_TTL_MS = 5_000;
+const CELL_MEMBER_TTL_MS = 5_000;
 
 /** Peers by VM. */
-export class PeerBook {
-  readonly #options: PeerBookOptions;
+export class PeerRegistry {
+  readonly #options: PeerRegistryOptions;
   readonly #peers = new Map<contracts.VmId, Peer>();
   #live: readonly PeerHello[] | undefined;
-  #plan: cells.CellPlan | undefined;
-  /** VMs that are up by availability zone, for those asked for. */
-  readonly #zones = new Map<contracts.ZoneId, readonly contracts.VmId[]>();
-  /** The same for VMs that were heard lately; without a zone, all of them. */
-  readonly #known = new Map<
+  #cellPlan: cells.CellPlan | undefined;
+  /** Cache of the VMs that are up, by availability zone. */
+  readonly #liveByZone = new Map<contracts.ZoneId, readonly contracts.VmId[]>();
+  /**
+   * Cache of all known VMs, up or not, by availability zone; without a zone,
+   * those of all zones.
+   */
+  readonly #knownByZone = new Map<
     contracts.ZoneId | undefined,
     readonly contracts.VmId[]
   >();
   readonly #listeners: (() => void)[] = [];
 
-  constructor(options: PeerBookOptions) {
+  constructor(options: PeerRegistryOptions) {
     this.#options = options;
   }
 
@@ -82,8 +92,10 @@
     return this.#peers.size;
   }
 
-  /** Called when a VM came, went, or told another zone. */
-  onMembers(listener: () => void): void {
+  /**
+   * Registers a listener for VMs that join, leave, fail or change their zone.
+   */
+  onMembersChange(listener: () => void): void {
     this.#listeners.push(listener);
   }
 
@@ -91,7 +103,10 @@
     return this.#peers.get(vm);
   }
 
-  /** Adds a VM that the store or a peer has named; undefined for this one. */
+  /**
+   * Adds a VM that the store or a peer has named, or updates its address;
+   * undefined for this VM itself.
+   */
   add(vm: contracts.VmId, host: string, port: number): Peer | undefined {
     if (vm === this.#options.self.vm) return undefined;
     const found = this.#peers.get(vm);
@@ -102,13 +117,13 @@
       port,
       incarnation: undefined,
       sequence: -1,
-      heardAtMs: this.#options.clock.nowMs(),
+      lastMessageAtMs: this.#options.clock.nowMs(),
       liveUntilMs: Number.NEGATIVE_INFINITY,
       sentAtMs: Number.NEGATIVE_INFINITY,
       isLive: false,
-      placeUntilMs: undefined,
-      isInCell: false,
-      isFellowKeeper: false,
+      cellMemberUntilMs: undefined,
+      receivesStatus: false,
+      receivesVoterStatus: false,
       hello: undefined,
       status: undefined,
     };
@@ -117,97 +132,113 @@
   }
 
   /**
-   * Takes a peer's message; undefined when a later one of its run was received.
+   * Takes a peer's hello, or its status with the hello's fields; undefined when
+   * a later message of its incarnation was received.
    */
-  note(hello: PeerHello, status: PeerStatus | undefined): Peer | undefined {
+  noteHello(
+    hello: PeerHello,
+    status: PeerStatus | undefined,
+  ): Peer | undefined {
     const peer = this.add(hello.vm, hello.host, hello.port);
     if (peer === undefined) return undefined;
-    const isSameRun = peer.incarnation === hello.incarnation;
-    // Datagrams may overtake one another.
-    if (isSameRun && hello.sequence <= peer.sequence) return undefined;
+    const isSameIncarnation = peer.incarnation === hello.incarnation;
+    // Datagrams may arrive out of order.
+    if (isSameIncarnation && hello.sequence <= peer.sequence) return undefined;
     const nowMs = this.#options.clock.nowMs();
     const isLive = !hello.isLeaving;
-    const isMember = peer.isLive === isLive && isSameRun &&
+    const isUnchanged = peer.isLive === isLive && isSameIncarnation &&
       peer.hello?.zone === hello.zone;
-    const hadPlace = hasPlace(peer) && peer.hello?.zone === hello.zone;
-    if (!peer.isLive || !isSameRun) {
-      // It may not have heard of this VM yet, and is told at once.
+    const wasCellMember = isCellMember(peer) && peer.hello?.zone === hello.zone;
+    if (!peer.isLive || !isSameIncarnation) {
+      // It may not know this VM yet, so a hello is due at once.
       peer.sentAtMs = Number.NEGATIVE_INFINITY;
     }
     if (!peer.isLive) {
-      this.#options.log.info("Hears a peer.", {
+      this.#options.log.info("Received a hello from a peer that was not up.", {
         peer: hello.vm,
-        isNewRun: !isSameRun,
+        isNewRun: !isSameIncarnation,
       });
     }
     Object.assign(peer, {
       incarnation: hello.incarnation,
       sequence: hello.sequence,
-      heardAtMs: nowMs,
+      lastMessageAtMs: nowMs,
       liveUntilMs: nowMs + hello.standsMs,
       isLive,
-      placeUntilMs: undefined,
+      cellMemberUntilMs: undefined,
       hello,
-      status: status ?? (isSameRun ? peer.status : undefined),
+      status: status ?? (isSameIncarnation ? peer.status : undefined),
     });
     this.#live = undefined;
-    if (!hadPlace || !isLive) this.#plan = undefined;
-    if (!isMember) this.#changed();
+    if (!wasCellMember || !isLive) this.#cellPlan = undefined;
+    if (!isUnchanged) this.#notifyMembersChange();
     return peer;
   }
 
   /**
-   * Takes a keeper's status; false when a later one was received, or none yet.
+   * Takes a voter's status; false when a later message was received, or no
+   * hello yet.
    */
-  noteKeeper({ vm, incarnation, sequence, standsMs }: KeeperStatus): boolean {
+  noteVoterStatus(
+    { vm, incarnation, sequence, standsMs }: VoterStatus,
+  ): boolean {
     const peer = this.#peers.get(vm);
     const isNewer = peer?.incarnation === incarnation &&
       sequence > peer.sequence;
     if (peer === undefined || !isNewer || !peer.isLive) return false;
     const nowMs = this.#options.clock.nowMs();
-    // Shorter than what its hello said: a lost keeper has to be replaced soon.
+    // Shorter than the timeout of its hello: a lost voter has to be replaced
+    // soon.
     const liveUntilMs = nowMs + standsMs;
-    Object.assign(peer, { sequence, heardAtMs: nowMs, liveUntilMs });
+    Object.assign(peer, { sequence, lastMessageAtMs: nowMs, liveUntilMs });
     return true;
   }
 
-  /** A peer's cell has lost it; what was heard of it since goes first. */
-  noteLoss({ vm, incarnation, sequence }: PeerLoss): void {
+  /**
+   * Takes a report by a peer's cell that it has failed. The report is ignored
+   * when a later message of the peer was received here.
+   */
+  noteFailure({ vm, incarnation, sequence }: PeerFailure): void {
     const peer = this.#peers.get(vm);
-    const isKnown = peer?.incarnation === incarnation &&
+    const isLatest = peer?.incarnation === incarnation &&
       peer.sequence <= sequence;
-    if (isKnown) peer.liveUntilMs = Number.NEGATIVE_INFINITY;
+    if (isLatest) peer.liveUntilMs = Number.NEGATIVE_INFINITY;
   }
 
-  /** Lets time pass, and returns peers whose heartbeat timed out. */
-  tick(): Peer[] {
+  /**
+   * Expires heartbeats and old entries; returns the peers whose heartbeat has
+   * just timed out.
+   */
+  expire(): Peer[] {
     const nowMs = this.#options.clock.nowMs();
     const lost: Peer[] = [];
     let isChanged = false;
     for (const [vm, peer] of this.#peers) {
-      const silentMs = nowMs - peer.heardAtMs;
+      const sinceLastMessageMs = nowMs - peer.lastMessageAtMs;
       if (peer.isLive && nowMs > peer.liveUntilMs) {
         peer.isLive = false;
-        peer.placeUntilMs = nowMs + CELL_PLACE_TTL_MS;
+        peer.cellMemberUntilMs = nowMs + CELL_MEMBER_TTL_MS;
         peer.status = undefined;
         isChanged = true;
         lost.push(peer);
-        this.#options.log.warn("Lost a peer.", {
+        this.#options.log.warn("Peer's heartbeat timed out.", {
           peer: vm,
-          silentMs: Math.round(silentMs),
+          silentMs: Math.round(sinceLastMessageMs),
         });
       }
-      if (peer.placeUntilMs !== undefined && nowMs > peer.placeUntilMs) {
-        peer.placeUntilMs = undefined;
-        this.#plan = undefined;
+      if (
+        peer.cellMemberUntilMs !== undefined && nowMs > peer.cellMemberUntilMs
+      ) {
+        peer.cellMemberUntilMs = undefined;
+        this.#cellPlan = undefined;
         isChanged = true;
       }
-      if (silentMs > PEER_TTL_MS) {
+      if (sinceLastMessageMs > PEER_TTL_MS) {
         this.#peers.delete(vm);
-        this.#known.clear();
+        this.#knownByZone.clear();
       }
     }
-    if (isChanged) this.#changed();
+    if (isChanged) this.#notifyMembersChange();
     return lost;
   }
 
@@ -218,29 +249,34 @@
     return this.#live;
   }
 
-  /** VMs of an availability zone that are up, this one included, by name. */
-  inZone(zone: contracts.ZoneId): readonly contracts.VmId[] {
-    const found = this.#zones.get(zone);
+  /**
+   * VMs of an availability zone that are up, this one included, sorted by name.
+   */
+  liveVmsIn(zone: contracts.ZoneId): readonly contracts.VmId[] {
+    const found = this.#liveByZone.get(zone);
     if (found !== undefined) return found;
-    const vms = this.#namesIn(zone, this.live);
-    this.#zones.set(zone, vms);
+    const vms = this.#sortedVmsIn(zone, this.live);
+    this.#liveByZone.set(zone, vms);
     return vms;
   }
 
   /**
-   * VMs of an availability zone, or of all, that were heard lately, up or not,
-   * this one included, by name.
+   * Known VMs of an availability zone, or of all zones, up or not, this one
+   * included, sorted by name. A VM is known for a minute after its last
+   * message.
    */
-  knownIn(zone: contracts.ZoneId | undefined): readonly contracts.VmId[] {
-    const found = this.#known.get(zone);
+  knownVmsIn(zone: contracts.ZoneId | undefined): readonly contracts.VmId[] {
+    const found = this.#knownByZone.get(zone);
     if (found !== undefined) return found;
-    const heard = [...this.#peers.values()].flatMap(({ hello }) => hello ?? []);
-    const vms = this.#namesIn(zone, heard);
-    this.#known.set(zone, vms);
+    const hellos = [...this.#peers.values()].flatMap(({ hello }) =>
+      hello ?? []
+    );
+    const vms = this.#sortedVmsIn(zone, hellos);
+    this.#knownByZone.set(zone, vms);
     return vms;
   }
 
-  #namesIn(
+  #sortedVmsIn(
     zone: contracts.ZoneId | undefined,
     peers: readonly cells.CellVm[],
   ): readonly contracts.VmId[] {
@@ -249,40 +285,42 @@
       .map(({ vm }) => vm).sort();
   }
 
-  /** Latest statuses of peers that are up and tell them. */
+  /** Latest statuses of the peers that are up and send them to this VM. */
   *statuses(): Generator<PeerStatus> {
     for (const { isLive, status } of this.#peers.values()) {
       if (isLive && status !== undefined) yield status;
     }
   }
 
-  /** The cells of the VMs that are up or just lost, this one included. */
-  get plan(): cells.CellPlan {
+  /** The cells of the VMs that are up or were just lost, this one included. */
+  get cellPlan(): cells.CellPlan {
     const { vm, zone } = this.#options.self;
-    if (this.#plan !== undefined) return this.#plan;
-    const placed = [...this.#peers.values()]
-      .filter(hasPlace)
+    if (this.#cellPlan !== undefined) return this.#cellPlan;
+    const cellMembers = [...this.#peers.values()]
+      .filter(isCellMember)
       .map((peer) => ({ vm: peer.vm, zone: peer.hello!.zone }));
-    this.#plan = new cells.CellPlan([{ vm, zone }, ...placed]);
-    return this.#plan;
+    this.#cellPlan = new cells.CellPlan([{ vm, zone }, ...cellMembers]);
+    return this.#cellPlan;
   }
 
-  /** Whether this VM and a peer both answer for range maps. */
-  areKeepers(vm: contracts.VmId): boolean {
-    const { self, keepers } = this.#options;
-    const named = keepers();
-    return named.has(self.vm) && named.has(vm);
+  /** Whether this VM and a peer are both voters of range maps. */
+  isFellowVoter(vm: contracts.VmId): boolean {
+    const { self, voters } = this.#options;
+    const voterSet = voters();
+    return voterSet.has(self.vm) && voterSet.has(vm);
   }
 
-  #changed(): void {
+  #notifyMembersChange(): void {
     this.#live = undefined;
-    this.#zones.clear();
-    this.#known.clear();
+    this.#liveByZone.clear();
+    this.#knownByZone.clear();
     for (const listener of this.#listeners) listener();
   }
 }
 
-/** Whether the cells are drawn with a peer: it is up, or was just lost. */
-function hasPlace({ isLive, placeUntilMs }: Peer): boolean {
+/** Whether a peer belongs to a cell: it is up, or was just lost. */
+function isCellMember(
+  { isLive, cellMemberUntilMs: placeUntilMs }: Peer,
+): boolean {
   return isLive || placeUntilMs !== undefined;
 }
--- a/packages/entry/src/gateway/peer_book_test.ts
+++ b/packages/entry/src/gateway/peer_book_test.ts
@@ -1,28 +1,28 @@
 import type * as contracts from "@guavatide/contracts";
 import { expect } from "earl";
 import { test } from "node:test";
-import { PeerBook } from "./peer_book.ts";
+import { PeerRegistry } from "./peer_book.ts";
 import type { PeerHello } from "./peer_messages.ts";
 
 const SELF = { vm: "vm0" as contracts.VmId, zone: "z1" as contracts.ZoneId };
 const VMS = 14;
 
-/** A book that has heard thirteen peers. */
+/** A registry that has received hellos of 13 peers. */
 class Fixture {
   nowMs = 0;
-  readonly book = new PeerBook({
+  readonly registry = new PeerRegistry({
     self: SELF,
     clock: { nowMs: () => this.nowMs },
     log: { debug() {}, info() {}, warn() {}, error() {} },
-    keepers: () => new Set(),
+    voters: () => new Set(),
   });
   #sequence = 0;
 
   constructor() {
-    for (let index = 1; index < VMS; index++) this.hear(index);
+    for (let index = 1; index < VMS; index++) this.receiveHello(index);
   }
 
-  hear(index: number, isLeaving = false): void {
+  receiveHello(index: number, isLeaving = false): void {
     const hello: PeerHello = {
       vm: `vm${index}` as contracts.VmId,
       incarnation: "r1" as contracts.Incarnation,
@@ -36,78 +36,88 @@
       isLeaving,
       maps: {},
     };
-    this.book.note(hello, undefined);
+    this.registry.noteHello(hello, undefined);
   }
 
-  /** Lets time pass while the VMs named are heard. */
-  pass(ms: number, isHeard: (index: number) => boolean): void {
+  /** Advances the clock while VMs for which `isUp` holds send hellos. */
+  advance(ms: number, isUp: (index: number) => boolean): void {
     for (const endMs = this.nowMs + ms; this.nowMs < endMs; this.nowMs += 200) {
       for (let index = 1; index < VMS; index++) {
-        if (isHeard(index)) this.hear(index);
+        if (isUp(index)) this.receiveHello(index);
       }
-      this.book.tick();
+      this.registry.expire();
     }
   }
 }
 
-/** Guards against cells drawn anew each time that busy VMs miss a heartbeat. */
-test("should keep the cells while a VM is lost for a moment", () => {
+/** Guards against new cells each time that a busy VM misses heartbeats. */
+test("should keep the cells while a VM misses heartbeats for a moment", () => {
   const fixture = new Fixture();
-  const { plan } = fixture.book;
-  expect(plan.isSingle).toEqual(false);
-  fixture.pass(2_000, (index) => index > 2);
-  expect(fixture.book.live.length).toEqual(VMS - 3);
-  expect(fixture.book.plan === plan).toEqual(true);
-  fixture.pass(1_000, () => true);
-  expect(fixture.book.plan === plan).toEqual(true);
-  fixture.pass(7_000, (index) => index > 2);
-  expect(fixture.book.plan.isSingle).toEqual(true);
+  const { cellPlan } = fixture.registry;
+  expect(cellPlan.isSingle).toEqual(false);
+  fixture.advance(2_000, (index) => index > 2);
+  expect(fixture.registry.live.length).toEqual(VMS - 3);
+  expect(fixture.registry.cellPlan === cellPlan).toEqual(true);
+  fixture.advance(1_000, () => true);
+  expect(fixture.registry.cellPlan === cellPlan).toEqual(true);
+  fixture.advance(7_000, (index) => index > 2);
+  expect(fixture.registry.cellPlan.isSingle).toEqual(true);
 });
 
-test("should draw cells at once without a VM that says it leaves", () => {
+test("should remove a VM that announces its leave from the cells at once", () => {
   const fixture = new Fixture();
-  fixture.hear(1, true);
-  fixture.hear(2, true);
-  expect(fixture.book.plan.isSingle).toEqual(true);
+  fixture.receiveHello(1, true);
+  fixture.receiveHello(2, true);
+  expect(fixture.registry.cellPlan.isSingle).toEqual(true);
 });
 
-test("should name the VMs of an availability zone that are up", () => {
+test("should list the VMs of an availability zone that are up", () => {
   const fixture = new Fixture();
-  expect(fixture.book.inZone("z1" as contracts.ZoneId).map(String))
+  expect(fixture.registry.liveVmsIn("z1" as contracts.ZoneId).map(String))
     .toEqual(["vm0", "vm10", "vm12", "vm2", "vm4", "vm6", "vm8"]);
-  fixture.hear(2, true);
-  fixture.pass(2_000, (index) => index > 4);
-  expect(fixture.book.inZone("z1" as contracts.ZoneId).map(String))
+  fixture.receiveHello(2, true);
+  fixture.advance(2_000, (index) => index > 4);
+  expect(fixture.registry.liveVmsIn("z1" as contracts.ZoneId).map(String))
     .toEqual(["vm0", "vm10", "vm12", "vm6", "vm8"]);
 });
 
-/** Guards against a lost VM that other cells count on until its hello expires. */
-test("should take a cell's word that it has lost a VM", () => {
+/**
+ * Guards against a lost VM that other cells take for up until its hello
+ * expires.
+ */
+test("should accept a cell's report that a VM has failed", () => {
   const fixture = new Fixture();
-  const loss = {
+  const report = {
     vm: "vm3" as contracts.VmId,
     incarnation: "r1" as contracts.Incarnation,
     sequence: 2,
   };
-  // The cell has heard it last before this VM did.
-  fixture.book.noteLoss({ ...loss, sequence: 1 });
-  expect(fixture.book.tick().length).toEqual(0);
-  fixture.book.noteLoss(loss);
-  expect(fixture.book.tick().map(({ vm }) => String(vm))).toEqual(["vm3"]);
-  fixture.hear(3);
-  expect(fixture.book.live.some(({ vm }) => vm === loss.vm)).toEqual(true);
+  // The last message that the cell received is older than the last one here.
+  fixture.registry.noteFailure({ ...report, sequence: 1 });
+  expect(fixture.registry.expire().length).toEqual(0);
+  fixture.registry.noteFailure(report);
+  expect(fixture.registry.expire().map(({ vm }) => String(vm))).toEqual([
+    "vm3",
+  ]);
+  fixture.receiveHello(3);
+  expect(fixture.registry.live.some(({ vm }) => vm === report.vm)).toEqual(
+    true,
+  );
 });
 
-/** Guards against a VM that takes the place of one that is only cut off. */
-test("should go on naming a lost VM, and forget it after a minute", () => {
+/**
+ * Guards against a VM that takes over the share of one that is only
+ * partitioned.
+ */
+test("should keep a lost VM known, and remove it after a minute", () => {
   const fixture = new Fixture();
   const lost = "vm2" as contracts.VmId;
-  expect(fixture.book.knownIn(SELF.zone).includes(lost)).toEqual(true);
-  fixture.pass(5_000, (index) => index !== 2);
-  expect(fixture.book.inZone(SELF.zone).includes(lost)).toEqual(false);
-  expect(fixture.book.knownIn(SELF.zone).includes(lost)).toEqual(true);
-  expect(fixture.book.knownIn(undefined).length).toEqual(VMS);
-  fixture.pass(60_000, (index) => index !== 2);
-  expect(fixture.book.knownIn(SELF.zone).includes(lost)).toEqual(false);
-  expect(fixture.book.knownIn(undefined).length).toEqual(VMS - 1);
+  expect(fixture.registry.knownVmsIn(SELF.zone).includes(lost)).toEqual(true);
+  fixture.advance(5_000, (index) => index !== 2);
+  expect(fixture.registry.liveVmsIn(SELF.zone).includes(lost)).toEqual(false);
+  expect(fixture.registry.knownVmsIn(SELF.zone).includes(lost)).toEqual(true);
+  expect(fixture.registry.knownVmsIn(undefined).length).toEqual(VMS);
+  fixture.advance(60_000, (index) => index !== 2);
+  expect(fixture.registry.knownVmsIn(SELF.zone).includes(lost)).toEqual(false);
+  expect(fixture.registry.knownVmsIn(undefined).length).toEqual(VMS - 1);
 });
--- a/packages/entry/src/gateway/peer_calls.ts
+++ b/packages/entry/src/gateway/peer_calls.ts
@@ -1,6 +1,6 @@
 /**
- * Calls between entry VMs for what does not fit into a datagram: JSON-RPC 2.0
- * over HTTP, on the port of the datagrams.
+ * Remote procedure calls between entry VMs, for data too large for a datagram:
+ * JSON-RPC 2.0 over HTTP, on the port number of the datagrams.
  */
 import * as jsonRpc from "json-rpc-2.0";
 import * as neverthrow from "neverthrow";
@@ -12,59 +12,61 @@
 import type { PartLog } from "../utils/log.ts";
 import * as bodies from "../utils/read_body.ts";
 
-/** Options of {@link PeerCalls}. */
-export interface PeerCallsOptions {
+/** Options of {@link PeerRpc}. */
+export interface PeerRpcOptions {
   readonly host: string;
   readonly port: number;
   readonly log: PartLog;
 }
 
-/** Address of a peer's calls. */
+/** Address of a peer's RPC server. */
 export interface PeerAddress {
   readonly host: string;
   readonly port: number;
 }
 
-/** A call and the form of its result. */
-export interface PeerQuestion<Schema extends z.ZodType> {
+/** A call of a method about a named thing, with the schema of its result. */
+export interface PeerRpcRequest<Schema extends z.ZodType> {
   readonly method: string;
   readonly name: string;
-  readonly result: Schema;
+  readonly resultSchema: Schema;
 }
 
-/** Why a peer gave no usable answer. */
-export interface PeerCallError {
+/** Why a call returned no valid result. */
+export interface PeerRpcError {
   readonly kind: "unreachable" | "unreadable";
   readonly message: string;
 }
 
-/** Answers a question about a named thing; undefined when it is not known. */
-export type PeerAnswer = (name: string) => object | undefined;
+/** Returns the result for a named thing; undefined when it is unknown. */
+export type PeerRpcHandler = (name: string) => object | undefined;
 
-/** Longest time of one call. */
+/** Timeout of one call. */
 const CALL_TIMEOUT_MS = 600;
-const LONGEST_QUESTION_BYTES = 4_096;
-const UNKNOWN_CODE = -32_001;
+const MAX_REQUEST_BYTES = 4_096;
+const NOT_FOUND_CODE = -32_001;
 
-/** Asks peers and answers them. */
-export class PeerCalls {
-  readonly #options: PeerCallsOptions;
-  readonly #answers = new Map<string, PeerAnswer>();
+/** Client and server of the calls between peers. */
+export class PeerRpc {
+  readonly #options: PeerRpcOptions;
+  readonly #handlers = new Map<string, PeerRpcHandler>();
 
-  constructor(options: PeerCallsOptions) {
+  constructor(options: PeerRpcOptions) {
     this.#options = options;
   }
 
-  /** Registers who answers a method. */
-  on(method: string, answer: PeerAnswer): void {
-    this.#answers.set(method, answer);
+  /** Registers the handler of a method. */
+  on(method: string, handler: PeerRpcHandler): void {
+    this.#handlers.set(method, handler);
   }
 
-  /** Starts to listen. Errors: the port is taken. */
+  /** Starts to listen. Rejects when the port is taken. */
   async listen(lifeCycle: LifeCycle): Promise<void> {
     const server = http.createServer((request, response) => {
-      this.#take(request, response).catch((error) => {
-        this.#options.log.warn("Peer's call failed.", { error: String(error) });
+      this.#handle(request, response).catch((error) => {
+        this.#options.log.warn("Answering a peer's call failed.", {
+          error: String(error),
+        });
         response.destroy();
       });
     });
@@ -79,51 +81,51 @@
     await httpServer.listenOn(server, this.#options);
   }
 
-  /** Asks one peer. Errors: {@link PeerCallError}. */
-  async ask<Schema extends z.ZodType>(
+  /** Calls one peer. Errors: {@link PeerRpcError}. */
+  async call<Schema extends z.ZodType>(
     { host, port }: PeerAddress,
-    { method, name, result }: PeerQuestion<Schema>,
-  ): Promise<neverthrow.Result<z.output<Schema>, PeerCallError>> {
+    { method, name, resultSchema }: PeerRpcRequest<Schema>,
+  ): Promise<neverthrow.Result<z.output<Schema>, PeerRpcError>> {
     const channel = new HttpChannel(`http://${host}:${port}`);
-    const call = jsonRpc.createJSONRPCRequest(1, method, { name });
-    const answer = await channel.call({
+    const request = jsonRpc.createJSONRPCRequest(1, method, { name });
+    const response = await channel.call({
       method: "POST",
       path: "/",
       headers: { "content-type": "application/json" },
-      body: JSON.stringify(call),
+      body: JSON.stringify(request),
     }, { timeoutMs: CALL_TIMEOUT_MS });
     channel.close().catch((error) =>
-      this.#options.log.debug("Peer's channel not closed.", {
+      this.#options.log.debug("Closing the connection to a peer failed.", {
         host,
         error: String(error),
       })
     );
-    if (answer.isErr()) {
-      const { message } = answer.error;
+    if (response.isErr()) {
+      const { message } = response.error;
       return neverthrow.err({ kind: "unreachable", message });
     }
-    return readResult(answer.value.text, result);
+    return parseResult(response.value.text, resultSchema);
   }
 
-  async #take(
+  async #handle(
     request: http.IncomingMessage,
     response: http.ServerResponse,
   ): Promise<void> {
-    const read = await bodies.readBody(request, LONGEST_QUESTION_BYTES);
+    const read = await bodies.readBody(request, MAX_REQUEST_BYTES);
     if (read.kind !== "whole") {
       throw new Error(
-        `The question is ${read.kind}; ask for one thing by name`,
+        `The request body is ${read.kind}; send one JSON-RPC request`,
       );
     }
-    const call = readCall(Buffer.from(read.body ?? []).toString());
+    const call = parseRequest(Buffer.from(read.body ?? []).toString());
     const name = call?.params?.name;
-    const answer = call === undefined || typeof name !== "string"
+    const result = call === undefined || typeof name !== "string"
       ? undefined
-      : this.#answers.get(call.method)?.(name);
+      : this.#handlers.get(call.method)?.(name);
     const id = call?.id ?? null;
-    const reply = answer === undefined
-      ? jsonRpc.createJSONRPCErrorResponse(id, UNKNOWN_CODE, "Not known here")
-      : jsonRpc.createJSONRPCSuccessResponse(id, answer);
+    const reply = result === undefined
+      ? jsonRpc.createJSONRPCErrorResponse(id, NOT_FOUND_CODE, "Not known here")
+      : jsonRpc.createJSONRPCSuccessResponse(id, result);
     const bytes = Buffer.from(JSON.stringify(reply));
     response.writeHead(200, {
       "content-type": "application/json",
@@ -134,30 +136,31 @@
   }
 }
 
-function readCall(text: string): jsonRpc.JSONRPCRequest | undefined {
+function parseRequest(text: string): jsonRpc.JSONRPCRequest | undefined {
   try {
     const call = JSON.parse(text);
     return jsonRpc.isJSONRPCRequest(call) ? call : undefined;
   } catch {
-    // Not JSON; the caller gets an error as its answer.
+    // Not JSON; the caller gets a JSON-RPC error.
     return undefined;
   }
 }
 
-function readResult<Schema extends z.ZodType>(
+function parseResult<Schema extends z.ZodType>(
   text: string,
   schema: Schema,
-): neverthrow.Result<z.output<Schema>, PeerCallError> {
-  const unreadable = (message: string) =>
+): neverthrow.Result<z.output<Schema>, PeerRpcError> {
+  const unreadableResult = (message: string) =>
     neverthrow.err({ kind: "unreadable" as const, message });
   try {
     const reply = JSON.parse(text);
     const parsed = schema.safeParse(reply?.result);
     if (parsed.success) return neverthrow.ok(parsed.data);
-    return unreadable(
-      reply?.error?.message ?? "The answer has another form; ask another peer",
+    return unreadableResult(
+      reply?.error?.message ??
+        "The result doesn't match its schema; ask another peer",
     );
   } catch (error) {
-    return unreadable(`The answer is not JSON: ${String(error)}`);
+    return unreadableResult(`The answer is not JSON: ${String(error)}`);
   }
 }
--- a/packages/entry/src/gateway/peer_channel.ts
+++ b/packages/entry/src/gateway/peer_channel.ts
@@ -1,4 +1,4 @@
-/** The datagram socket of an entry VM, and who takes which message. */
+/** The datagram socket of an entry VM, and the handlers of its messages. */
 import * as dgram from "node:dgram";
 import type * as z from "zod";
 import type { LifeCycle } from "../utils/life_cycle.ts";
@@ -7,11 +7,11 @@
 
 /** Options of {@link PeerChannel}. */
 export interface PeerChannelOptions {
-  /** IP number and port to listen on. */
+  /** IP address and port to listen on. */
   readonly host: string;
   readonly port: number;
   readonly log: PartLog;
-  /** A datagram leaves. */
+  /** Called for each datagram sent. */
   readonly onSent: (method: string, bytes: number, to: PeerTarget) => void;
 }
 
@@ -23,7 +23,7 @@
   readonly zone?: string | undefined;
 }
 
-/** Sends and takes JSON-RPC 2.0 notifications. */
+/** Sends and receives JSON-RPC 2.0 notifications. */
 export class PeerChannel {
   readonly #options: PeerChannelOptions;
   readonly #socket = dgram.createSocket({ type: "udp4", lookup: noLookup });
@@ -39,7 +39,7 @@
     );
   }
 
-  /** Starts to listen. Errors: the port is taken. */
+  /** Starts to listen. Rejects when the port is taken. */
   async listen(lifeCycle: LifeCycle): Promise<void> {
     const { host, port } = this.#options;
     await new Promise<void>((resolve, reject) => {
@@ -56,29 +56,36 @@
     });
   }
 
-  /** Registers who takes a method's parameters. */
+  /**
+   * Registers the handler of a method; messages that don't match the schema are
+   * dropped and logged.
+   */
   on<Params>(
     method: string,
     schema: z.ZodType<Params>,
-    take: (params: Params) => void,
+    handler: (params: Params) => void,
   ): void {
-    this.#register(method, (params) => schema.safeParse(params).data, take);
+    this.#register(method, (params) => schema.safeParse(params).data, handler);
   }
 
-  /** The same for messages that come too often for a schema. */
+  /**
+   * Like `on`, with a type guard: a schema is too slow for frequent messages.
+   */
   onGuarded<Params>(
     method: string,
     isParams: (params: unknown) => params is Params,
-    take: (params: Params) => void,
+    handler: (params: Params) => void,
   ): void {
     this.#register(
       method,
       (params) => isParams(params) ? params : undefined,
-      take,
+      handler,
     );
   }
 
-  /** Hands a message to who takes its method. */
+  /**
+   * Passes a message to the handler of its method; without one it is dropped.
+   */
   dispatch(method: string, params: unknown): void {
     this.#handlers.get(method)?.(params);
   }
@@ -104,13 +111,13 @@
 
   #register<Params>(
     method: string,
-    read: (params: unknown) => Params | undefined,
-    take: (params: Params) => void,
+    parse: (params: unknown) => Params | undefined,
+    handler: (params: Params) => void,
   ): void {
     this.#handlers.set(method, (params) => {
-      const known = read(params);
-      if (known !== undefined) take(known);
-      else this.#options.log.warn("Ignores a datagram.", { method });
+      const valid = parse(params);
+      if (valid !== undefined) handler(valid);
+      else this.#options.log.warn("Ignored a malformed datagram.", { method });
     });
   }
 
@@ -119,11 +126,16 @@
     if (message !== undefined) {
       return this.dispatch(message.method, message.params);
     }
-    this.#options.log.warn("Ignores a datagram.", { bytes: bytes.length });
+    this.#options.log.warn("Ignored a malformed datagram.", {
+      bytes: bytes.length,
+    });
   }
 }
 
-/** Peers are named by IP number; the system's resolver takes a turn for each. */
+/**
+ * Peer addresses are IP addresses, and the system's resolver would take an
+ * event loop turn for each datagram.
+ */
 function noLookup(
   host: string,
   _options: unknown,
--- a/packages/entry/src/gateway/peer_codec.ts
+++ b/packages/entry/src/gateway/peer_codec.ts
@@ -1,4 +1,4 @@
-/** Datagrams between entry VMs: JSON-RPC 2.0 notifications. */
+/** Encoding of datagrams between entry VMs: JSON-RPC 2.0 notifications. */
 import * as jsonRpc from "json-rpc-2.0";
 
 /** One notification. */
@@ -7,14 +7,14 @@
   readonly params: unknown;
 }
 
-/** The bytes of a notification. */
+/** Encodes a notification. */
 export function encodeMessage(method: string, params: object): Uint8Array {
   return Buffer.from(
     JSON.stringify(jsonRpc.createJSONRPCNotification(method, params)),
   );
 }
 
-/** The notification in a datagram; undefined for any other bytes. */
+/** Decodes a datagram; undefined if it is no notification. */
 export function decodeMessage(bytes: Buffer): PeerMessage | undefined {
   try {
     const message = JSON.parse(bytes.toString()) as
--- a/packages/entry/src/gateway/peer_gossip.ts
+++ b/packages/entry/src/gateway/peer_gossip.ts
@@ -1,54 +1,54 @@
 /**
- * Datagrams between entry VMs. The VMs of a cell, and the keepers of range
- * maps, tell one another their state when it has changed and at a heartbeat;
- * all others get a short hello now and then.
+ * Gossip between entry VMs by datagrams. The VMs of a cell, and the voters of
+ * range maps, send one another their state when it changes and as a heartbeat;
+ * all other VMs get a short hello at a longer interval.
  */
 import type * as contracts from "@guavatide/contracts";
 import type * as cells from "@guavatide/decisions/cells/mod";
 import type * as z from "zod";
 import type { LifeCycle } from "../utils/life_cycle.ts";
 import type { PartLog } from "../utils/log.ts";
-import { type Peer, PeerBook } from "./peer_book.ts";
+import { type Peer, PeerRegistry } from "./peer_book.ts";
 import { PeerChannel, type PeerTarget } from "./peer_channel.ts";
 import {
+  BROADCAST_METHOD,
+  type BroadcastMessage,
+  broadcastMessageSchema,
   HELLO_METHOD,
-  isKeeperStatus,
-  isLoadNews,
+  isLoadUpdate,
   isPeerStatus,
-  KEEPER_METHOD,
-  type KeeperStatus,
+  isVoterStatus,
   LOAD_METHOD,
-  type LoadNews,
-  LOSS_METHOD,
+  type LoadUpdate,
+  PEER_FAILURE_METHOD,
+  type PeerFailure,
+  peerFailureSchema,
   type PeerHello,
   peerHelloSchema,
-  type PeerLoss,
-  peerLossSchema,
   type PeerStatus,
-  SPREAD_METHOD,
-  type SpreadMessage,
-  spreadMessageSchema,
   STATUS_METHOD,
+  VOTER_METHOD,
+  type VoterStatus,
 } from "./peer_messages.ts";
 
-/** Who this VM is. */
+/** Identity of this VM. */
 export type GossipIdentity = Pick<
   PeerHello,
   "vm" | "incarnation" | "host" | "port" | "zone" | "processorCores"
 >;
 
-/** The part of a hello that the VM's own tasks fill in. */
+/** The fields of a hello that the gossip itself does not fill in. */
 export type OwnHello = Omit<
   PeerHello,
   keyof GossipIdentity | "sequence" | "standsMs"
 >;
 
-/** The part of a status that the VM's own tasks fill in. */
+/** The fields of a status that are not in a hello. */
 export type OwnState = Omit<PeerStatus, keyof PeerHello>;
 
-/** The part of a keeper's status that the VM's own tasks fill in. */
-export type OwnKeeperState = Pick<
-  KeeperStatus,
+/** The fields of a voter's status that the gossip itself does not fill in. */
+export type OwnVoterState = Pick<
+  VoterStatus,
   "lifeMs" | "grantAgesMs" | "silentServers"
 >;
 
@@ -60,83 +60,89 @@
   readonly log: PartLog;
   readonly ownHello: () => OwnHello;
   readonly ownState: () => OwnState;
-  readonly ownKeeperState: () => OwnKeeperState;
+  readonly ownVoterState: () => OwnVoterState;
   readonly ownLoads: () => PeerStatus["loads"];
-  /** Momentary speeds that have changed since the last call. */
-  readonly takeSlowdowns: () => LoadNews["slowdowns"];
-  /** A datagram leaves. */
+  /** Servers whose momentary slowdown has changed since the last call. */
+  readonly takeSlowdowns: () => LoadUpdate["slowdowns"];
+  /** Called for each datagram sent. */
   readonly onSent: (
     method: string,
     bytes: number,
     isSameZone: boolean,
   ) => void;
-  /** VMs that answer for range maps. */
-  readonly keepers: () => ReadonlySet<contracts.VmId>;
+  /** Voters of range maps. */
+  readonly voters: () => ReadonlySet<contracts.VmId>;
 }
 
-/** A keeper's status with the moment that it answers. */
-export interface HeardKeeper {
-  readonly status: KeeperStatus;
-  /** When the own status left that the peer has echoed. */
-  readonly askedAtMs: number;
+/** A voter's status with its times on this VM's clock. */
+export interface ReceivedVoterStatus {
+  readonly status: VoterStatus;
+  /**
+   * When this VM sent the message that the status echoes, so the status is no
+   * older; negative infinity without an echo.
+   */
+  readonly sentAtMs: number;
   readonly receivedAtMs: number;
 }
 
-/** Between two statuses of keepers, well below the age limit of evidence. */
-const KEEPER_STATUS_MS = 200;
-/** Between two statuses of any VM to its cell. */
-const CELL_STATUS_MS = 400;
-/** Datagrams of load that a VM sends in a second for each core that it has. */
-const LOAD_DATAGRAMS_PER_CORE_SECOND = 400;
-/** Least time between two messages of load; a request takes longer. */
+/**
+ * Interval of a voter's statuses, well below the time after which confirmations
+ * of range maps expire.
+ */
+const VOTER_STATUS_INTERVAL_MS = 200;
+/** Interval of a VM's statuses to its cell. */
+const CELL_STATUS_INTERVAL_MS = 400;
+/** Limit on datagrams with load updates that a VM sends per second and core. */
+const MAX_LOAD_DATAGRAMS_PER_CORE_SECOND = 400;
+/** Shortest interval of load updates; a request takes longer. */
 const LOAD_INTERVAL_MIN_MS = 40;
 /** A peer counts as lost after so many intervals without a status. */
 const STATUS_TIMEOUT_INTERVALS = 4;
 /**
- * Between two hellos to one peer, times the number of peers: keeps a VM's
- * traffic constant in a deployment of any size.
+ * The interval of hellos to one peer is this times the number of peers: keeps a
+ * VM's traffic constant in a deployment of any size.
  */
-const HELLO_PER_PEER_MS = 100;
-const HELLO_MIN_MS = 1_000;
-/** Covers two lost hellos and some lateness. */
+const HELLO_INTERVAL_PER_PEER_MS = 100;
+const HELLO_INTERVAL_MIN_MS = 1_000;
+/** Hello timeout in intervals; covers two lost hellos and some delay. */
 const HELLO_TIMEOUT_INTERVALS = 2.5;
-/** A peer silent for this long gets only hellos. */
+/** A peer without a message for this long gets only hellos. */
 const STATUS_RECIPIENT_TTL_MS = 3_000;
 /**
- * Members that change together are told together: each time, all servers are
- * shared out anew.
+ * Changes of members within this time are reported together, as each report
+ * makes the VMs redistribute all servers.
  */
-const MEMBERS_DELAY_MS = 50;
-/** Own hellos and statuses whose send time is kept. */
-const SENT_TIMES_KEPT = 256;
+const MEMBERS_CHANGE_DELAY_MS = 50;
+/** Number of own messages whose send time is kept, for echoes. */
+const MAX_SENT_TIMES = 256;
 
-/** What the VMs of a deployment tell one another of themselves. */
+/** Membership and state exchange among the entry VMs of a deployment. */
 export class PeerGossip {
   readonly #options: PeerGossipOptions;
   readonly #channel: PeerChannel;
-  readonly #book: PeerBook;
+  readonly #registry: PeerRegistry;
   readonly #seeds = new Set<string>();
   readonly #statusListeners: ((status: PeerStatus) => void)[] = [];
-  readonly #keeperListeners: ((heard: HeardKeeper) => void)[] = [];
+  readonly #voterListeners: ((received: ReceivedVoterStatus) => void)[] = [];
   readonly #helloListeners: ((hello: PeerHello) => void)[] = [];
-  readonly #loadListeners: ((news: LoadNews) => void)[] = [];
+  readonly #loadListeners: ((update: LoadUpdate) => void)[] = [];
   readonly #memberListeners: (() => void)[] = [];
-  /** Set while a change of members waits to be passed on. */
+  /** Set while a change of members waits to be reported. */
   #membersTimer: NodeJS.Timeout | undefined;
-  /** When each own hello or status left, by its sequence. */
-  readonly #sentMs = new Map<number, number>();
+  /** When each own hello or status was sent, by its sequence number. */
+  readonly #sentAtMs = new Map<number, number>();
   #sequence = 0;
   #cellSentAtMs = Number.NEGATIVE_INFINITY;
   #loadsSentAtMs = Number.NEGATIVE_INFINITY;
-  /** Set while changed load waits to be sent. */
+  /** Set while a load update waits to be sent. */
   #loadsTimer: NodeJS.Timeout | undefined;
   /** Loads as last sent. */
-  #lastLoads: PeerStatus["loads"] = {};
+  #lastSentLoads: PeerStatus["loads"] = {};
 
   constructor(options: PeerGossipOptions) {
     this.#options = options;
-    this.#book = new PeerBook(options);
-    this.#book.onMembers(() => this.#noteMembers());
+    this.#registry = new PeerRegistry(options);
+    this.#registry.onMembersChange(() => this.#scheduleMembersChange());
     const { self: { host, port, zone }, log, onSent } = options;
     this.#channel = new PeerChannel({
       host,
@@ -144,29 +150,35 @@
       log,
       onSent: (method, bytes, to) => onSent(method, bytes, to.zone === zone),
     });
-    this.on(HELLO_METHOD, peerHelloSchema, (hello) => this.#takeHello(hello));
+    this.on(HELLO_METHOD, peerHelloSchema, (hello) => this.#handleHello(hello));
     this.onGuarded(
       STATUS_METHOD,
       isPeerStatus,
-      (status) => this.#takeStatus(status),
+      (status) => this.#handleStatus(status),
     );
     this.onGuarded(
-      KEEPER_METHOD,
-      isKeeperStatus,
-      (status) => this.#takeKeeper(status),
+      VOTER_METHOD,
+      isVoterStatus,
+      (status) => this.#handleVoterStatus(status),
     );
     this.on(
-      SPREAD_METHOD,
-      spreadMessageSchema,
-      (message) => this.#takeSpread(message),
+      BROADCAST_METHOD,
+      broadcastMessageSchema,
+      (message) => this.#relayBroadcast(message),
     );
-    this.on(LOSS_METHOD, peerLossSchema, (loss) => this.#book.noteLoss(loss));
-    this.onGuarded(LOAD_METHOD, isLoadNews, (news) => {
-      for (const listener of this.#loadListeners) listener(news);
+    this.on(
+      PEER_FAILURE_METHOD,
+      peerFailureSchema,
+      (failure) => this.#registry.noteFailure(failure),
+    );
+    this.onGuarded(LOAD_METHOD, isLoadUpdate, (update) => {
+      for (const listener of this.#loadListeners) listener(update);
     });
   }
 
-  /** Starts to listen. Errors: the port is taken. */
+  /**
+   * Starts to listen, and the periodic work. Rejects when the port is taken.
+   */
   async start(lifeCycle: LifeCycle): Promise<void> {
     await this.#channel.listen(lifeCycle);
     lifeCycle.onStop({
@@ -177,123 +189,136 @@
         clearTimeout(this.#membersTimer);
       },
     });
-    lifeCycle.every(KEEPER_STATUS_MS, () => this.#tick());
+    lifeCycle.every(VOTER_STATUS_INTERVAL_MS, () => this.#tick());
   }
 
   /** Adds a VM that the store or a peer has named. */
   addPeer(vm: contracts.VmId, host: string, port: number): void {
-    this.#book.add(vm, host, port);
+    this.#registry.add(vm, host, port);
   }
 
-  /** Adds an address at which some VM may listen. */
+  /** Adds the address of a seed: some VM may listen there. */
   addSeed(host: string): void {
     if (host !== this.#options.self.host) this.#seeds.add(host);
   }
 
-  /** Addresses of other VMs that the settings name. */
+  /** Number of seeds in the settings, without this VM. */
   get seedCount(): number {
     return this.#seeds.size;
   }
 
-  /** Called with each status of a peer that is newer than the last. */
+  /** Registers a listener for statuses of peers; outdated ones are left out. */
   onStatus(listener: (status: PeerStatus) => void): void {
     this.#statusListeners.push(listener);
   }
 
-  /** Called with each keeper's status that is newer than the last. */
-  onKeeper(listener: (heard: HeardKeeper) => void): void {
-    this.#keeperListeners.push(listener);
+  /**
+   * Registers a listener for statuses of voters; outdated ones are left out.
+   */
+  onVoterStatus(listener: (received: ReceivedVoterStatus) => void): void {
+    this.#voterListeners.push(listener);
   }
 
-  /** Called with each hello or status of a peer that is newer than the last. */
+  /**
+   * Registers a listener for hellos and statuses of peers; outdated ones are
+   * left out.
+   */
   onHello(listener: (hello: PeerHello) => void): void {
     this.#helloListeners.push(listener);
   }
 
-  /** Called with changes of a peer's load between its statuses. */
-  onLoad(listener: (news: LoadNews) => void): void {
+  /** Registers a listener for load updates of peers, sent between statuses. */
+  onLoad(listener: (update: LoadUpdate) => void): void {
     this.#loadListeners.push(listener);
   }
 
-  /** Called soon after VMs came or went. */
-  onMembers(listener: () => void): void {
+  /** Registers a listener called soon after VMs joined, left or failed. */
+  onMembersChange(listener: () => void): void {
     this.#memberListeners.push(listener);
   }
 
-  /** VMs of an availability zone that are up, this one included, by name. */
-  membersOf(zone: contracts.ZoneId): readonly contracts.VmId[] {
-    return this.#book.inZone(zone);
+  /**
+   * VMs of an availability zone that are up, this one included, sorted by name.
+   */
+  liveVmsIn(zone: contracts.ZoneId): readonly contracts.VmId[] {
+    return this.#registry.liveVmsIn(zone);
   }
 
-  /** VMs of a zone, or of all, that were heard lately, up or not, by name. */
+  /**
+   * Known VMs of an availability zone, or of all zones, up or not, sorted by
+   * name.
+   */
   knownIn(zone: contracts.ZoneId | undefined): readonly contracts.VmId[] {
-    return this.#book.knownIn(zone);
+    return this.#registry.knownVmsIn(zone);
   }
 
-  #noteMembers(): void {
+  #scheduleMembersChange(): void {
     this.#membersTimer ??= setTimeout(() => {
       this.#membersTimer = undefined;
       for (const listener of this.#memberListeners) listener();
-    }, MEMBERS_DELAY_MS);
+    }, MEMBERS_CHANGE_DELAY_MS);
   }
 
-  /** Registers who takes a method's parameters. */
+  /** Registers the handler of a method. */
   on<Params>(
     method: string,
     schema: z.ZodType<Params>,
-    take: (params: Params) => void,
+    handler: (params: Params) => void,
   ): void {
-    this.#channel.on(method, schema, take);
+    this.#channel.on(method, schema, handler);
   }
 
-  /** The same for messages that come too often for a schema. */
+  /**
+   * Like `on`, with a type guard: a schema is too slow for frequent messages.
+   */
   onGuarded<Params>(
     method: string,
     isParams: (params: unknown) => params is Params,
-    take: (params: Params) => void,
+    handler: (params: Params) => void,
   ): void {
-    this.#channel.onGuarded(method, isParams, take);
+    this.#channel.onGuarded(method, isParams, handler);
   }
 
-  /** Sends a notification to some peers, or to all. */
+  /** Sends a notification to some peers, or to all known ones. */
   send(
     method: string,
     params: object,
     vms?: readonly contracts.VmId[],
   ): void {
-    const peers = vms?.flatMap((vm) => this.#book.get(vm) ?? []) ??
-      [...this.#book.all];
-    this.#channel.send(method, params, peers.map(targetOf));
+    const targets = vms?.flatMap((vm) => this.#registry.get(vm) ?? []) ??
+      [...this.#registry.all];
+    this.#channel.send(method, params, targets.map(targetOf));
   }
 
   /**
-   * Sends a notification to all: to the own cell, and to one VM of every other
-   * cell, which passes it on.
+   * Sends a notification to all VMs: to those of the own cell, and to one VM of
+   * every other cell, which relays it to its cell.
    */
-  spread(method: string, params: object): void {
-    this.send(method, params, this.#cellPeers());
-    const message: SpreadMessage = { method, params };
-    this.send(SPREAD_METHOD, message, this.#oneOfEachOtherCell());
+  broadcast(method: string, params: object): void {
+    this.send(method, params, this.#cellMembers());
+    const message: BroadcastMessage = { method, params };
+    this.send(BROADCAST_METHOD, message, this.#onePerOtherCell());
   }
 
-  #oneOfEachOtherCell(): contracts.VmId[] {
+  #onePerOtherCell(): contracts.VmId[] {
     const { random, self } = this.#options;
-    return this.plan.others(self.vm).flatMap((members) => {
-      const live = members.filter((vm) => this.#book.get(vm)?.isLive);
-      // Drawn anew each time, so that one that is lost keeps little from a cell.
-      const drawn = live[Math.floor(random.next() * live.length)];
-      return drawn === undefined ? [] : [drawn];
+    return this.cellPlan.others(self.vm).flatMap((members) => {
+      const live = members.filter((vm) => this.#registry.get(vm)?.isLive);
+      // Drawn for each message, so that a lost VM cuts its cell off from few
+      // messages.
+      const chosen = live[Math.floor(random.next() * live.length)];
+      return chosen === undefined ? [] : [chosen];
     });
   }
 
-  #takeSpread({ method, params }: SpreadMessage): void {
+  #relayBroadcast({ method, params }: BroadcastMessage): void {
     this.#channel.dispatch(method, params);
     if (typeof params !== "object" || params === null) return;
-    this.send(method, params, this.#cellPeers());
+    this.send(method, params, this.#cellMembers());
   }
 
-  /** Tells the changed load as soon as it may. */
-  noteChanged(): void {
+  /** Schedules a load update as soon as the rate limit permits. */
+  scheduleLoadUpdate(): void {
     if (this.#loadsTimer !== undefined) return;
     const nowMs = this.#options.clock.nowMs();
     const sinceMs = nowMs - this.#loadsSentAtMs;
@@ -304,15 +329,18 @@
     }, waitMs);
   }
 
-  /** Sends the status to the other keepers at once: they wait for it. */
-  tellKeepers(): void {
-    this.#sendKeeperStatus(this.#options.clock.nowMs());
+  /**
+   * Sends the voter status to the other voters at once, as when they wait for
+   * an acknowledgement.
+   */
+  notifyVoters(): void {
+    this.#sendVoterStatus(this.#options.clock.nowMs());
   }
 
   /** Sends a hello to every VM at once, as when this one stops. */
-  sendToAll(): void {
+  sendHelloToAll(): void {
     const nowMs = this.#options.clock.nowMs();
-    for (const peer of this.#book.all) {
+    for (const peer of this.#registry.all) {
       peer.sentAtMs = Number.NEGATIVE_INFINITY;
     }
     this.#sendHellos(nowMs);
@@ -320,153 +348,166 @@
 
   /** Peers that are up. */
   get live(): readonly PeerHello[] {
-    return this.#book.live;
+    return this.#registry.live;
   }
 
-  /** A peer that is up, one of the own availability zone if there is any. */
-  drawPeer(): PeerHello | undefined {
+  /**
+   * A random peer that is up, one of the own availability zone if there is any.
+   */
+  randomPeer(): PeerHello | undefined {
     const { random, self } = this.#options;
-    const near = this.live.filter(({ zone }) => zone === self.zone);
-    const peers = near.length > 0 ? near : this.live;
+    const sameZone = this.live.filter(({ zone }) => zone === self.zone);
+    const peers = sameZone.length > 0 ? sameZone : this.live;
     return peers[Math.floor(random.next() * peers.length)];
   }
 
-  /** Latest statuses of the peers in close touch. */
+  /** Latest statuses of the peers that send them to this VM. */
   statuses(): Iterable<PeerStatus> {
-    return this.#book.statuses();
+    return this.#registry.statuses();
   }
 
-  /** The cells of the VMs that are up. */
-  get plan(): cells.CellPlan {
-    return this.#book.plan;
+  /** The cells of the VMs that are up or were just lost. */
+  get cellPlan(): cells.CellPlan {
+    return this.#registry.cellPlan;
   }
 
-  /** Time since a peer's last message; infinite for an unknown one. */
-  silentMs(vm: contracts.VmId): number {
-    const peer = this.#book.get(vm);
+  /** Time since a peer's last message; infinite for an unknown peer. */
+  sinceLastMessageMs(vm: contracts.VmId): number {
+    const peer = this.#registry.get(vm);
     if (peer === undefined) return Number.POSITIVE_INFINITY;
-    return this.#options.clock.nowMs() - peer.heardAtMs;
+    return this.#options.clock.nowMs() - peer.lastMessageAtMs;
   }
 
-  /** Entry VMs that are up, this one included. */
+  /** Number of entry VMs that are up, this one included. */
   get vmCount(): number {
-    return 1 + this.#book.live.length;
+    return 1 + this.#registry.live.length;
   }
 
   #tick(): void {
     const nowMs = this.#options.clock.nowMs();
-    for (const peer of this.#book.tick()) this.#spreadLoss(peer);
+    for (const peer of this.#registry.expire()) this.#broadcastFailure(peer);
     this.#sendHellos(nowMs);
-    this.#sendKeeperStatus(nowMs);
-    const isCellDue =
-      nowMs - this.#cellSentAtMs >= CELL_STATUS_MS - KEEPER_STATUS_MS / 2;
+    this.#sendVoterStatus(nowMs);
+    const isCellDue = nowMs - this.#cellSentAtMs >=
+      CELL_STATUS_INTERVAL_MS - VOTER_STATUS_INTERVAL_MS / 2;
     if (isCellDue) this.#sendCellStatus(nowMs);
   }
 
-  /** Of the cell's VMs the first that is up tells all of a loss. */
-  #spreadLoss({ vm, incarnation, sequence }: Peer): void {
-    const members = this.#cellPeers();
+  /** Only the first live VM of a cell broadcasts the failure of a member. */
+  #broadcastFailure({ vm, incarnation, sequence }: Peer): void {
+    const members = this.#cellMembers();
     const { self } = this.#options;
     const first = members.find((member) =>
-      member === self.vm || this.#book.get(member)?.isLive
+      member === self.vm || this.#registry.get(member)?.isLive
     );
     if (!members.includes(vm) || first !== self.vm) return;
     if (incarnation === undefined) return;
-    const loss: PeerLoss = { vm, incarnation, sequence };
-    this.spread(LOSS_METHOD, loss);
+    const failure: PeerFailure = { vm, incarnation, sequence };
+    this.broadcast(PEER_FAILURE_METHOD, failure);
   }
 
   #loadIntervalMs(): number {
-    const perSecond = LOAD_DATAGRAMS_PER_CORE_SECOND *
+    const maxPerSecond = MAX_LOAD_DATAGRAMS_PER_CORE_SECOND *
       this.#options.self.processorCores;
     return Math.max(
       LOAD_INTERVAL_MIN_MS,
-      1_000 * (this.#cellPeers().length - 1) / perSecond,
+      1_000 * (this.#cellMembers().length - 1) / maxPerSecond,
     );
   }
 
-  #cellPeers(): readonly contracts.VmId[] {
-    return this.#book.plan.members(this.#options.self.vm);
+  #cellMembers(): readonly contracts.VmId[] {
+    return this.#registry.cellPlan.members(this.#options.self.vm);
   }
 
   #sendLoads(nowMs: number): void {
     this.#loadsSentAtMs = nowMs;
     const { self, ownLoads, takeSlowdowns } = this.#options;
     const loads = ownLoads();
-    const changed = changesOf(this.#lastLoads, loads);
-    this.#lastLoads = loads;
+    const changed = changedLoads(this.#lastSentLoads, loads);
+    this.#lastSentLoads = loads;
     const slowdowns = takeSlowdowns();
     if (Object.keys(changed).length === 0 && slowdowns === undefined) return;
-    const news: LoadNews = { vm: self.vm, loads: changed, slowdowns };
-    const live = this.#cellPeers()
-      .filter((vm) => this.#book.get(vm)?.isLive);
-    this.send(LOAD_METHOD, news, live);
+    const update: LoadUpdate = { vm: self.vm, loads: changed, slowdowns };
+    const live = this.#cellMembers()
+      .filter((vm) => this.#registry.get(vm)?.isLive);
+    this.send(LOAD_METHOD, update, live);
   }
 
-  #hello(standsMs: number): PeerHello {
+  #createHello(timeoutMs: number): PeerHello {
     this.#sequence++;
-    this.#sentMs.set(this.#sequence, this.#options.clock.nowMs());
-    this.#sentMs.delete(this.#sequence - SENT_TIMES_KEPT);
+    this.#sentAtMs.set(this.#sequence, this.#options.clock.nowMs());
+    this.#sentAtMs.delete(this.#sequence - MAX_SENT_TIMES);
     const { self, ownHello } = this.#options;
-    return { ...self, ...ownHello(), sequence: this.#sequence, standsMs };
+    return {
+      ...self,
+      ...ownHello(),
+      sequence: this.#sequence,
+      standsMs: timeoutMs,
+    };
   }
 
-  /** Evidence for grants: a keeper's status to the other keepers. */
-  #sendKeeperStatus(nowMs: number): void {
-    const peers = this.#follow(
-      "isFellowKeeper",
-      ({ vm }) => this.#book.areKeepers(vm),
+  /**
+   * Sends this VM's status as a voter to the other voters: confirms range maps
+   * for grants.
+   */
+  #sendVoterStatus(nowMs: number): void {
+    const peers = this.#selectRecipients(
+      "receivesVoterStatus",
+      ({ vm }) => this.#registry.isFellowVoter(vm),
       nowMs,
     );
     if (peers.length === 0) return;
-    const { vm, incarnation, maps, sequence, standsMs } = this.#hello(
-      KEEPER_STATUS_MS * STATUS_TIMEOUT_INTERVALS,
+    const { vm, incarnation, maps, sequence, standsMs } = this.#createHello(
+      VOTER_STATUS_INTERVAL_MS * STATUS_TIMEOUT_INTERVALS,
     );
-    const state = this.#options.ownKeeperState();
+    const state = this.#options.ownVoterState();
     for (const peer of peers) {
-      const echo: KeeperStatus["echo"] = peer.incarnation === undefined
+      const echo: VoterStatus["echo"] = peer.incarnation === undefined
         ? null
         : [peer.incarnation, peer.sequence];
-      const word = { vm, incarnation, sequence, standsMs, maps };
-      const status: KeeperStatus = { ...word, ...state, echo };
-      this.#channel.send(KEEPER_METHOD, status, [targetOf(peer)]);
+      const commonFields = { vm, incarnation, sequence, standsMs, maps };
+      const status: VoterStatus = { ...commonFields, ...state, echo };
+      this.#channel.send(VOTER_METHOD, status, [targetOf(peer)]);
     }
   }
 
-  /** Peers that get a status now, without those silent for long. */
-  #follow(
-    mark: "isInCell" | "isFellowKeeper",
+  /**
+   * Selects the recipients of a status: peers that belong to the group and are
+   * up or were a short while ago. Records the choice in `mark`.
+   */
+  #selectRecipients(
+    mark: "receivesStatus" | "receivesVoterStatus",
     belongs: (peer: Peer) => boolean,
     nowMs: number,
   ): Peer[] {
     const peers: Peer[] = [];
-    for (const peer of this.#book.all) {
-      const wasFollowed = peer[mark];
-      peer[mark] = belongs(peer) && isHeard(peer, nowMs);
+    for (const peer of this.#registry.all) {
+      const wasRecipient = peer[mark];
+      peer[mark] = belongs(peer) && isRecentlyLive(peer, nowMs);
       if (peer[mark]) peers.push(peer);
-      // The last status times out before the next hello is due.
-      else if (wasFollowed) peer.sentAtMs = Number.NEGATIVE_INFINITY;
+      // This peer's last status would time out before the next hello is due.
+      else if (wasRecipient) peer.sentAtMs = Number.NEGATIVE_INFINITY;
     }
     return peers;
   }
 
-  /** This VM's load and what it has received, to its cell. */
+  /** Sends this VM's load and store positions to its cell. */
   #sendCellStatus(nowMs: number): void {
     this.#cellSentAtMs = nowMs;
     const state = this.#options.ownState();
-    this.#lastLoads = state.loads;
+    this.#lastSentLoads = state.loads;
     const status: PeerStatus = {
-      ...this.#hello(CELL_STATUS_MS * STATUS_TIMEOUT_INTERVALS),
+      ...this.#createHello(CELL_STATUS_INTERVAL_MS * STATUS_TIMEOUT_INTERVALS),
       ...state,
     };
-    const members = new Set(this.#cellPeers());
-    const peers = this.#follow(
-      "isInCell",
+    const members = new Set(this.#cellMembers());
+    const peers = this.#selectRecipients(
+      "receivesStatus",
       ({ vm }) => members.has(vm),
       nowMs,
     );
     for (const peer of peers) peer.sentAtMs = nowMs;
-    const isAlone = this.#book.live.length === 0;
+    const isAlone = this.#registry.live.length === 0;
     const seeds = isAlone ? this.#seedTargets() : [];
     const targets = [...peers.map(targetOf), ...seeds];
     this.#channel.send(STATUS_METHOD, status, targets);
@@ -477,49 +518,52 @@
     return [...this.#seeds].map((host) => ({ host, port }));
   }
 
-  /** To each peer that got no message of this VM for the interval. */
+  /** Sends a hello to each peer that got no message for the interval. */
   #sendHellos(nowMs: number): void {
     const intervalMs = Math.max(
-      HELLO_MIN_MS,
-      this.#book.size * HELLO_PER_PEER_MS,
+      HELLO_INTERVAL_MIN_MS,
+      this.#registry.size * HELLO_INTERVAL_PER_PEER_MS,
     );
-    const due = [...this.#book.all]
+    const due = [...this.#registry.all]
       .filter(({ sentAtMs }) => nowMs - sentAtMs >= intervalMs);
     if (due.length === 0) return;
     for (const peer of due) peer.sentAtMs = nowMs;
-    const hello = this.#hello(intervalMs * HELLO_TIMEOUT_INTERVALS);
+    const hello = this.#createHello(intervalMs * HELLO_TIMEOUT_INTERVALS);
     this.#channel.send(HELLO_METHOD, hello, due.map(targetOf));
   }
 
-  #takeHello(hello: PeerHello): void {
-    if (this.#book.note(hello, undefined) === undefined) return;
+  #handleHello(hello: PeerHello): void {
+    if (this.#registry.noteHello(hello, undefined) === undefined) return;
     for (const listener of this.#helloListeners) listener(hello);
   }
 
-  #takeStatus(status: PeerStatus): void {
-    if (this.#book.note(status, status) === undefined) return;
+  #handleStatus(status: PeerStatus): void {
+    if (this.#registry.noteHello(status, status) === undefined) return;
     for (const listener of this.#helloListeners) listener(status);
     for (const listener of this.#statusListeners) listener(status);
   }
 
-  #takeKeeper(status: KeeperStatus): void {
-    if (!this.#book.noteKeeper(status)) return;
-    const heard = {
+  #handleVoterStatus(status: VoterStatus): void {
+    if (!this.#registry.noteVoterStatus(status)) return;
+    const received = {
       status,
-      askedAtMs: this.#askedAtMs(status),
+      sentAtMs: this.#echoSentAtMs(status),
       receivedAtMs: this.#options.clock.nowMs(),
     };
-    for (const listener of this.#keeperListeners) listener(heard);
+    for (const listener of this.#voterListeners) listener(received);
   }
 
-  /** When the own message left that the peer echoed; long ago if none. */
-  #askedAtMs({ echo }: KeeperStatus): number {
+  /**
+   * When the own message that the peer echoes was sent; negative infinity
+   * without an echo of this incarnation.
+   */
+  #echoSentAtMs({ echo }: VoterStatus): number {
     const { incarnation } = this.#options.self;
-    const [run, sequence] = echo ?? [];
-    const sentMs = run === incarnation && sequence !== undefined
-      ? this.#sentMs.get(sequence)
+    const [echoedIncarnation, sequence] = echo ?? [];
+    const sentAtMs = echoedIncarnation === incarnation && sequence !== undefined
+      ? this.#sentAtMs.get(sequence)
       : undefined;
-    return sentMs ?? Number.NEGATIVE_INFINITY;
+    return sentAtMs ?? Number.NEGATIVE_INFINITY;
   }
 }
 
@@ -528,12 +572,15 @@
 }
 
 /** Whether a peer is up, or was a short while ago. */
-function isHeard({ isLive, heardAtMs }: Peer, nowMs: number): boolean {
-  return isLive || nowMs - heardAtMs < STATUS_RECIPIENT_TTL_MS;
+function isRecentlyLive(
+  { isLive, lastMessageAtMs }: Peer,
+  nowMs: number,
+): boolean {
+  return isLive || nowMs - lastMessageAtMs < STATUS_RECIPIENT_TTL_MS;
 }
 
-/** Servers whose figures differ, with their new ones. */
-function changesOf(
+/** Servers whose load differs, with the new load. */
+function changedLoads(
   before: PeerStatus["loads"],
   now: PeerStatus["loads"],
 ): PeerStatus["loads"] {
--- a/packages/entry/src/gateway/peer_messages.ts
+++ b/packages/entry/src/gateway/peer_messages.ts
@@ -1,6 +1,6 @@
 /**
- * What entry VMs tell one another in datagrams: JSON-RPC 2.0 notifications. A
- * lost one is made good by the next.
+ * Messages between entry VMs, sent as datagrams: JSON-RPC 2.0 notifications. A
+ * lost message is made up for by the next one.
  */
 import * as contracts from "@guavatide/contracts";
 import type * as admission from "@guavatide/decisions/admission/mod";
@@ -10,36 +10,38 @@
 export const STATUS_METHOD = "status";
 /** Method of {@link PeerHello}. */
 export const HELLO_METHOD = "hello";
-/** Method of {@link KeeperStatus}. */
-export const KEEPER_METHOD = "keeper";
-/** Method of {@link SpreadMessage}. */
-export const SPREAD_METHOD = "spread";
-/** Method of {@link PeerLoss}. */
-export const LOSS_METHOD = "loss";
-/** Method of {@link LoadNews}. */
+/** Method of {@link VoterStatus}. */
+export const VOTER_METHOD = "keeper";
+/** Method of {@link BroadcastMessage}. */
+export const BROADCAST_METHOD = "spread";
+/** Method of {@link PeerFailure}. */
+export const PEER_FAILURE_METHOD = "loss";
+/** Method of {@link LoadUpdate}. */
 export const LOAD_METHOD = "load";
-/** Method of {@link RangeMapNews}. */
+/** Method of {@link RangeMapUpdate}. */
 export const RANGE_MAP_METHOD = "rangeMap";
 /** Method of {@link KeyCounts}. */
 export const KEY_COUNTS_METHOD = "keyCounts";
 
-/** Method of {@link SlotAsks}. */
-export const SLOT_ASKS_METHOD = "slotAsks";
-/** Method of {@link SlotWords}. */
-export const SLOT_WORDS_METHOD = "slotWords";
+/** Method of {@link SlotRequests}. */
+export const SLOT_REQUESTS_METHOD = "slotAsks";
+/** Method of {@link SlotReplies}. */
+export const SLOT_REPLIES_METHOD = "slotWords";
 
-/** Method of {@link ReaderWord}. */
+/** Method of {@link ReaderStatus}. */
 export const READER_METHOD = "reader";
-/** Method of {@link PeersWish}. */
-export const PEERS_WISH_METHOD = "peersWish";
+/** Method of {@link PeersRequest}. */
+export const PEERS_REQUEST_METHOD = "peersWish";
 /** Method of {@link KnownPeers}. */
 export const PEERS_METHOD = "peers";
-/** Method of {@link Changes}. */
+/** Method of {@link StoreChanges}. */
 export const CHANGES_METHOD = "changes";
-/** Method of {@link ChangesWish}. */
-export const CHANGES_WISH_METHOD = "changesWish";
+/** Method of {@link ChangesRequest}. */
+export const CHANGES_REQUEST_METHOD = "changesWish";
 
-/** By server of a service without keys: the sender's requests there. */
+/**
+ * By server of a service without keys: the sender's requests in flight there.
+ */
 const loadsSchema = z.record(z.string(), z.number().int());
 
 /** Schema of {@link PeerHello}. */
@@ -49,41 +51,52 @@
   host: z.string(),
   port: z.number().int(),
   zone: contracts.zoneIdSchema,
-  /** Processor of the VM in cores: the strongest take on common duties. */
+  /**
+   * Processor of the VM in cores: VMs with the most become voters and readers.
+   */
   processorCores: z.number(),
-  /** Rises with each message of this kind or status of a run. */
+  /** Sequence number: rises with each hello or status of an incarnation. */
   sequence: z.number().int(),
-  /** Without another word the sender is to be taken for lost after this time. */
+  /**
+   * Heartbeat timeout: without another message within this time the sender
+   * counts as lost.
+   */
   standsMs: z.number(),
   /** Whether it reaches the platform's store. */
   hasStore: z.boolean(),
-  /** It stops and takes no more requests. */
+  /** Whether it is shutting down and accepts no more requests. */
   isLeaving: z.boolean(),
-  /** Range maps by service: revision known, and whether read in this run. */
+  /**
+   * Range maps by service: revision known, and whether this incarnation has
+   * read the map from the store.
+   */
   maps: z.record(z.string(), z.tuple([z.number().int(), z.boolean()])),
 });
-/** What a VM tells all others of itself, now and then. */
+/** Basic state of a VM, sent to all others at long intervals. */
 export type PeerHello = z.infer<typeof peerHelloSchema>;
 
 /** Schema of {@link PeerStatus}. */
 export const peerStatusSchema = peerHelloSchema.extend({
   configVersion: z.number().int(),
-  /** Positions of the last changes heard of, in the store's order. */
+  /** Positions, in the store's order, of the last changes known. */
   configCursor: z.number().int(),
   serversCursor: z.number().int(),
   loads: loadsSchema,
-  /** Requests that wait for any server, by service. */
+  /** Requests that wait for a server, by service. */
   waiting: z.record(z.string(), z.number().int()),
 });
-/** The state of one entry VM, sent to the peers of its cell. */
+/** State of one entry VM, sent to the peers of its cell. */
 export type PeerStatus = z.infer<typeof peerStatusSchema>;
 
-/** Whether parameters are {@link PeerStatus}; they come too often for a schema. */
+/**
+ * Type guard of {@link PeerStatus}: a schema is too slow for messages this
+ * frequent.
+ */
 export function isPeerStatus(params: unknown): params is PeerStatus {
-  if (!isWord(params)) return false;
+  if (!hasCommonFields(params)) return false;
   const status = params as Partial<PeerStatus>;
   const { port, configVersion, configCursor, serversCursor } = status;
-  return areTexts([status.host, status.zone]) &&
+  return areStrings([status.host, status.zone]) &&
     areIntegers([port, configVersion, configCursor, serversCursor]) &&
     Number.isFinite(status.processorCores) &&
     typeof status.hasStore === "boolean" &&
@@ -91,15 +104,15 @@
     areCounts(status.loads) && areCounts(status.waiting);
 }
 
-/** Whether parameters are {@link KeeperStatus}; they come as often. */
-export function isKeeperStatus(params: unknown): params is KeeperStatus {
-  if (!isWord(params)) return false;
+/** Type guard of {@link VoterStatus}, which is as frequent. */
+export function isVoterStatus(params: unknown): params is VoterStatus {
+  if (!hasCommonFields(params)) return false;
   const { echo, lifeMs, grantAgesMs, silentServers } = params as Partial<
-    KeeperStatus
+    VoterStatus
   >;
   const isEcho = echo === null || Array.isArray(echo) &&
       typeof echo[0] === "string" && Number.isInteger(echo[1]);
-  return isEcho && Number.isFinite(lifeMs) && areTexts(silentServers) &&
+  return isEcho && Number.isFinite(lifeMs) && areStrings(silentServers) &&
     isRecord(grantAgesMs) &&
     Object.values(grantAgesMs).every((ages) =>
       Array.isArray(ages) && Number.isFinite(ages[0]) &&
@@ -107,15 +120,15 @@
     );
 }
 
-/** Whether a value has what every word of a VM of itself has. */
-function isWord(value: unknown): boolean {
+/** Whether a value has the fields that hellos and voter statuses share. */
+function hasCommonFields(value: unknown): boolean {
   if (!isRecord(value)) return false;
   const { vm, incarnation, sequence, standsMs, maps } = value;
-  return areTexts([vm, incarnation]) && Number.isInteger(sequence) &&
+  return areStrings([vm, incarnation]) && Number.isInteger(sequence) &&
     Number.isFinite(standsMs) && isRecord(maps) &&
-    Object.values(maps).every((word) =>
-      Array.isArray(word) && Number.isInteger(word[0]) &&
-      typeof word[1] === "boolean"
+    Object.values(maps).every((map) =>
+      Array.isArray(map) && Number.isInteger(map[0]) &&
+      typeof map[1] === "boolean"
     );
 }
 
@@ -123,141 +136,167 @@
   return typeof value === "object" && value !== null && !Array.isArray(value);
 }
 
-/** Whether a value is a record of whole numbers. */
+/** Whether a value is a record of integers. */
 function areCounts(value: unknown): boolean {
   return isRecord(value) && areIntegers(Object.values(value));
 }
 
-function areTexts(values: unknown): values is readonly string[] {
+function areStrings(values: unknown): values is readonly string[] {
   return Array.isArray(values) &&
     values.every((value) => typeof value === "string");
 }
 
-/** Schema of {@link KeeperStatus}. */
-export const keeperStatusSchema = peerHelloSchema.pick({
+/** Schema of {@link VoterStatus}. */
+export const voterStatusSchema = peerHelloSchema.pick({
   vm: true,
   incarnation: true,
   sequence: true,
   standsMs: true,
   maps: true,
 }).extend({
-  /** Latest word heard of the receiver: proves how fresh this one is. */
+  /**
+   * Incarnation and sequence number of the last message received from the
+   * receiver of this one: bounds the age of this status.
+   */
   echo: z.tuple([contracts.incarnationSchema, z.number().int()]).nullable(),
-  /** How long the process has run. */
+  /** Uptime of the process. */
   lifeMs: z.number(),
   /**
-   * By server that keys are being taken from: age of the last grant sent, and
+   * By server that ranges are handed over from: age of the last grant sent, and
    * of the last unanswered one.
    */
   grantAgesMs: z.record(
     z.string(),
     z.tuple([z.number(), z.number().nullable()]),
   ),
-  /** Servers that leave this VM's grants unanswered. */
+  /** Servers that do not answer this VM's grants. */
   silentServers: z.array(z.string()),
 });
-/** What the keepers of range maps tell one another. */
-export type KeeperStatus = z.infer<typeof keeperStatusSchema>;
+/** State that the voters of range maps send one another. */
+export type VoterStatus = z.infer<typeof voterStatusSchema>;
 
-/** Schema of {@link SpreadMessage}. */
-export const spreadMessageSchema = z.object({
+/** Schema of {@link BroadcastMessage}. */
+export const broadcastMessageSchema = z.object({
   method: z.string(),
   params: z.unknown(),
 });
-/** A message that its receiver takes and passes on to its cell. */
-export type SpreadMessage = z.infer<typeof spreadMessageSchema>;
+/** A message that its receiver handles and relays to its cell. */
+export type BroadcastMessage = z.infer<typeof broadcastMessageSchema>;
 
-/** Schema of {@link PeerLoss}. */
-export const peerLossSchema = peerHelloSchema.pick({
+/** Schema of {@link PeerFailure}. */
+export const peerFailureSchema = peerHelloSchema.pick({
   vm: true,
   incarnation: true,
   sequence: true,
 });
-/** A VM that its cell no longer hears, with the last word heard of it. */
-export type PeerLoss = z.infer<typeof peerLossSchema>;
+/**
+ * A VM whose heartbeat has timed out in its cell, with the sequence number of
+ * the last message received.
+ */
+export type PeerFailure = z.infer<typeof peerFailureSchema>;
 
-/** Changes of load, between two statuses. */
-export interface LoadNews {
+/** Changes of load since the last status or update. */
+export interface LoadUpdate {
   readonly vm: contracts.VmId;
-  /** Servers whose figures have changed since the last message. */
+  /**
+   * Servers whose load has changed since the last message, with the new load.
+   */
   readonly loads: PeerStatus["loads"];
   /**
-   * Servers whose momentary speed has changed: how much longer work takes than
-   * usual. Absent when there are none.
+   * Servers whose momentary speed has changed: ratio of the current to the
+   * usual time of their work. Absent when there are none.
    */
   readonly slowdowns?: Readonly<Record<string, number>> | undefined;
 }
 
-/** Whether parameters are {@link LoadNews}; they come too often for a schema. */
-export function isLoadNews(params: unknown): params is LoadNews {
+/**
+ * Type guard of {@link LoadUpdate}: a schema is too slow for messages this
+ * frequent.
+ */
+export function isLoadUpdate(params: unknown): params is LoadUpdate {
   if (typeof params !== "object" || params === null) return false;
-  const { vm, loads, slowdowns } = params as Partial<LoadNews>;
+  const { vm, loads, slowdowns } = params as Partial<LoadUpdate>;
   if (typeof vm !== "string" || typeof loads !== "object") return false;
   return Object.values(loads ?? {}).every(Number.isInteger) &&
     Object.values(slowdowns ?? {}).every((ratio) => ratio > 0);
 }
 
-/** Schema of {@link RangeMapNews}. */
-export const rangeMapNewsSchema = z.object({
-  /** The map with only those ranges that differ from `baseRevision`'s. */
+/** Schema of {@link RangeMapUpdate}. */
+export const rangeMapUpdateSchema = z.object({
+  /** The map with only the ranges that differ from those of `baseRevision`. */
   map: contracts.rangeMapSchema.extend({
     ranges: z.array(contracts.rangeStateSchema),
   }),
-  /** Whoever knows this revision or a later one can work out the map. */
+  /** A VM that knows this revision or a later one can apply the update. */
   baseRevision: z.number().int(),
-  /** Fences whose grant the new owner has not confirmed yet. */
+  /** Fences whose grant the new owner has not accepted yet. */
   pendingFences: z.array(z.number().int()),
 });
 /**
- * A range map that the mover has written, as changed ranges: a whole map is
- * large for a datagram.
+ * A range map that the leader has written, sent as changed ranges: a whole map
+ * is large for a datagram.
  */
-export type RangeMapNews = z.infer<typeof rangeMapNewsSchema>;
+export type RangeMapUpdate = z.infer<typeof rangeMapUpdateSchema>;
 
 /** Schema of {@link KeyCounts}. */
 export const keyCountsSchema = z.object({
   service: contracts.serviceIdSchema,
-  /** Keys and requests since the last message, in turn. */
+  /** Alternating keys and their request counts since the last message. */
   counts: z.array(z.number()),
-  /** How much longer than average servers take, as the sender's coordinator saw. */
+  /**
+   * By server, how much longer than average it takes, as the sender's slot
+   * coordinator has measured.
+   */
   serverFactors: z.record(z.string(), z.number().positive()),
 });
-/** Requests by key, told to the mover of the service. */
+/** Request counts by key, sent to the leader of the service's ranges. */
 export type KeyCounts = z.infer<typeof keyCountsSchema>;
 
 /**
- * A slot of a server, and the request that it is for: id (drawn by the VM that
- * asks), service, server, its start in Unix milliseconds, its slots; name, rank
- * and target latency (ms) of the request's route. A tuple keeps these frequent
- * messages small.
+ * A slot of a server with the request that it is for: id (assigned by the
+ * requesting VM), service, server, start time of the server in Unix ms, number
+ * of slots; name, priority and target latency (ms) of the request's route. A
+ * tuple keeps these frequent messages small.
  */
-export type SlotMessage = readonly [
+export type SlotTuple = readonly [
   id: number,
   service: contracts.ServiceId,
   server: contracts.ServerId,
-  bornMs: number,
+  serverStartedAtMs: number,
   slots: number,
   route: string,
   priority: number,
   targetLatencyMs: number,
 ];
 
-/** What an entry VM asks of the one that gives out a server's slots. */
-export interface SlotAsks {
+/**
+ * Requests for slots, sent by an entry VM to the VM that coordinates the
+ * server's slots.
+ */
+export interface SlotRequests {
   readonly vm: contracts.VmId;
-  /** With the time left until an answer is late, and until it is of no use. */
+  /**
+   * Requested slots, each with the time left until an answer is late, and until
+   * it is of no use to the caller.
+   */
   readonly wishes: readonly (readonly [
-    slot: SlotMessage,
+    slot: SlotTuple,
     targetLeftMs: number,
     answerLeftMs: number,
   ])[];
-  /** Wishes and slots that are over, with the time of an answered request. */
+  /**
+   * Requests and slots that have ended, with the time taken by an answered
+   * request.
+   */
   readonly ended: readonly (readonly [id: number, tookMs: number | null])[];
-  /** All slots that the VM has of the coordinator; null when not told now. */
-  readonly held: readonly SlotMessage[] | null;
+  /**
+   * All slots of the coordinator that the VM holds; null when not reported in
+   * this message.
+   */
+  readonly held: readonly SlotTuple[] | null;
 }
 
-/** A wish that can't be granted. */
+/** A slot request that is refused. */
 export type SlotRefusal = readonly [
   id: number,
   reason: admission.RefusalReason,
@@ -265,32 +304,35 @@
   expectedWaitMs: number,
 ];
 
-/** The answers to {@link SlotAsks}. */
-export interface SlotWords {
+/** The replies to {@link SlotRequests}. */
+export interface SlotReplies {
   readonly vm: contracts.VmId;
   readonly given: readonly number[];
   readonly queued: readonly number[];
   readonly refused: readonly SlotRefusal[];
 }
 
-/** Whether parameters are {@link SlotAsks}; they come too often for a schema. */
-export function isSlotAsks(params: unknown): params is SlotAsks {
+/**
+ * Type guard of {@link SlotRequests}: a schema is too slow for messages this
+ * frequent.
+ */
+export function isSlotRequests(params: unknown): params is SlotRequests {
   if (typeof params !== "object" || params === null) return false;
-  const { vm, wishes, ended, held } = params as Partial<SlotAsks>;
+  const { vm, wishes, ended, held } = params as Partial<SlotRequests>;
   return typeof vm === "string" && Array.isArray(wishes) &&
     Array.isArray(ended) && (held === null || Array.isArray(held)) &&
-    wishes.every((wish) =>
-      Array.isArray(wish) && isSlot(wish[0]) && Number.isFinite(wish[1]) &&
-      Number.isFinite(wish[2])
+    wishes.every((request) =>
+      Array.isArray(request) && isSlotTuple(request[0]) &&
+      Number.isFinite(request[1]) && Number.isFinite(request[2])
     ) &&
     ended.every((end) => Array.isArray(end) && Number.isInteger(end[0])) &&
-    (held ?? []).every(isSlot);
+    (held ?? []).every(isSlotTuple);
 }
 
-/** Whether parameters are {@link SlotWords}. */
-export function isSlotWords(params: unknown): params is SlotWords {
+/** Type guard of {@link SlotReplies}. */
+export function isSlotReplies(params: unknown): params is SlotReplies {
   if (typeof params !== "object" || params === null) return false;
-  const { vm, given, queued, refused } = params as Partial<SlotWords>;
+  const { vm, given, queued, refused } = params as Partial<SlotReplies>;
   return typeof vm === "string" && areIntegers(given) && areIntegers(queued) &&
     Array.isArray(refused) &&
     refused.every((refusal) =>
@@ -303,67 +345,72 @@
   return Array.isArray(values) && values.every(Number.isInteger);
 }
 
-/** Positions of the numbers and of the texts in a {@link SlotMessage}. */
+/** Indexes of the numbers and of the strings in a {@link SlotTuple}. */
 const SLOT_NUMBERS = [0, 3, 4, 6, 7];
-const SLOT_TEXTS = [1, 2, 5];
+const SLOT_STRINGS = [1, 2, 5];
 
-function isSlot(value: unknown): value is SlotMessage {
+function isSlotTuple(value: unknown): value is SlotTuple {
   return Array.isArray(value) &&
     SLOT_NUMBERS.every((index) => Number.isFinite(value[index])) &&
-    SLOT_TEXTS.every((index) => typeof value[index] === "string");
+    SLOT_STRINGS.every((index) => typeof value[index] === "string");
 }
 
-/** Schema of {@link Changes}. */
-export const changesSchema = z.object({
+/** Schema of {@link StoreChanges}. */
+export const storeChangesSchema = z.object({
   vm: contracts.vmIdSchema,
-  /** Prefix of the names of the objects. */
+  /** Name prefix of the objects. */
   prefix: z.string(),
-  /** Positions in the store's order. */
+  /**
+   * Positions in the store's order: the changes after `fromCursor` up to and
+   * including `toCursor`.
+   */
   fromCursor: z.number().int(),
   toCursor: z.number().int(),
   /**
-   * Names with version and value, without for an object that was deleted; null
-   * when the changes are not told here.
+   * Names with version and value, null for a deleted object; null as a whole
+   * when the changes are too large for a datagram or no longer buffered.
    */
   events: z.array(
     z.tuple([z.string(), z.tuple([z.string(), z.string()]).nullable()]),
   ).nullable(),
-  /** All names that exist, when the changes come from a list; else null. */
+  /** Names of all objects when the changes come from a list; else null. */
   names: z.array(z.string()).nullable(),
 });
-/** Changes that a reader has seen in the platform's store. */
-export type Changes = z.infer<typeof changesSchema>;
+/** Changes that a reader has read from the platform's store. */
+export type StoreChanges = z.infer<typeof storeChangesSchema>;
 
-/** Schema of {@link ChangesWish}. */
-export const changesWishSchema = z.object({
+/** Schema of {@link ChangesRequest}. */
+export const changesRequestSchema = z.object({
   vm: contracts.vmIdSchema,
   prefix: z.string(),
   cursor: z.number().int(),
 });
-/** Asks a peer for the changes after a position. */
-export type ChangesWish = z.infer<typeof changesWishSchema>;
+/** Request to a peer for the changes after a position. */
+export type ChangesRequest = z.infer<typeof changesRequestSchema>;
 
-/** Schema of {@link ReaderWord}. */
-export const readerWordSchema = z.object({
+/** Schema of {@link ReaderStatus}. */
+export const readerStatusSchema = z.object({
   vm: contracts.vmIdSchema,
-  /** How long it has reached the store without a failure. */
+  /** How long the store has answered this reader without a failure. */
   storeCalmMs: z.number(),
-  /** By prefix: position of the last change heard of. */
+  /** By prefix: position of the last change known. */
   positions: z.record(z.string(), z.number().int()),
 });
-/** A reader tells that it reaches the store. */
-export type ReaderWord = z.infer<typeof readerWordSchema>;
+/** Heartbeat of a reader that reaches the store. */
+export type ReaderStatus = z.infer<typeof readerStatusSchema>;
 
-/** Schema of {@link PeersWish}. */
-export const peersWishSchema = z.object({
+/** Schema of {@link PeersRequest}. */
+export const peersRequestSchema = z.object({
   vm: contracts.vmIdSchema,
   host: z.string(),
   port: z.number().int(),
-  /** Names the set of VMs that the sender knows, itself included. */
+  /** Hash of the set of VMs that the sender knows, itself included. */
   digest: z.number().int(),
 });
-/** Asks which VMs the receiver knows, if they are others. */
-export type PeersWish = z.infer<typeof peersWishSchema>;
+/**
+ * Request for the VMs that the receiver knows, answered if the hash differs.
+ */
+export type PeersRequest = z.infer<typeof peersRequestSchema>;
 
 /** Schema of {@link KnownPeers}. */
 export const knownPeersSchema = z.object({
@@ -376,12 +423,12 @@
 /** Addresses of the VMs that the sender knows, itself included. */
 export type KnownPeers = z.infer<typeof knownPeersSchema>;
 
-/** Schema of {@link KindState}. */
-export const kindStateSchema = z.object({
-  /** Position of the last change that is part of it. */
+/** Schema of {@link KindSnapshot}. */
+export const kindSnapshotSchema = z.object({
+  /** Position of the last change included. */
   position: z.number().int(),
   /** Names with version and value. */
   objects: z.array(z.tuple([z.string(), z.string(), z.string()])),
 });
-/** All objects of a kind, as a VM knows them. */
-export type KindState = z.infer<typeof kindStateSchema>;
+/** Snapshot of all objects with a prefix, as a VM knows them. */
+export type KindSnapshot = z.infer<typeof kindSnapshotSchema>;
--- a/packages/entry/src/gateway/peer_messages_test.ts
+++ b/packages/entry/src/gateway/peer_messages_test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import * as messages from "./peer_messages.ts";
 
-const WORD = {
+const COMMON_FIELDS = {
   vm: "vm1",
   incarnation: "r1",
   sequence: 3,
@@ -10,7 +10,7 @@
   maps: { s: [4, true] },
 };
 const STATUS = {
-  ...WORD,
+  ...COMMON_FIELDS,
   host: "10.0.0.1",
   port: 7_200,
   zone: "z1",
@@ -23,22 +23,27 @@
   loads: { a: 1 },
   waiting: {},
 };
-const KEEPER = {
-  ...WORD,
+const VOTER_STATUS = {
+  ...COMMON_FIELDS,
   echo: ["r2", 9],
   lifeMs: 12.5,
   grantAgesMs: { a: [0, null], b: [10, 5.5] },
   silentServers: ["a"],
 };
 
-/** Guards against messages that a guard and its schema judge differently. */
+/** Guards against a type guard that accepts what its schema rejects. */
 for (
   const [name, isMessage, schema, good] of [
     ["status", messages.isPeerStatus, messages.peerStatusSchema, STATUS],
-    ["keeper", messages.isKeeperStatus, messages.keeperStatusSchema, KEEPER],
+    [
+      "voter status",
+      messages.isVoterStatus,
+      messages.voterStatusSchema,
+      VOTER_STATUS,
+    ],
   ] as const
 ) {
-  test(`should take a whole ${name} and none with a field that is wrong`, () => {
+  test(`should accept a valid ${name} and none with a wrong field`, () => {
     expect(isMessage(good)).toEqual(true);
     for (const field of Object.keys(good)) {
       for (const wrong of [undefined, "x", -0.5, [], [7], { a: "x" }]) {
--- a/packages/entry/src/gateway/range_map_learner.ts
+++ b/packages/entry/src/gateway/range_map_learner.ts
@@ -1,130 +1,153 @@
 /**
- * Learns the range map of one service: keepers and the mover from the store, so
- * that their word is evidence, all others from a peer.
+ * Fetches the range map of one service: voters and the leader read it from the
+ * store, so that their reports confirm it; all others get it from a peer.
  */
 import type * as contracts from "@guavatide/contracts";
 import type { PartLog } from "../utils/log.ts";
 import type { RangeMapStore } from "./range_map_store.ts";
-import { SpacedTask } from "./spaced_task.ts";
+import { ThrottledTask } from "./spaced_task.ts";
 
-/** Options of {@link RangeMapLearner}. */
-export interface RangeMapLearnerOptions {
+/** Options of {@link RangeMapFetcher}. */
+export interface RangeMapFetcherOptions {
   readonly service: contracts.ServiceId;
   readonly maps: RangeMapStore;
   readonly clock: contracts.Clock;
   readonly log: PartLog;
-  /** Asks a peer for the map as it knows it. */
-  readonly askMap: (
+  /** Fetches the map from a peer; undefined without an answer. */
+  readonly fetchMap: (
     peer: contracts.VmId,
   ) => Promise<contracts.RangeMap | undefined>;
   /**
-   * Whether this VM's evidence or moves rest on its own reading of the store.
+   * Whether confirmations or handovers by this VM rely on its own reads of the
+   * store.
    */
-  readonly hasDuty: () => boolean;
+  readonly isVoterOrLeader: () => boolean;
   /** Revision known here; 0 for none. */
   readonly knownRevision: () => number;
-  /** The store answered a read that left at `askedAtMs`. */
-  readonly onRead: (map: contracts.RangeMap, askedAtMs: number) => void;
-  /** A map came from a peer, or from the store possibly some seconds old. */
-  readonly onTold: (map: contracts.RangeMap) => void;
-  /** From now on this VM's status is evidence. */
-  readonly onSettled: () => void;
+  /** The store answered a read that was sent at `sentAtMs`. */
+  readonly onStoreMap: (map: contracts.RangeMap, sentAtMs: number) => void;
+  /**
+   * A map came from a peer, or from a store read that may be some seconds old:
+   * it confirms nothing.
+   */
+  readonly onUnconfirmedMap: (map: contracts.RangeMap) => void;
+  /**
+   * Called after the first read of the store since the start or a pause: from
+   * now on this VM's status confirms maps.
+   */
+  readonly onFirstStoreRead: () => void;
 }
 
-/** The mover's update may arrive this much later than a peer's revision. */
+/**
+ * The leader's update may arrive this much later than a report of its revision
+ * by a peer.
+ */
 const UPDATE_GRACE_MS = 120;
-/** Least time between two reads of the map by a VM that lacks evidence. */
+/** Shortest interval between two reads of the map. */
 const READ_INTERVAL_MIN_MS = 250;
 
-/** Decides when and from whom to learn the map. */
-export class RangeMapLearner {
-  readonly #options: RangeMapLearnerOptions;
-  readonly #reading: SpacedTask;
-  readonly #catchingUp: SpacedTask;
-  /** Since when a peer has a newer map than this VM, and the last such peer. */
+/** Decides when to fetch the map, and from where. */
+export class RangeMapFetcher {
+  readonly #options: RangeMapFetcherOptions;
+  readonly #reads: ThrottledTask;
+  readonly #catchUps: ThrottledTask;
+  /**
+   * Since when some peer has a newer map than this VM, and the last such peer.
+   */
   #staleSinceMs: number | undefined;
-  #aheadPeer: contracts.VmId | undefined;
-  /** Whether the store was asked for a first map. */
-  #hasAskedStore = false;
-  #isSettled = false;
+  #newerPeer: contracts.VmId | undefined;
+  /** Whether the store has answered a read. */
+  #hasStoreAnswered = false;
+  #hasReadMap = false;
 
-  constructor(options: RangeMapLearnerOptions) {
+  constructor(options: RangeMapFetcherOptions) {
     this.#options = options;
-    const spacing = { ...options, spacingMs: READ_INTERVAL_MIN_MS };
-    this.#reading = new SpacedTask(spacing);
-    this.#catchingUp = new SpacedTask(spacing);
+    const throttling = { ...options, minIntervalMs: READ_INTERVAL_MIN_MS };
+    this.#reads = new ThrottledTask(throttling);
+    this.#catchUps = new ThrottledTask(throttling);
   }
 
-  /** Whether the map was read from the store in this run. */
-  get isSettled(): boolean {
-    return this.#isSettled;
+  /**
+   * Whether this incarnation has read the map from the store since the last
+   * pause.
+   */
+  get hasReadMap(): boolean {
+    return this.#hasReadMap;
   }
 
-  /** A peer knows a revision of the map. */
-  noteRevision(revision: number, peer: contracts.VmId): void {
+  /** Notes the revision of the map that a peer knows. */
+  notePeerRevision(revision: number, peer: contracts.VmId): void {
     if (revision <= this.#options.knownRevision()) return;
-    this.#aheadPeer = peer;
+    this.#newerPeer = peer;
     this.#staleSinceMs ??= this.#options.clock.nowMs();
   }
 
-  /** A map came in force here. */
+  /** A newer map was adopted. */
   noteMap(): void {
     this.#staleSinceMs = undefined;
-    // A keeper is of use to the others only once it has read the map itself.
-    if (this.#options.hasDuty() && !this.#isSettled) this.readSoon();
+    // A voter's status confirms maps only once it has read the store itself.
+    if (this.#options.isVoterOrLeader() && !this.#hasReadMap) {
+      this.requestRead();
+    }
   }
 
-  /** The store answered a call of the mover. */
-  noteSettled(): void {
-    this.#isSettled = true;
-    this.#hasAskedStore = true;
+  /** The store answered a read or write of the map. */
+  noteMapRead(): void {
+    this.#hasReadMap = true;
+    this.#hasStoreAnswered = true;
   }
 
-  /** The process stood still: what it knew may be old. */
-  forget(): void {
-    this.#isSettled = false;
+  /**
+   * Requires a new read after a pause of the process: the known map may be
+   * outdated.
+   */
+  invalidate(): void {
+    this.#hasReadMap = false;
   }
 
-  /** Learns the map if that is due. */
+  /** Fetches the map if that is due. */
   tick(nowMs: number): void {
     const isStale = this.#staleSinceMs !== undefined &&
       nowMs - this.#staleSinceMs >= UPDATE_GRACE_MS;
-    if (this.#options.hasDuty() && !this.#isSettled) this.readSoon();
-    else if (!this.#hasAskedStore || isStale) this.catchUp();
+    if (this.#options.isVoterOrLeader() && !this.#hasReadMap) {
+      this.requestRead();
+    } else if (!this.#hasStoreAnswered || isStale) this.catchUp();
   }
 
-  /** Reads the map from the store, unless one read is under way or just was. */
-  readSoon(): void {
-    this.#reading.run(async (nowMs) => {
-      const { maps, service, onRead, onSettled } = this.#options;
-      const end = await maps.read(service);
-      if (end.kind === "unsure") return;
-      const wasSettled = this.#isSettled;
-      this.noteSettled();
-      if (end.kind === "absent") return;
-      onRead(end.stored.map, nowMs);
-      if (!wasSettled) onSettled();
+  /**
+   * Reads the map from the store, unless a read is in flight or has just begun.
+   */
+  requestRead(): void {
+    this.#reads.run(async (nowMs) => {
+      const { maps, service, onStoreMap, onFirstStoreRead } = this.#options;
+      const result = await maps.read(service);
+      if (result.kind === "unsure") return;
+      const hadReadMap = this.#hasReadMap;
+      this.noteMapRead();
+      if (result.kind === "absent") return;
+      onStoreMap(result.stored.map, nowMs);
+      if (!hadReadMap) onFirstStoreRead();
     });
   }
 
   /**
-   * Learns the map of the store or of a peer. A VM without duty may have an
-   * older one: servers refuse keys that they do not own.
+   * Fetches the map from the store or a peer. A VM that is neither voter nor
+   * leader may use an older one: servers refuse keys that they do not own.
    */
   catchUp(): void {
-    if (this.#options.hasDuty()) return this.readSoon();
-    this.#catchingUp.run(async () => {
-      const { maps, service, askMap, onTold } = this.#options;
-      const peer = this.#aheadPeer;
-      this.#aheadPeer = undefined;
-      const told = peer === undefined ? undefined : await askMap(peer);
-      if (told !== undefined) return onTold(told);
-      const end = await maps.read(service, {
-        mayBeStale: !this.#hasAskedStore,
+    if (this.#options.isVoterOrLeader()) return this.requestRead();
+    this.#catchUps.run(async () => {
+      const { maps, service, fetchMap, onUnconfirmedMap } = this.#options;
+      const peer = this.#newerPeer;
+      this.#newerPeer = undefined;
+      const fetched = peer === undefined ? undefined : await fetchMap(peer);
+      if (fetched !== undefined) return onUnconfirmedMap(fetched);
+      const result = await maps.read(service, {
+        mayBeStale: !this.#hasStoreAnswered,
       });
-      if (end.kind === "unsure") return;
-      this.#hasAskedStore = true;
-      if (end.kind === "found") onTold(end.stored.map);
+      if (result.kind === "unsure") return;
+      this.#hasStoreAnswered = true;
+      if (result.kind === "found") onUnconfirmedMap(result.stored.map);
     });
   }
 }
--- a/packages/entry/src/gateway/range_map_store.ts
+++ b/packages/entry/src/gateway/range_map_store.ts
@@ -1,4 +1,4 @@
-/** Range maps in the platform's store, one object for each service. */
+/** Range maps in the platform's store, as one object for each service. */
 import * as contracts from "@guavatide/contracts";
 import type * as grants from "@guavatide/decisions/grants/mod";
 import type { PartLog } from "../utils/log.ts";
@@ -13,12 +13,15 @@
 
 /** Options of {@link RangeMapStore.read}. */
 export interface RangeMapReadOptions {
-  /** The map may be some seconds old; such a read costs a tenth. */
+  /** Whether the map may be some seconds old; such a read costs a tenth. */
   readonly mayBeStale?: boolean;
 }
 
 const PREFIX = "rangemaps/";
-/** The store answers in milliseconds, at its slowest in some tenths of a second. */
+/**
+ * The store answers in a few milliseconds, at its slowest in some tenths of a
+ * second.
+ */
 const READ_TIMEOUT_MS = 800;
 const WRITE_TIMEOUT_MS = 1_200;
 
@@ -30,7 +33,10 @@
     this.#options = options;
   }
 
-  /** Reads the map of a service; `unsure` when it can't be read now. */
+  /**
+   * Reads the map of a service. Result: `found`, `absent`, or `unsure` when it
+   * can't be read or decoded now.
+   */
   async read(
     service: contracts.ServiceId,
     { mayBeStale = false }: RangeMapReadOptions = {},
@@ -51,7 +57,10 @@
     return { kind: "found", stored: { map, version } };
   }
 
-  /** Writes a map under a condition; `unsure` when it may not be written. */
+  /**
+   * Writes a map if the condition holds. Result: `written`, or `unsure` when it
+   * may or may not have been written.
+   */
   async write(
     map: contracts.RangeMap,
     condition: contracts.WriteCondition,
@@ -83,7 +92,7 @@
       const parsed = contracts.rangeMapSchema.safeParse(JSON.parse(value));
       if (parsed.success) return parsed.data;
       const [issue] = parsed.error.issues;
-      log.error("Range map can't be read.", {
+      log.error("Range map doesn't match its schema.", {
         service,
         field: issue?.path.join("."),
         message: issue?.message,
