--- a/packages/entry/src/gateway/service_grants.ts
+++ b/packages/entry/src/gateway/service_grants.ts
@@ -1,6 +1,7 @@
 /**
- * Ownership of one keyed service on one entry VM: the range map as known here,
- * the renewals this VM is to send and, when it is the mover, the moves.
+ * Key ownership of one keyed service on one entry VM: the range map as known
+ * here, the grants that this VM renews and, while it is the leader, the
+ * handovers of ranges.
  */
 import type * as contracts from "@guavatide/contracts";
 import * as grants from "@guavatide/decisions/grants/mod";
@@ -9,14 +10,19 @@
 import { GrantSender } from "./grant_sender.ts";
 import { MapPublisher } from "./map_publisher.ts";
 import { MovePlanner, type MovePlannerOptions } from "./move_planner.ts";
-import type { KeeperStatus, KeyCounts, RangeMapNews } from "./peer_messages.ts";
-import { RangeMapLearner } from "./range_map_learner.ts";
+import type {
+  KeyCounts,
+  RangeMapUpdate,
+  VoterStatus,
+} from "./peer_messages.ts";
+import { RangeMapFetcher } from "./range_map_learner.ts";
 import type { RangeMapStore } from "./range_map_store.ts";
 import type { ServerRegistry } from "./server_registry.ts";
 
-/** An entry VM that may take part in ownership, this one included. */
+/** An entry VM that may be a voter or the leader, this one included. */
 export interface GrantPeer {
   readonly vm: contracts.VmId;
+  /** Whether it reaches the platform's store. */
   readonly hasStore: boolean;
   readonly processorCores: number;
 }
@@ -31,283 +37,312 @@
   readonly registry: ServerRegistry;
   /** Entry VMs that are up, this one included. */
   readonly peers: () => readonly GrantPeer[];
-  /** Length of grants that the service's routes need. */
-  readonly wishedHoldMs: () => number;
-  /** Time since a VM's last message. */
-  readonly silentMs: (vm: contracts.VmId) => number;
-  /** Asks a peer for the map as it knows it. */
-  readonly askMap: (
+  /** Lease duration that the service's routes need. */
+  readonly desiredLeaseMs: () => number;
+  /** Time since a VM's last message; infinite for an unknown VM. */
+  readonly sinceLastMessageMs: (vm: contracts.VmId) => number;
+  /** Fetches the map from a peer; undefined without an answer. */
+  readonly fetchMap: (
     peer: contracts.VmId,
   ) => Promise<contracts.RangeMap | undefined>;
   /** Sends an update of the map to all peers. */
-  readonly publish: (news: RangeMapNews) => void;
-  /** Sends this VM's state to peers at once. */
-  readonly tellPeers: () => void;
-  /** Owners or their readiness have changed. */
+  readonly publish: (update: RangeMapUpdate) => void;
+  /** Sends this VM's status to the other voters at once. */
+  readonly notifyVoters: () => void;
+  /** Owners, or whether they have accepted their ranges, have changed. */
   readonly onChange: () => void;
 }
 
-/** VMs that send the renewals of one server, the first at full rate. */
-const RENEWERS = 2;
-/** A grant that the mover sends with a handover goes ahead of other VMs'. */
+/** VMs that renew the grants of one server, the first at full rate. */
+const RENEWERS_PER_SERVER = 2;
+/**
+ * For this long only the leader grants a new range: its grant carries the
+ * handover.
+ */
 const HANDOVER_LEAD_MS = 600;
-/** Longest time of one release call: running work has to end first. */
+/** Timeout of one release call: running work has to end first. */
 const RELEASE_TIMEOUT_MS = 2_500;
-/** An owner whose confirmation was not heard is tried after this time. */
-const CONFIRMATION_TIMEOUT_MS = 1_500;
-/** A VM that has just started first hears who else could make the moves. */
-const MOVER_STARTUP_GRACE_MS = 700;
-/** Ownership of one service. */
+/**
+ * After this time an owner counts as ready although no acceptance was received.
+ */
+const ACCEPTANCE_TIMEOUT_MS = 1_500;
+/**
+ * A VM that has just started first learns which other VMs could be the leader.
+ */
+const LEADER_STARTUP_GRACE_MS = 700;
+
+/** Key ownership of one service. */
 export class ServiceGrants {
   readonly #options: ServiceGrantsOptions;
-  readonly #keepers = new grants.KeeperBook();
-  readonly #mover: grants.RangeMover;
+  readonly #voterReports = new grants.KeeperBook();
+  readonly #handoverController: grants.RangeMover;
   readonly #sender: GrantSender;
   readonly #planner: MovePlanner;
   readonly #startedAtMs: number;
   #map: contracts.RangeMap | undefined;
   /** Ranges of the map that are renewed, by owner. */
-  #owned = new Map<contracts.ServerId, contracts.RangeState[]>();
-  /** Servers that the map takes keys from. */
-  #vacating: ReadonlySet<contracts.ServerId> = new Set();
-  /** Fences whose owners have not confirmed their grant, as the mover says. */
-  #pending = new Set<number>();
+  #rangesByOwner = new Map<contracts.ServerId, contracts.RangeState[]>();
+  /** Old owners of ranges whose handover is not finished. */
+  #oldOwners: ReadonlySet<contracts.ServerId> = new Set();
+  /**
+   * Fences whose owners have not accepted their grant, as the leader reports.
+   */
+  #pendingFences = new Set<number>();
   #adoptedAtMs = Number.NEGATIVE_INFINITY;
-  readonly #ownerless = new grants.OwnerlessTimes();
-  #isMover = false;
-  readonly #firstMap = new grants.FirstMapWait();
-  readonly #order: grants.DutyOrder;
+  readonly #handoverAges = new grants.OwnerlessTimes();
+  #isLeader = false;
+  readonly #initialMapWait = new grants.FirstMapWait();
+  readonly #ranking: grants.DutyOrder;
   readonly #publisher: MapPublisher;
-  readonly #learner: RangeMapLearner;
-  readonly #lost = new grants.LostServers();
-  /** Fences confirmed to this VM as the mover. */
-  readonly #confirmed = new Set<number>();
+  readonly #fetcher: RangeMapFetcher;
+  readonly #lostServers = new grants.LostServers();
+  /** Fences that were accepted in answer to this VM's grants. */
+  readonly #acceptedFences = new Set<number>();
 
   constructor(options: ServiceGrantsOptions) {
     this.#options = options;
-    this.#order = new grants.DutyOrder(options.hasher);
+    this.#ranking = new grants.DutyOrder(options.hasher);
     this.#publisher = new MapPublisher(options);
     this.#planner = new MovePlanner(options);
     this.#startedAtMs = options.clock.nowMs();
-    this.#learner = new RangeMapLearner({
+    this.#fetcher = new RangeMapFetcher({
       ...options,
-      hasDuty: () => this.#hasDuty,
+      isVoterOrLeader: () => this.#isVoterOrLeader,
       knownRevision: () => this.#map?.revision ?? 0,
-      onRead: (map, askedAtMs) => {
-        this.#keepers.noteRead(map.revision, askedAtMs);
+      onStoreMap: (map, sentAtMs) => {
+        this.#voterReports.noteRead(map.revision, sentAtMs);
         this.#adoptNewer(map, "store");
       },
-      onTold: (map) => this.#adoptNewer(map, "peer"),
-      onSettled: options.tellPeers,
+      onUnconfirmedMap: (map) => this.#adoptNewer(map, "peer"),
+      onFirstStoreRead: options.notifyVoters,
     });
-    this.#mover = new grants.RangeMover(
+    this.#handoverController = new grants.RangeMover(
       options.service,
-      this.#keepers,
+      this.#voterReports,
       options.timings,
     );
     this.#sender = new GrantSender({
       ...options,
-      entry: (owner) => options.registry.entry(owner),
-      onConfirmed: (range) => this.#confirm(range),
-      onFencedOff: () => this.#mover.forget(),
-      onEnded: (server) => {
-        // The mover waits to hear that no grant to the server is under way.
-        if (this.#vacating.has(server)) options.tellPeers();
+      findServer: (owner) => options.registry.entry(owner),
+      onAccepted: (range) => this.#noteAccepted(range),
+      onFencedOff: () => this.#handoverController.forget(),
+      onCompleted: (server) => {
+        // The leader waits until no grant to the old owner is in flight.
+        if (this.#oldOwners.has(server)) options.notifyVoters();
       },
     });
   }
 
-  /** Whether ownership is known. */
-  get isKnown(): boolean {
+  /** Whether a range map is known. */
+  get isMapKnown(): boolean {
     return this.#map !== undefined;
   }
 
-  /** The map as known here. */
+  /** The range map as known here. */
   get map(): contracts.RangeMap | undefined {
     return this.#map;
   }
 
-  /** Whether this VM makes the moves. */
-  get isMover(): boolean {
-    return this.#isMover;
+  /** Whether this VM is the leader of the service's ranges. */
+  get isLeader(): boolean {
+    return this.#isLeader;
   }
 
-  /** Revision known, and whether the map was read in this run. */
-  get word(): [number, boolean] {
-    return [this.#map?.revision ?? 0, this.#learner.isSettled];
+  /**
+   * Revision known, and whether this incarnation has read the map from the
+   * store.
+   */
+  get mapStatus(): [number, boolean] {
+    return [this.#map?.revision ?? 0, this.#fetcher.hasReadMap];
   }
 
-  /** Ages of this VM's grants to servers that keys are taken from. */
+  /** Ages of this VM's last grants to old owners, see {@link GrantSender}. */
   get grantAgesMs(): Map<contracts.ServerId, [number, number | null]> {
-    const ages = this.#sender.agesMs();
+    const ages = this.#sender.grantAgesMs();
     for (const server of ages.keys()) {
-      if (!this.#vacating.has(server)) ages.delete(server);
+      if (!this.#oldOwners.has(server)) ages.delete(server);
     }
     return ages;
   }
 
-  /** Servers that leave this VM's grants unanswered. */
-  get silentServers(): contracts.ServerId[] {
-    return this.#sender.silentServers();
+  /** Servers that do not answer this VM's grants. */
+  get unresponsiveServers(): contracts.ServerId[] {
+    return this.#sender.unresponsiveServers();
   }
 
   /**
-   * The VM that makes the moves, as far as this VM can tell: a keeper, since it
-   * grants what it moves; any VM while no keeper reaches the store.
+   * The leader, as far as this VM can tell: a voter, since it grants what it
+   * hands over; any VM while no voter reaches the store.
    */
-  get moverVm(): contracts.VmId | undefined {
+  get leaderVm(): contracts.VmId | undefined {
     const { service, peers } = this.#options;
-    const reach = peers().filter(({ hasStore }) => hasStore);
-    const keepers = this.#map?.keeperSets.at(-1);
-    const able = reach.filter(({ vm }) => keepers?.includes(vm) ?? true);
-    const candidates = able.length > 0 ? able : reach;
-    return this.#order.of(service, candidates.map(({ vm }) => vm))[0];
+    const reachable = peers().filter(({ hasStore }) => hasStore);
+    const voters = this.#map?.keeperSets.at(-1);
+    const eligible = reachable.filter(({ vm }) => voters?.includes(vm) ?? true);
+    const candidates = eligible.length > 0 ? eligible : reachable;
+    return this.#ranking.of(service, candidates.map(({ vm }) => vm))[0];
   }
 
-  /** Who owns a key. */
+  /** The owner of a key. */
   ownerOf(key: number): KeyOwner {
     if (this.#map === undefined) return { kind: "unknown" };
     const { ranges } = this.#map;
     const range = ranges[grants.rangeIndex(ranges, key)]!;
     if (range.vacating !== undefined || this.#isPending(range)) {
       const nowMs = this.#options.clock.nowMs();
-      const ageMs = this.#ownerless.ageMs(range, nowMs);
-      return { kind: "moving", ageMs, holdMs: this.#holdMs };
+      const ageMs = this.#handoverAges.ageMs(range, nowMs);
+      return { kind: "moving", ageMs, holdMs: this.#leaseMs };
     }
     return { kind: "owned", ...range.owner, fence: range.fence };
   }
 
-  /** Whether the owner has yet to confirm; not for ever, as news get lost. */
+  /**
+   * Whether the owner has yet to accept; limited in time, as updates may be
+   * lost.
+   */
   #isPending({ fence }: contracts.RangeState): boolean {
-    if (!this.#pending.has(fence)) return false;
+    if (!this.#pendingFences.has(fence)) return false;
     const ageMs = this.#options.clock.nowMs() - this.#adoptedAtMs;
-    return ageMs < CONFIRMATION_TIMEOUT_MS;
+    return ageMs < ACCEPTANCE_TIMEOUT_MS;
   }
 
-  /** Requests by key since the last message of a peer, or of this VM. */
+  /** Adds request counts by key since the last message of a peer or this VM. */
   noteKeyCounts(counts: KeyCounts): void {
     this.#planner.noteKeyCounts(counts);
   }
 
-  /** A keeper's status. */
-  noteKeeper(
-    status: KeeperStatus,
-    askedAtMs: number,
+  /**
+   * Takes a voter's status. `sentAtMs` is when the message that it echoes was
+   * sent, which bounds the age of the status.
+   */
+  noteVoterStatus(
+    status: VoterStatus,
+    sentAtMs: number,
     receivedAtMs: number,
   ): void {
     const { service } = this.#options;
-    const [revision, isSettled] = status.maps[service] ?? [0, false];
-    this.#keepers.noteWord({
+    const [revision, hasReadMap] = status.maps[service] ?? [0, false];
+    this.#voterReports.noteWord({
       vm: status.vm,
       revision,
-      isSettled,
-      askedAtMs,
+      isSettled: hasReadMap,
+      askedAtMs: sentAtMs,
       receivedAtMs,
       startedAtMs: receivedAtMs - status.lifeMs,
       ...grantTimes(Object.entries(status.grantAgesMs), receivedAtMs),
     });
-    this.#lost.noteSilent(status.vm, status.silentServers);
+    this.#lostServers.noteSilent(status.vm, status.silentServers);
   }
 
-  /** A peer knows a revision of the map. */
-  noteRevision(revision: number, peer: contracts.VmId): void {
-    this.#learner.noteRevision(revision, peer);
+  /** Notes the revision of the map that a peer knows. */
+  notePeerRevision(revision: number, peer: contracts.VmId): void {
+    this.#fetcher.notePeerRevision(revision, peer);
   }
 
-  /** The mover's update of the map. */
-  noteNews({ map, baseRevision, pendingFences }: RangeMapNews): void {
+  /** Applies the leader's update of the map. */
+  applyUpdate({ map, baseRevision, pendingFences }: RangeMapUpdate): void {
     const known = this.#map?.revision ?? 0;
     if (map.revision < known) return;
     const pending = new Set(pendingFences);
     if (map.revision === known) {
-      this.#pending = pending;
+      this.#pendingFences = pending;
       return this.#options.onChange();
     }
     const ranges = known < baseRevision
       ? undefined
       : grants.withChanges(this.#map?.ranges ?? [], map.ranges);
-    // The base of the update never arrived here.
-    if (ranges === undefined) return this.#learner.catchUp();
-    this.#pending = pending;
+    // The update's base revision was not received.
+    if (ranges === undefined) return this.#fetcher.catchUp();
+    this.#pendingFences = pending;
     this.#adopt({ ...map, ranges }, "news");
   }
 
-  /** The process stood still: what it knew may be old. */
+  /**
+   * Discards confirmations after a pause of the process: they may be outdated.
+   */
   noteSuspension(): void {
-    this.#keepers.forgetEvidence();
-    this.#mover.forget();
-    this.#learner.forget();
+    this.#voterReports.forgetEvidence();
+    this.#handoverController.forget();
+    this.#fetcher.invalidate();
   }
 
-  /** Regular work: renewals, reads, moves. */
+  /** Periodic work: renewals, reads, handovers. */
   tick(): void {
     const nowMs = this.#options.clock.nowMs();
-    this.#noteOwnWord(nowMs);
-    this.#followDuty(nowMs);
-    this.#learner.tick(nowMs);
+    this.#noteOwnReport(nowMs);
+    this.#updateLeadership(nowMs);
+    this.#fetcher.tick(nowMs);
     if (this.#map !== undefined) this.#renew(this.#map, nowMs);
-    if (this.#isMover) this.#move(nowMs);
+    if (this.#isLeader) this.#runHandovers(nowMs);
   }
 
-  #noteOwnWord(nowMs: number): void {
-    this.#keepers.noteWord({
+  #noteOwnReport(nowMs: number): void {
+    this.#voterReports.noteWord({
       vm: this.#options.vm,
       revision: this.#map?.revision ?? 0,
-      isSettled: this.#learner.isSettled,
+      isSettled: this.#fetcher.hasReadMap,
       askedAtMs: nowMs,
       receivedAtMs: nowMs,
       startedAtMs: this.#startedAtMs,
-      ...grantTimes(this.#sender.agesMs(), nowMs),
+      ...grantTimes(this.#sender.grantAgesMs(), nowMs),
     });
   }
 
-  #followDuty(nowMs: number): void {
-    const isMover = nowMs - this.#startedAtMs >= MOVER_STARTUP_GRACE_MS &&
-      this.moverVm === this.#options.vm;
-    if (isMover === this.#isMover) return;
-    this.#isMover = isMover;
+  #updateLeadership(nowMs: number): void {
+    const isLeader = nowMs - this.#startedAtMs >= LEADER_STARTUP_GRACE_MS &&
+      this.leaderVm === this.#options.vm;
+    if (isLeader === this.#isLeader) return;
+    this.#isLeader = isLeader;
     const { service, log } = this.#options;
-    log.info(isMover ? "Takes over moves." : "Hands over moves.", { service });
-    if (!isMover) return;
-    this.#planner.begin(nowMs);
-    this.#mover.forget();
+    log.info(
+      isLeader
+        ? "Became the leader for a service's ranges."
+        : "No longer the leader for a service's ranges.",
+      {
+        service,
+      },
+    );
+    if (!isLeader) return;
+    this.#planner.start(nowMs);
+    this.#handoverController.forget();
   }
 
-  // Reading
+  // Reads of the map
 
   /**
-   * Whether this VM's evidence or moves rest on its own reading of the store.
+   * Whether confirmations or handovers by this VM rely on its own reads of the
+   * store.
    */
-  get #hasDuty(): boolean {
-    const keepers = this.#map?.keeperSets.flat() ?? [];
-    return this.#isMover || keepers.includes(this.#options.vm);
+  get #isVoterOrLeader(): boolean {
+    const voters = this.#map?.keeperSets.flat() ?? [];
+    return this.#isLeader || voters.includes(this.#options.vm);
   }
 
   #adoptNewer(map: contracts.RangeMap, from: string): void {
     if (map.revision <= (this.#map?.revision ?? 0)) return;
-    this.#pending.clear();
+    this.#pendingFences.clear();
     this.#adopt(map, from);
   }
 
   #adopt(map: contracts.RangeMap, from: string): void {
-    const vacating = grants.vacatingServers(map.ranges);
-    this.#logLastGrants(map.revision, vacating);
+    const oldOwners = grants.vacatingServers(map.ranges);
+    this.#logLastGrants(map.revision, oldOwners);
     this.#map = map;
-    this.#vacating = vacating;
-    this.#owned = grants.ownedRanges(map.ranges);
+    this.#oldOwners = oldOwners;
+    this.#rangesByOwner = grants.ownedRanges(map.ranges);
     this.#adoptedAtMs = this.#options.clock.nowMs();
     this.#publisher.noteMap(map);
-    this.#mover.noteNewer(map.revision);
-    this.#sender.keepOnly(map.ranges, this.#holdMs);
+    this.#handoverController.noteNewer(map.revision);
+    this.#sender.prune(map.ranges, this.#leaseMs);
     const fences = new Set(map.ranges.map(({ fence }) => fence));
-    const duties = new Set<string>(map.ranges.map((it) => it.owner.server));
-    for (const fence of this.#confirmed) {
-      if (!fences.has(fence)) this.#confirmed.delete(fence);
+    const owners = new Set<string>(map.ranges.map((it) => it.owner.server));
+    for (const fence of this.#acceptedFences) {
+      if (!fences.has(fence)) this.#acceptedFences.delete(fence);
     }
-    this.#order.keepOnly(duties);
-    this.#ownerless.noteMap(map, this.#adoptedAtMs);
+    this.#ranking.keepOnly(owners);
+    this.#handoverAges.noteMap(map, this.#adoptedAtMs);
     const { service, log } = this.#options;
-    log.info("Range map in force.", {
+    log.info("Adopted a range map.", {
       service,
       revision: map.revision,
       ranges: map.ranges.length,
@@ -315,17 +350,19 @@
       from,
     });
     this.#options.onChange();
-    this.#learner.noteMap();
+    this.#fetcher.noteMap();
   }
 
-  /** What this VM sent to servers that keys are taken from may still arrive. */
+  /** Grants that were sent to old owners may still arrive. */
   #logLastGrants(
     revision: number,
-    vacating: ReadonlySet<contracts.ServerId>,
+    oldOwners: ReadonlySet<contracts.ServerId>,
   ): void {
-    for (const [server, [ageMs, unansweredAgeMs]] of this.#sender.agesMs()) {
-      if (!vacating.has(server) || this.#vacating.has(server)) continue;
-      this.#options.log.info("Renewals of a server's keys end.", {
+    for (
+      const [server, [ageMs, unansweredAgeMs]] of this.#sender.grantAgesMs()
+    ) {
+      if (!oldOwners.has(server) || this.#oldOwners.has(server)) continue;
+      this.#options.log.info("Stopped renewing a server's grants.", {
         server,
         revision,
         lastGrantAgeMs: ageMs,
@@ -334,33 +371,34 @@
     }
   }
 
-  // Renewing
+  // Renewals
 
-  get #holdMs(): number {
+  get #leaseMs(): number {
     return grants.holdOf(this.#map, this.#options.timings);
   }
 
-  /** Sends what is due to servers that have no grant under way. */
+  /** Sends due grants to servers that have no grant in flight. */
   #renew(
     map: contracts.RangeMap,
     nowMs: number,
-    servers: Iterable<contracts.ServerId> = this.#owned.keys(),
+    servers: Iterable<contracts.ServerId> = this.#rangesByOwner.keys(),
   ): void {
-    const keepers = map.keeperSets.at(-1)!;
-    if (!keepers.includes(this.#options.vm)) return;
-    const live = this.#live().filter((peer) => keepers.includes(peer));
+    const voters = map.keeperSets.at(-1)!;
+    if (!voters.includes(this.#options.vm)) return;
+    const liveVoters = this.#liveVms().filter((peer) => voters.includes(peer));
     const due: contracts.RangeState[] = [];
     for (const server of servers) {
-      const range = this.#dueAt(server, live, nowMs);
+      const range = this.#nextDueRange(server, liveVoters, nowMs);
       if (range !== undefined) due.push(range);
     }
     if (due.length === 0) return;
-    if (!this.#hasEvidence(map)) return this.#learner.readSoon();
+    if (!this.#isConfirmed(map)) return this.#fetcher.requestRead();
     for (const range of due) {
-      const handover = this.#mover.handover(range.fence);
-      const mayLeave = () => this.#mayRenew(range);
-      const order = { range, handover, holdMs: this.#holdMs, mayLeave };
-      this.#sender.send(order).then(
+      const handover = this.#handoverController.handover(range.fence);
+      const leaseMs = this.#leaseMs;
+      const isStillAllowed = () => this.#isStillGranted(range);
+      const request = { range, handover, leaseMs, isStillAllowed };
+      this.#sender.send(request).then(
         () => this.#renewNext(range.owner.server),
         (error) =>
           this.#options.log.error("Grant failed.", { error: String(error) }),
@@ -368,140 +406,153 @@
     }
   }
 
-  /** The range that this VM is to renew next at a server. */
-  #dueAt(
+  /** The most overdue range that this VM renews at a server. */
+  #nextDueRange(
     server: contracts.ServerId,
-    live: readonly contracts.VmId[],
+    liveVoters: readonly contracts.VmId[],
     nowMs: number,
   ): contracts.RangeState | undefined {
     const { vm, timings } = this.#options;
-    const ownPlace = this.#order.of(server, live).indexOf(vm);
+    const ownRank = this.#ranking.of(server, liveVoters).indexOf(vm);
     const due: grants.RangeDue[] = [];
-    for (const range of this.#owned.get(server) ?? []) {
-      const place = this.#isMover && this.#isNew(range) ? 0 : ownPlace;
-      if (place < 0 || place >= RENEWERS) continue;
-      if (this.#leavesToMover(range, nowMs)) continue;
-      const lastMs = this.#sender.confirmedMs(range);
-      const intervalMs = timings.renewMs * (place + 1);
+    for (const range of this.#rangesByOwner.get(server) ?? []) {
+      const rank = this.#isLeader && this.#isUnaccepted(range) ? 0 : ownRank;
+      if (rank < 0 || rank >= RENEWERS_PER_SERVER) continue;
+      if (this.#isLeftToLeader(range, nowMs)) continue;
+      const lastMs = this.#sender.acceptedAtMs(range);
+      const intervalMs = timings.renewMs * (rank + 1);
       const overdueMs = nowMs - (lastMs ?? Number.NEGATIVE_INFINITY) -
         intervalMs;
-      if (overdueMs < 0 || !this.#sender.isFree(range.owner)) continue;
+      if (overdueMs < 0 || !this.#sender.canSend(range.owner)) continue;
       due.push({ range, overdueMs });
     }
     return grants.mostOverdue(due);
   }
 
-  #hasEvidence(map: contracts.RangeMap): boolean {
+  #isConfirmed(map: contracts.RangeMap): boolean {
     const { clock, timings } = this.#options;
-    const ageMs = clock.nowMs() - this.#keepers.evidenceAtMs(map);
+    const ageMs = clock.nowMs() - this.#voterReports.evidenceAtMs(map);
     return ageMs < timings.evidenceMs;
   }
 
-  /** Whether the map that is known now still gives the range to its owner. */
-  #mayRenew({ fromKey, toKey, fence }: contracts.RangeState): boolean {
+  /**
+   * Whether the current map still gives the range to its owner, and is
+   * confirmed.
+   */
+  #isStillGranted({ fromKey, toKey, fence }: contracts.RangeState): boolean {
     if (this.#map === undefined) return false;
     const { ranges } = this.#map;
     const known = ranges[grants.rangeIndex(ranges, fromKey)]!;
     const isSame = known.fence === fence && known.fromKey === fromKey &&
       known.toKey === toKey && known.vacating === undefined;
-    return isSame && this.#hasEvidence(this.#map);
+    return isSame && this.#isConfirmed(this.#map);
   }
 
-  /** A server may have more ranges due than one tick sends. */
+  /** A server may have more due ranges than one tick sends. */
   #renewNext(server: contracts.ServerId): void {
     if (this.#map === undefined) return;
     this.#renew(this.#map, this.#options.clock.nowMs(), [server]);
   }
 
-  #isNew(range: contracts.RangeState): boolean {
-    return this.#sender.confirmedMs(range) === undefined;
+  #isUnaccepted(range: contracts.RangeState): boolean {
+    return this.#sender.acceptedAtMs(range) === undefined;
   }
 
   /**
-   * Whether a range of a new fence is left to the mover, which alone has the
+   * Whether a range with a new fence is left to the leader, which alone has the
    * handover: without it the keys are slow at their new owner.
    */
-  #leavesToMover(range: contracts.RangeState, nowMs: number): boolean {
-    return !this.#isMover && this.#pending.has(range.fence) &&
+  #isLeftToLeader(range: contracts.RangeState, nowMs: number): boolean {
+    return !this.#isLeader && this.#pendingFences.has(range.fence) &&
       nowMs - this.#adoptedAtMs < HANDOVER_LEAD_MS;
   }
 
-  #confirm(range: contracts.RangeState): void {
-    this.#confirmed.add(range.fence);
-    if (!this.#pending.delete(range.fence)) return;
+  #noteAccepted(range: contracts.RangeState): void {
+    this.#acceptedFences.add(range.fence);
+    if (!this.#pendingFences.delete(range.fence)) return;
     this.#options.onChange();
-    if (this.#isMover) this.#publisher.publish(this.#pending);
+    if (this.#isLeader) this.#publisher.publish(this.#pendingFences);
   }
 
-  // Moving
+  // Handovers
 
-  #move(nowMs: number): void {
-    const tick = this.#moverTick(nowMs);
-    this.#publisher.repeat(this.#pending);
-    this.#mover.checkPromises(nowMs, tick.gone);
-    for (const call of this.#mover.takeReleases(nowMs, tick.hasEnded)) {
+  #runHandovers(nowMs: number): void {
+    const tick = this.#handoverTick(nowMs);
+    this.#publisher.resendIfDue(this.#pendingFences);
+    this.#handoverController.checkPromises(nowMs, tick.gone);
+    for (
+      const call of this.#handoverController.takeReleases(nowMs, tick.hasEnded)
+    ) {
       this.#release(call);
     }
-    const call = this.#mover.nextCall(tick);
+    const call = this.#handoverController.nextCall(tick);
     if (call === undefined) return;
-    this.#call(call).catch((error) => {
-      this.#mover.noteCallEnd({ kind: "unsure" }, nowMs);
-      this.#options.log.error("Call of the mover failed.", {
+    this.#callStore(call).catch((error) => {
+      this.#handoverController.noteCallEnd({ kind: "unsure" }, nowMs);
+      this.#options.log.error("Read or write of the range map failed.", {
         error: String(error),
       });
     });
   }
 
-  async #call(call: grants.MapCall): Promise<void> {
+  async #callStore(call: grants.MapCall): Promise<void> {
     const { clock, maps, service } = this.#options;
-    const askedAtMs = clock.nowMs();
+    const sentAtMs = clock.nowMs();
     const end = call.kind === "read"
       ? await maps.read(service)
       : await maps.write(call.map, call.condition);
-    this.#mover.noteCallEnd(end, clock.nowMs());
+    this.#handoverController.noteCallEnd(end, clock.nowMs());
     if (end.kind === "unsure" || end.kind === "absent") return;
-    this.#learner.noteSettled();
+    this.#fetcher.noteMapRead();
     const { map } = end.stored;
-    this.#keepers.noteRead(map.revision, askedAtMs);
+    this.#voterReports.noteRead(map.revision, sentAtMs);
     if (map.revision <= (this.#map?.revision ?? 0)) return;
-    this.#notePending(map);
+    this.#updatePendingFences(map);
     this.#adopt(map, call.kind === "read" ? "store" : "own move");
-    this.#publisher.publish(this.#pending);
-    // Keys that have moved wait for their first grant.
+    this.#publisher.publish(this.#pendingFences);
+    // Requests for the keys wait for the first grant to the new owner.
     this.#renew(map, clock.nowMs());
   }
 
-  /** Ranges whose fence is new since the map known before. */
-  #notePending(map: contracts.RangeMap): void {
+  /** Marks fences that are new in the map as pending. */
+  #updatePendingFences(map: contracts.RangeMap): void {
     const known = new Set(
       this.#map?.ranges.filter((it) => it.vacating === undefined)
         .map(({ fence }) => fence),
     );
     for (const { fence } of map.ranges) {
-      if (!known.has(fence) && !this.#confirmed.has(fence)) {
-        this.#pending.add(fence);
+      if (!known.has(fence) && !this.#acceptedFences.has(fence)) {
+        this.#pendingFences.add(fence);
       }
     }
     const listed = new Set(map.ranges.map(({ fence }) => fence));
-    for (const fence of this.#pending) {
-      if (!listed.has(fence)) this.#pending.delete(fence);
+    for (const fence of this.#pendingFences) {
+      if (!listed.has(fence)) this.#pendingFences.delete(fence);
     }
   }
 
-  /** The next owner's fence lets the old owner refuse older grants from then. */
+  /**
+   * Calls the old owner with the next owner's fence: from then on it refuses
+   * older grants.
+   */
   #release({ range, old, isFencing }: grants.ReleaseCall): void {
     const { registry, control, clock, timings, log } = this.#options;
     const server = registry.entry(old);
     const { fromKey, toKey, fence } = range;
     if (server === undefined) {
-      return this.#mover.noteRelease(fence, "failed", clock.nowMs());
+      return this.#handoverController.noteRelease(
+        fence,
+        "failed",
+        clock.nowMs(),
+      );
     }
     const timeoutMs = isFencing ? timings.orderTimeoutMs : RELEASE_TIMEOUT_MS;
     control.release(server, { fromKey, toKey, fence }, { timeoutMs }).then(
       (result) => {
         const end = result.isOk() ? { handover: result.value } : "failed";
-        this.#mover.noteRelease(fence, end, clock.nowMs());
-        // The old owner is tried until it answers, and says so once.
+        this.#handoverController.noteRelease(fence, end, clock.nowMs());
+        // Fencing calls are repeated until the old owner answers; only the
+        // answer is logged.
         if (isFencing && result.isErr()) return;
         log.info(result.isOk() ? "Range released." : "Release failed.", {
           server: old.server,
@@ -513,81 +564,85 @@
         });
       },
       (error) => {
-        this.#mover.noteRelease(fence, "failed", clock.nowMs());
+        this.#handoverController.noteRelease(fence, "failed", clock.nowMs());
         log.error("Release failed.", { error: String(error) });
       },
     );
   }
 
-  #moverTick(nowMs: number): grants.RangeMoverTick {
-    const { registry, service, wishedHoldMs } = this.#options;
-    this.#countLost(nowMs);
+  #handoverTick(nowMs: number): grants.RangeMoverTick {
+    const { registry, service, desiredLeaseMs } = this.#options;
+    this.#countLostServers(nowMs);
     const staying = registry.staying(service);
-    const found = staying.filter(({ server }) => !this.#lost.has(server));
-    // With all of them lost any may be back, and no other can own a key.
+    const found = staying.filter(({ server }) =>
+      !this.#lostServers.has(server)
+    );
+    // If all servers are lost, all are tried: any may be back, and no other can
+    // own a key.
     const usable = new Map(
       (found.length > 0 ? found : staying)
         .map((entry) => [entry.server, entry]),
     );
-    const review = this.#keeperReview(nowMs);
-    const { lifeMs } = review;
-    const isOver = this.#firstMap.isOver(usable.size, { nowMs, lifeMs });
+    const selection = this.#voterSelection(nowMs);
+    const { lifeMs } = selection;
+    const isOver = this.#initialMapWait.isOver(usable.size, { nowMs, lifeMs });
     const mayStart = this.#map !== undefined || isOver;
     return {
       nowMs,
       usable: registry.isListed && mayStart ? usable : new Map(),
-      holdMs: wishedHoldMs(),
+      holdMs: desiredLeaseMs(),
       hasEnded: (owner) => registry.hasEnded(owner),
-      keepers: grants.wishedKeepers(review),
-      gone: grants.goneKeepers(review),
+      keepers: grants.wishedKeepers(selection),
+      gone: grants.goneKeepers(selection),
       plan: (map) => this.#planner.plan(map, usable, nowMs),
       nonce: () => crypto.randomUUID(),
     };
   }
 
-  #countLost(nowMs: number): void {
+  #countLostServers(nowMs: number): void {
     const { vm, log } = this.#options;
-    this.#lost.noteSilent(vm, this.#sender.silentServers());
-    const keepers = this.#map?.keeperSets.at(-1) ?? [];
-    const live = this.#live().filter((peer) => keepers.includes(peer));
-    const newly = this.#lost.count(
+    this.#lostServers.noteSilent(vm, this.#sender.unresponsiveServers());
+    const voters = this.#map?.keeperSets.at(-1) ?? [];
+    const liveVoters = this.#liveVms().filter((peer) => voters.includes(peer));
+    const newlyLost = this.#lostServers.count(
       nowMs,
-      (server) => this.#order.of(server, live).slice(0, RENEWERS),
+      (server) =>
+        this.#ranking.of(server, liveVoters).slice(0, RENEWERS_PER_SERVER),
     );
-    for (const server of newly) log.warn("Server lost.", { server });
+    for (const server of newlyLost) log.warn("Server lost.", { server });
   }
 
-  #keeperReview(nowMs: number): grants.KeeperReviewInput {
-    const { vm, silentMs } = this.#options;
+  #voterSelection(nowMs: number): grants.KeeperReviewInput {
+    const { vm, sinceLastMessageMs } = this.#options;
     return {
       vm,
       map: this.#map,
-      live: this.#keeperOrder(),
-      silentMs,
+      live: this.#voterCandidates(),
+      silentMs: sinceLastMessageMs,
       lifeMs: nowMs - this.#startedAtMs,
     };
   }
 
   /**
-   * VMs in the order in which they become keepers: the strongest first, since
-   * keepers send all renewals.
+   * VMs in the order in which they become voters: those with the most cores
+   * first, since voters send all renewals.
    */
-  #keeperOrder(): contracts.VmId[] {
+  #voterCandidates(): contracts.VmId[] {
     const cores = new Map(
       this.#options.peers().map((peer) => [peer.vm, peer.processorCores]),
     );
-    // The sort is stable: equals stay in the order of the duty.
-    return [...this.#order.of("keepers", [...cores.keys()])]
+    // The sort is stable: VMs with equal cores stay in ranking order.
+    return [...this.#ranking.of("keepers", [...cores.keys()])]
       .sort((a, b) => cores.get(b)! - cores.get(a)!);
   }
 
   /** Entry VMs that are up, this one included. */
-  #live(): contracts.VmId[] {
+  #liveVms(): contracts.VmId[] {
     return this.#options.peers().map(({ vm }) => vm);
   }
 }
 
-/** When grants to each server ended, from their ages. */
+/** Converts ages of grants to times of the local clock. */
 function grantTimes(
   ages: Iterable<[string, [number, number | null]]>,
   nowMs: number,
--- a/packages/entry/src/gateway/service_grants_test.ts
+++ b/packages/entry/src/gateway/service_grants_test.ts
@@ -5,49 +5,52 @@
 import * as neverthrow from "neverthrow";
 import { test } from "node:test";
 import * as timers from "node:timers/promises";
-import { entryOf, KEYED_SERVICE } from "./grant_test_support.ts";
+import { KEYED_SERVICE, serverEntryOf } from "./grant_test_support.ts";
 import type { RangeMapStore } from "./range_map_store.ts";
 import type { ServerRegistry } from "./server_registry.ts";
 import { ServiceGrants } from "./service_grants.ts";
 
-const KEEPER = "vm1" as contracts.VmId;
+const VOTER = "vm1" as contracts.VmId;
 const OTHER = "vm2" as contracts.VmId;
-const ASKED = "k1" as contracts.ServerId;
-const SERVERS = [ASKED, "k2", "k3", "k4"] as contracts.ServerId[];
+const FIRST_SERVER = "k1" as contracts.ServerId;
+const SERVERS = [FIRST_SERVER, "k2", "k3", "k4"] as contracts.ServerId[];
 const RANGES_PER_SERVER = 4;
-/** The first range moves away from the first server. */
-const MOVED_FENCE = 1;
-/** A VM that has started makes the moves by then. */
-const MOVER_AFTER_MS = 900;
-/** The regular work of a keeper. */
+/** The first range is handed over by the first server. */
+const HANDED_OVER_FENCE = 1;
+/** A VM that has started can be the leader by then. */
+const LEADER_AFTER_MS = 900;
+/** Tick interval of a voter. */
 const TICK_MS = 40;
 
-/** Guards against work for the square of the number of ranges. */
-test("should look only at a server's own ranges when its grant has ended", async () => {
-  const { sent, looked, ...keeper } = await createKeeper();
-  await keeper.run(MOVER_AFTER_MS);
-  keeper.holdAnswers();
-  keeper.tick(grants.DEFAULT_GRANT_TIMINGS.renewMs);
-  const [first] = sent.get(ASKED)!;
+/** Guards against work that grows with the square of the number of ranges. */
+test("should visit only a server's own ranges when its grant is answered", async () => {
+  const { sent, visited, ...voter } = await createVoter();
+  await voter.run(LEADER_AFTER_MS);
+  voter.holdAnswers();
+  voter.tick(grants.DEFAULT_GRANT_TIMINGS.renewMs);
+  const [first] = sent.get(FIRST_SERVER)!;
 
   sent.clear();
-  looked.clear();
-  keeper.answer(ASKED);
+  visited.clear();
+  voter.answer(FIRST_SERVER);
   await timers.setImmediate();
 
-  expect([...looked]).toEqual([ASKED]);
-  const [next] = sent.get(ASKED)!;
+  expect([...visited]).toEqual([FIRST_SERVER]);
+  const [next] = sent.get(FIRST_SERVER)!;
   expect(next!.fence !== first!.fence).toEqual(true);
 });
 
-/** Guards against callers of moved keys who wait for the mover's next tick. */
-test("should grant a range as soon as its move is written", async () => {
-  const { sent, ...keeper } = await createKeeper({ isMover: true });
+/**
+ * Guards against requests for handed-over keys that wait for the leader's next
+ * tick.
+ */
+test("should grant a range as soon as its handover is written", async () => {
+  const { sent, ...voter } = await createVoter({ isLeader: true });
   const isGranted = () =>
-    [...sent.values()].flat().some(({ fence }) => fence === MOVED_FENCE);
-  await keeper.run(MOVER_AFTER_MS);
-  keeper.endRun(ASKED);
-  keeper.tick(1);
+    [...sent.values()].flat().some(({ fence }) => fence === HANDED_OVER_FENCE);
+  await voter.run(LEADER_AFTER_MS);
+  voter.endIncarnation(FIRST_SERVER);
+  voter.tick(1);
   expect(isGranted()).toEqual(false);
 
   await timers.setImmediate();
@@ -55,33 +58,36 @@
   expect(isGranted()).toEqual(true);
 });
 
-/** Guards against a grant that leaves on evidence which was good once. */
-test("should keep a grant back when its evidence is too old as it leaves", async () => {
-  const keeper = await createKeeper();
+/**
+ * Guards against a grant that is sent after the confirmation of its map has
+ * expired.
+ */
+test("should withhold a grant when its map is no longer confirmed as it is sent", async () => {
+  const voter = await createVoter();
   const { evidenceMs, renewMs } = grants.DEFAULT_GRANT_TIMINGS;
-  await keeper.run(MOVER_AFTER_MS);
-  keeper.holdAnswers();
-  keeper.tick(renewMs);
-  expect(keeper.mayLeave(ASKED)).toEqual(true);
-  keeper.wait(evidenceMs);
-  expect(keeper.mayLeave(ASKED)).toEqual(false);
+  await voter.run(LEADER_AFTER_MS);
+  voter.holdAnswers();
+  voter.tick(renewMs);
+  expect(voter.maySend(FIRST_SERVER)).toEqual(true);
+  voter.wait(evidenceMs);
+  expect(voter.maySend(FIRST_SERVER)).toEqual(false);
 });
 
-/** A keeper with several ranges at each server. */
-async function createKeeper({ isMover = false } = {}) {
+/** A voter with several ranges at each server. */
+async function createVoter({ isLeader = false } = {}) {
   let nowMs = 0;
   let isHeld = false;
   const ended = new Set<contracts.ServerId>();
-  /** Servers whose ranges were looked at. */
-  const looked = new Set<contracts.ServerId>();
+  /** Servers whose ranges were visited. */
+  const visited = new Set<contracts.ServerId>();
   const sent = new Map<contracts.ServerId, contracts.KeyGrant[]>();
   const answers = new Map<contracts.ServerId, () => void>();
-  /** Whether the last grant to a server may leave now. */
-  const leaves = new Map<contracts.ServerId, () => boolean>();
-  const map = mapOf((server) => looked.add(server));
+  /** Whether the last grant to a server may still be sent. */
+  const maySendChecks = new Map<contracts.ServerId, () => boolean>();
+  const map = mapOf((server) => visited.add(server));
   const service = new ServiceGrants({
     service: KEYED_SERVICE,
-    vm: KEEPER,
+    vm: VOTER,
     timings: grants.DEFAULT_GRANT_TIMINGS,
     hasher: await ownership.KeyHasher.create(),
     maps: {
@@ -95,7 +101,7 @@
     } as unknown as RangeMapStore,
     control: {
       grant: ({ server }, grant, options) => {
-        leaves.set(server, options.mayLeave!);
+        maySendChecks.set(server, options.mayLeave!);
         sent.set(server, [...sent.get(server) ?? [], grant]);
         const answered = new Promise<contracts.GrantAnswer>((resolve) => {
           answers.set(server, () => resolve("granted"));
@@ -107,21 +113,21 @@
       close: () => Promise.resolve(),
     },
     registry: {
-      entry: ({ server }: contracts.RangeOwner) => entryOf(server),
-      staying: () => SERVERS.map(entryOf),
+      entry: ({ server }: contracts.RangeOwner) => serverEntryOf(server),
+      staying: () => SERVERS.map(serverEntryOf),
       hasEnded: ({ server }: contracts.RangeOwner) => ended.has(server),
       isListed: true,
     } as unknown as ServerRegistry,
-    // The VM that reaches the store makes the moves.
+    // The VM that reaches the store is the leader.
     peers: () => [
-      { vm: KEEPER, hasStore: isMover, processorCores: 1 },
-      { vm: OTHER, hasStore: !isMover, processorCores: 1 },
+      { vm: VOTER, hasStore: isLeader, processorCores: 1 },
+      { vm: OTHER, hasStore: !isLeader, processorCores: 1 },
     ],
-    wishedHoldMs: () => grants.DEFAULT_GRANT_TIMINGS.holdMs,
-    silentMs: () => 0,
-    askMap: () => Promise.resolve(undefined),
+    desiredLeaseMs: () => grants.DEFAULT_GRANT_TIMINGS.holdMs,
+    sinceLastMessageMs: () => 0,
+    fetchMap: () => Promise.resolve(undefined),
     publish: () => {},
-    tellPeers: () => {},
+    notifyVoters: () => {},
     onChange: () => {},
     clock: { nowMs: () => nowMs },
     log: { debug() {}, info() {}, warn() {}, error() {} },
@@ -129,13 +135,13 @@
     isCold: () => false,
   });
   return {
-    looked,
+    visited,
     sent,
     holdAnswers: () => {
       isHeld = true;
     },
     answer: (server: contracts.ServerId) => answers.get(server)!(),
-    mayLeave: (server: contracts.ServerId) => leaves.get(server)!(),
+    maySend: (server: contracts.ServerId) => maySendChecks.get(server)!(),
     wait: (afterMs: number) => {
       nowMs += afterMs;
     },
@@ -143,7 +149,7 @@
       nowMs += afterMs;
       service.tick();
     },
-    endRun: (server: contracts.ServerId) => ended.add(server),
+    endIncarnation: (server: contracts.ServerId) => ended.add(server),
     run: async (untilMs: number) => {
       for (; nowMs < untilMs; nowMs += TICK_MS) {
         service.tick();
@@ -153,11 +159,11 @@
   };
 }
 
-const VACATING = { server: ASKED, bornMs: 1, fence: 99, revision: 1 };
+const VACATING = { server: FIRST_SERVER, bornMs: 1, fence: 99, revision: 1 };
 
-/** Neighbouring ranges belong to different servers. */
+/** Adjacent ranges belong to different servers. */
 function mapOf(
-  onLook: (server: contracts.ServerId) => void,
+  onVisit: (server: contracts.ServerId) => void,
 ): contracts.RangeMap {
   const count = SERVERS.length * RANGES_PER_SERVER;
   const ranges = Array.from({ length: count }, (_, index) => {
@@ -166,9 +172,9 @@
       fromKey: index * 100,
       toKey: index * 100 + 99,
       fence: index + 1,
-      ...(index + 1 === MOVED_FENCE ? { vacating: VACATING } : {}),
+      ...(index + 1 === HANDED_OVER_FENCE ? { vacating: VACATING } : {}),
       get owner() {
-        onLook(server);
+        onVisit(server);
         return { server, bornMs: 1 };
       },
     };
@@ -177,7 +183,7 @@
     service: KEYED_SERVICE,
     revision: 1,
     lastFence: count,
-    keeperSets: [[KEEPER]],
+    keeperSets: [[VOTER]],
     holdMs: grants.DEFAULT_GRANT_TIMINGS.holdMs,
     nonce: "n",
     ranges,
--- a/packages/entry/src/gateway/slot_task.ts
+++ b/packages/entry/src/gateway/slot_task.ts
@@ -84,13 +84,13 @@
       this.#order.keepOnly(options.registry.ids())
     );
     gossip.onGuarded(
-      messages.SLOT_ASKS_METHOD,
-      messages.isSlotAsks,
+      messages.SLOT_REQUESTS_METHOD,
+      messages.isSlotRequests,
       (asks) => this.#takeAsks(asks),
     );
     gossip.onGuarded(
-      messages.SLOT_WORDS_METHOD,
-      messages.isSlotWords,
+      messages.SLOT_REPLIES_METHOD,
+      messages.isSlotReplies,
       (words) => this.#takeWords(words),
     );
   }
@@ -144,7 +144,7 @@
   ): contracts.VmId | undefined {
     const { gossip, registry, vm } = this.#options;
     const zone = registry.zoneOf(server);
-    const inZone = zone === undefined ? [] : gossip.membersOf(zone);
+    const inZone = zone === undefined ? [] : gossip.liveVmsIn(zone);
     const near = inZone.filter((it) => this.#isAble(it, silent));
     const able = near.length > 0
       ? near
@@ -167,20 +167,20 @@
     for (const [coordinator, message] of this.#asks.takeMessages()) {
       const asks = this.#encodeAsks(message);
       if (coordinator === vm) this.#takeAsks(asks);
-      else gossip.send(messages.SLOT_ASKS_METHOD, asks, [coordinator]);
+      else gossip.send(messages.SLOT_REQUESTS_METHOD, asks, [coordinator]);
     }
     const answers = [...this.#words];
     this.#words.clear();
     for (const [to, words] of answers) {
       const answer = encodeWords(vm, words);
       if (to === vm) this.#takeWords(answer);
-      else gossip.send(messages.SLOT_WORDS_METHOD, answer, [to]);
+      else gossip.send(messages.SLOT_REPLIES_METHOD, answer, [to]);
     }
   }
 
   #encodeAsks(
     { wishes, ended, held }: admission.SlotMessage,
-  ): messages.SlotAsks {
+  ): messages.SlotRequests {
     const { vm, clock } = this.#options;
     const nowMs = clock.nowMs();
     return {
@@ -195,7 +195,7 @@
     };
   }
 
-  #takeAsks({ vm, wishes, ended, held }: messages.SlotAsks): void {
+  #takeAsks({ vm, wishes, ended, held }: messages.SlotRequests): void {
     const nowMs = this.#options.clock.nowMs();
     for (const [id, tookMs] of ended) {
       this.#coordinator.end(vm, id, { tookMs: tookMs ?? undefined, nowMs });
@@ -212,7 +212,7 @@
     this.#coordinator.noteHeld(vm, held.map(decodeSlot), nowMs);
   }
 
-  #takeWords({ vm, given, queued, refused }: messages.SlotWords): void {
+  #takeWords({ vm, given, queued, refused }: messages.SlotReplies): void {
     const words: admission.SlotWord[] = [
       ...given.map((id) => ({ id, kind: "given" as const })),
       ...queued.map((id) => ({ id, kind: "queued" as const })),
@@ -235,7 +235,7 @@
 
 function encodeSlot(
   { id, service, server, bornMs, slots, route }: admission.HeldSlot,
-): messages.SlotMessage {
+): messages.SlotTuple {
   const { name, priority, targetLatencyMs } = route;
   return [
     id,
@@ -251,7 +251,7 @@
 
 function decodeSlot(
   [id, service, server, bornMs, slots, name, priority, targetLatencyMs]:
-    messages.SlotMessage,
+    messages.SlotTuple,
 ): admission.HeldSlot {
   const route = { name, priority, targetLatencyMs };
   return { id, service, server, bornMs, slots, route };
@@ -260,7 +260,7 @@
 function encodeWords(
   vm: contracts.VmId,
   words: readonly admission.SlotWord[],
-): messages.SlotWords {
+): messages.SlotReplies {
   const idsOf = (wanted: admission.SlotWord["kind"]) =>
     words.filter(({ kind }) => kind === wanted).map(({ id }) => id);
   return {
--- a/packages/entry/src/gateway/spaced_task.ts
+++ b/packages/entry/src/gateway/spaced_task.ts
@@ -1,35 +1,41 @@
-/** Runs an asynchronous step once at a time and not too often. */
+/**
+ * Runs an asynchronous step at most once at a time, and not more often than a
+ * minimum interval.
+ */
 import type * as contracts from "@guavatide/contracts";
 import type { PartLog } from "../utils/log.ts";
 
-/** Options of {@link SpacedTask}. */
-export interface SpacedTaskOptions {
+/** Options of {@link ThrottledTask}. */
+export interface ThrottledTaskOptions {
   readonly clock: contracts.Clock;
   readonly log: PartLog;
-  /** Least time between the starts of two runs. */
-  readonly spacingMs: number;
+  /** Shortest time between the starts of two runs. */
+  readonly minIntervalMs: number;
 }
 
-/** A step that is asked for more often than it runs. */
-export class SpacedTask {
-  readonly #options: SpacedTaskOptions;
+/** Drops requests to run while a run is in progress or within the interval. */
+export class ThrottledTask {
+  readonly #options: ThrottledTaskOptions;
   #isRunning = false;
   #startedAtMs = Number.NEGATIVE_INFINITY;
 
-  constructor(options: SpacedTaskOptions) {
+  constructor(options: ThrottledTaskOptions) {
     this.#options = options;
   }
 
-  /** Runs a step unless one is under way or has just begun. */
+  /**
+   * Runs a step unless one is in progress or has just started. Errors are
+   * logged.
+   */
   run(step: (nowMs: number) => Promise<void>): void {
-    const { clock, log, spacingMs } = this.#options;
+    const { clock, log, minIntervalMs } = this.#options;
     const nowMs = clock.nowMs();
-    if (this.#isRunning || nowMs - this.#startedAtMs < spacingMs) return;
+    if (this.#isRunning || nowMs - this.#startedAtMs < minIntervalMs) return;
     this.#isRunning = true;
     this.#startedAtMs = nowMs;
     step(nowMs)
       .catch((error) =>
-        log.error("A repeated step failed.", { error: String(error) })
+        log.error("A throttled task failed.", { error: String(error) })
       )
       .finally(() => this.#isRunning = false);
   }
--- a/packages/entry/src/gateway/store_health.ts
+++ b/packages/entry/src/gateway/store_health.ts
@@ -1,4 +1,4 @@
-/** Whether this VM reaches the platform's store, and since when. */
+/** Whether the platform's store answers this VM, and since when. */
 import type * as contracts from "@guavatide/contracts";
 import type { PartLog } from "../utils/log.ts";
 
@@ -8,56 +8,61 @@
   readonly log: PartLog;
 }
 
-/** Follows the calls to the store. */
+/** Tracks the results of calls to the store. */
 export class StoreHealth {
   readonly #options: StoreHealthOptions;
-  #lostAtMs: number | undefined;
+  #unreachableSinceMs: number | undefined;
   #failedAtMs = Number.NEGATIVE_INFINITY;
-  #regainedAtMs = Number.NEGATIVE_INFINITY;
+  #recoveredAtMs = Number.NEGATIVE_INFINITY;
   readonly #listeners: (() => void)[] = [];
 
   constructor(options: StoreHealthOptions) {
     this.#options = options;
   }
 
-  /** Whether the last call was answered. */
-  get isReached(): boolean {
-    return this.#lostAtMs === undefined;
+  /** Whether the store answered the last call. */
+  get isReachable(): boolean {
+    return this.#unreachableSinceMs === undefined;
   }
 
-  /** Time since a call was last not answered. */
-  get calmMs(): number {
+  /**
+   * Time in ms since the last failed call, or since the store became reachable
+   * again, whichever is later.
+   */
+  get healthyMs(): number {
     const nowMs = this.#options.clock.nowMs();
-    return nowMs - Math.max(this.#failedAtMs, this.#regainedAtMs);
+    return nowMs - Math.max(this.#failedAtMs, this.#recoveredAtMs);
   }
 
-  /** Called when the store is reached again. */
-  onRegained(listener: () => void): void {
+  /** Registers a listener called when the store is reachable again. */
+  onRecovered(listener: () => void): void {
     this.#listeners.push(listener);
   }
 
   /** The store answered a call. */
   noteAnswer(): void {
-    if (this.#lostAtMs === undefined) return;
+    if (this.#unreachableSinceMs === undefined) return;
     const { clock, log } = this.#options;
     const nowMs = clock.nowMs();
-    const awayMs = Math.round(nowMs - this.#lostAtMs);
-    log.info("Regained the platform's store.", { awayMs });
-    this.#lostAtMs = undefined;
-    this.#regainedAtMs = nowMs;
+    const awayMs = Math.round(nowMs - this.#unreachableSinceMs);
+    log.info("The platform's store is reachable again.", { awayMs });
+    this.#unreachableSinceMs = undefined;
+    this.#recoveredAtMs = nowMs;
     for (const listener of this.#listeners) listener();
   }
 
-  /** A call failed. Conflicts and missing objects are answers. */
+  /**
+   * A call returned an error. Conflicts and missing objects count as answers.
+   */
   noteFailure(error: contracts.StoreError): void {
     if (error.kind !== "unavailable" && error.kind !== "refused") {
       return this.noteAnswer();
     }
     const nowMs = this.#options.clock.nowMs();
     this.#failedAtMs = nowMs;
-    if (this.#lostAtMs !== undefined) return;
-    this.#lostAtMs = nowMs;
-    this.#options.log.warn("Lost the platform's store.", {
+    if (this.#unreachableSinceMs !== undefined) return;
+    this.#unreachableSinceMs = nowMs;
+    this.#options.log.warn("The platform's store is unreachable.", {
       kind: error.kind,
       reason: error.message,
     });
--- a/packages/entry/src/gateway/store_probe.ts
+++ b/packages/entry/src/gateway/store_probe.ts
@@ -1,16 +1,16 @@
 /**
- * Asks the platform's store at an interval whether it answers: a watch waits in
- * silence and shows neither an outage nor its end.
+ * Health check of the platform's store at an interval: a watch that waits shows
+ * neither the start nor the end of an outage.
  */
 import type * as contracts from "@guavatide/contracts";
 import type { LifeCycle } from "../utils/life_cycle.ts";
 import type { StoreHealth } from "./store_health.ts";
 
-/** How much a VM's part depends on the store. */
+/** How much a VM's roles depend on the store. */
 export type StoreNeed =
-  /** It reads for all, or moves keys. */
+  /** The VM is a reader, or the leader of a service's ranges. */
   | "duty"
-  /** It may have to take over. */
+  /** The VM may have to take over such a role. */
   | "standby"
   | "none";
 
@@ -18,7 +18,7 @@
 export interface StoreProbeOptions {
   readonly store: contracts.PlatformStore;
   readonly health: StoreHealth;
-  /** Object that is read, possibly some seconds old. */
+  /** Name of the object that is read, possibly some seconds old. */
   readonly name: string;
   readonly onObject: (object: contracts.StoredObject) => void;
   readonly clock: contracts.Clock;
@@ -26,29 +26,29 @@
 }
 
 /**
- * Bounds the time to notice the store's return, so that a change is in force in
- * time after an outage.
+ * Limits the time to notice the store's recovery, so that a change is in force
+ * in time after an outage.
  */
-const PROBE_MS = 800;
-const STANDBY_PROBE_MS = 5_000;
+const PROBE_INTERVAL_MS = 800;
+const STANDBY_PROBE_INTERVAL_MS = 5_000;
 /** Longer than a slow store takes to answer. */
 const PROBE_TIMEOUT_MS = 750;
 
-/** The task that probes. */
+/** Probes the store as often as the VM's roles need. */
 export class StoreProbe {
   readonly #options: StoreProbeOptions;
-  #isAsking = false;
-  #askedMs = Number.NEGATIVE_INFINITY;
+  #isProbing = false;
+  #probedAtMs = Number.NEGATIVE_INFINITY;
 
   constructor(options: StoreProbeOptions) {
     this.#options = options;
   }
 
-  /** Starts the task. */
+  /** Starts to probe. */
   start(lifeCycle: LifeCycle): void {
-    lifeCycle.every(PROBE_MS, () => {
+    lifeCycle.every(PROBE_INTERVAL_MS, () => {
       if (!this.#isDue()) return;
-      this.ask().catch((error) =>
+      this.probe().catch((error) =>
         this.#options.health.noteFailure({
           kind: "unavailable",
           message: String(error),
@@ -57,19 +57,19 @@
     });
   }
 
-  /** Asks once, and returns whether the store answers. */
-  async ask(): Promise<boolean> {
+  /** Probes once; resolves to whether the store answered. */
+  async probe(): Promise<boolean> {
     const { store, health, name, onObject, clock } = this.#options;
-    this.#isAsking = true;
-    this.#askedMs = clock.nowMs();
+    this.#isProbing = true;
+    this.#probedAtMs = clock.nowMs();
     const result = await store.get(name, {
       timeoutMs: PROBE_TIMEOUT_MS,
       mayBeStale: true,
     });
-    this.#isAsking = false;
+    this.#isProbing = false;
     if (result.isErr()) {
       health.noteFailure(result.error);
-      return health.isReached;
+      return health.isReachable;
     }
     health.noteAnswer();
     onObject(result.value);
@@ -78,15 +78,15 @@
 
   #isDue(): boolean {
     const { clock, need, health } = this.#options;
-    if (this.#isAsking) return false;
-    const sinceMs = clock.nowMs() - this.#askedMs;
+    if (this.#isProbing) return false;
+    const sinceMs = clock.nowMs() - this.#probedAtMs;
     switch (need()) {
       case "duty":
         return true;
       case "standby":
-        return sinceMs >= STANDBY_PROBE_MS;
+        return sinceMs >= STANDBY_PROBE_INTERVAL_MS;
       case "none":
-        return !health.isReached && sinceMs >= STANDBY_PROBE_MS;
+        return !health.isReachable && sinceMs >= STANDBY_PROBE_INTERVAL_MS;
     }
   }
 }
--- a/packages/entry/src/gateway/vm_directory.ts
+++ b/packages/entry/src/gateway/vm_directory.ts
@@ -1,7 +1,6 @@
 /**
- * Entry VMs find one another through the VMs named in their settings, through
- * any peer, and, when nobody answers, through objects of their own in the
- * store.
+ * Discovery of the other entry VMs: through the seeds of the settings, through
+ * any peer, and, when no peer answers, through registrations in the store.
  */
 import * as contracts from "@guavatide/contracts";
 import type * as ownership from "@guavatide/decisions/ownership/mod";
@@ -12,8 +11,8 @@
 import * as messages from "./peer_messages.ts";
 import type { StoreHealth } from "./store_health.ts";
 
-/** Options of {@link VmDirectory}. */
-export interface VmDirectoryOptions {
+/** Options of {@link PeerDiscovery}. */
+export interface PeerDiscoveryOptions {
   readonly self: GossipIdentity;
   readonly store: contracts.PlatformStore;
   readonly health: StoreHealth;
@@ -22,43 +21,47 @@
   readonly clock: contracts.Clock;
   readonly random: contracts.RandomSource;
   readonly log: PartLog;
-  /** Whether newcomers are to find this VM in the store. */
-  readonly isContact: () => boolean;
+  /** Whether this VM registers in the store, so that joining VMs find it. */
+  readonly shouldRegister: () => boolean;
 }
 
 const PREFIX = "entryvms/";
 const TICK_MS = 250;
 const CALL_TIMEOUT_MS = 1_000;
-/** Pause after a call to the store that failed. */
-const RETRY_MS = 1_000;
-/** Time that the VMs of the settings have to answer a newcomer. */
+/** Pause after a failed call to the store. */
+const RETRY_DELAY_MS = 1_000;
+/** Seeds have this long to answer a joining VM. */
 const JOIN_GRACE_MS = 1_500;
 /**
- * A newcomer asks peers who else is there, at first often, since all may start
- * together; then seldom, so that two groups that know one VM in common join.
+ * Intervals of requests for the VMs that peers know: at first short, since all
+ * VMs may start together; later long, so that two groups that know one VM in
+ * common merge.
  */
-const FIRST_ASK_MS = 250;
-const LAST_ASK_MS = 5_000;
+const REQUEST_INTERVAL_MIN_MS = 250;
+const REQUEST_INTERVAL_MAX_MS = 5_000;
 
-const vmObjectSchema = z.object({ host: z.string(), port: z.number().int() });
+const registrationSchema = z.object({
+  host: z.string(),
+  port: z.number().int(),
+});
 
 /** Finds the other entry VMs. */
-export class VmDirectory {
-  readonly #options: VmDirectoryOptions;
+export class PeerDiscovery {
+  readonly #options: PeerDiscoveryOptions;
   #startedAtMs = 0;
-  #askIntervalMs = FIRST_ASK_MS;
-  #nextAskMs = 0;
+  #requestIntervalMs = REQUEST_INTERVAL_MIN_MS;
+  #nextRequestMs = 0;
   #isRegistered = false;
   #isCalling = false;
-  #noCallBeforeMs = Number.NEGATIVE_INFINITY;
+  #retryAtMs = Number.NEGATIVE_INFINITY;
 
-  constructor(options: VmDirectoryOptions) {
+  constructor(options: PeerDiscoveryOptions) {
     this.#options = options;
     const { gossip } = options;
     gossip.on(
-      messages.PEERS_WISH_METHOD,
-      messages.peersWishSchema,
-      (wish) => this.#answer(wish),
+      messages.PEERS_REQUEST_METHOD,
+      messages.peersRequestSchema,
+      (request) => this.#sendKnownPeers(request),
     );
     gossip.on(
       messages.PEERS_METHOD,
@@ -69,7 +72,7 @@
     );
   }
 
-  /** Starts the regular work. */
+  /** Starts the periodic work. */
   start(lifeCycle: LifeCycle): void {
     this.#startedAtMs = this.#options.clock.nowMs();
     this.#tick();
@@ -77,42 +80,57 @@
   }
 
   #tick(): void {
-    const { clock, gossip, isContact } = this.#options;
+    const { clock, gossip, shouldRegister } = this.#options;
     const nowMs = clock.nowMs();
-    if (nowMs >= this.#nextAskMs) this.#ask(nowMs);
+    if (nowMs >= this.#nextRequestMs) this.#requestPeers(nowMs);
     const graceMs = gossip.seedCount > 0 ? JOIN_GRACE_MS : 0;
     const isAlone = gossip.live.length === 0 &&
       nowMs - this.#startedAtMs >= graceMs;
-    const mayCall = !this.#isCalling && nowMs >= this.#noCallBeforeMs;
-    if (this.#isRegistered || !mayCall || !(isAlone || isContact())) return;
+    const mayCall = !this.#isCalling && nowMs >= this.#retryAtMs;
+    if (this.#isRegistered || !mayCall || !(isAlone || shouldRegister())) {
+      return;
+    }
     this.#isCalling = true;
-    this.#register().then((isDone) => {
+    this.#register().then((isRegistered) => {
       this.#isCalling = false;
-      this.#isRegistered = isDone;
-      if (!isDone) this.#noCallBeforeMs = clock.nowMs() + RETRY_MS;
+      this.#isRegistered = isRegistered;
+      if (!isRegistered) this.#retryAtMs = clock.nowMs() + RETRY_DELAY_MS;
     }, (error) => {
       this.#isCalling = false;
-      this.#noCallBeforeMs = clock.nowMs() + RETRY_MS;
-      this.#options.log.error("Finding peers failed.", {
+      this.#retryAtMs = clock.nowMs() + RETRY_DELAY_MS;
+      this.#options.log.error("Peer discovery failed.", {
         error: String(error),
       });
     });
   }
 
-  /** Asks one peer, of the own availability zone if there is any. */
-  #ask(nowMs: number): void {
+  /**
+   * Requests the known VMs of one peer, of the own availability zone if there
+   * is any.
+   */
+  #requestPeers(nowMs: number): void {
     const { gossip, random, self: { vm, host, port } } = this.#options;
-    const peer = gossip.drawPeer();
+    const peer = gossip.randomPeer();
     if (peer === undefined) return;
-    const wish: messages.PeersWish = { vm, host, port, digest: this.#digest() };
-    gossip.send(messages.PEERS_WISH_METHOD, wish, [peer.vm]);
-    this.#nextAskMs = nowMs + this.#askIntervalMs * (0.5 + random.next());
-    this.#askIntervalMs = Math.min(LAST_ASK_MS, this.#askIntervalMs * 2);
+    const request: messages.PeersRequest = {
+      vm,
+      host,
+      port,
+      digest: this.#digest(),
+    };
+    gossip.send(messages.PEERS_REQUEST_METHOD, request, [peer.vm]);
+    this.#nextRequestMs = nowMs +
+      this.#requestIntervalMs * (0.5 + random.next());
+    this.#requestIntervalMs = Math.min(
+      REQUEST_INTERVAL_MAX_MS,
+      this.#requestIntervalMs * 2,
+    );
   }
 
-  #answer({ vm, host, port, digest }: messages.PeersWish): void {
+  #sendKnownPeers({ vm, host, port, digest }: messages.PeersRequest): void {
     const { gossip, self } = this.#options;
-    // The later of two that ask this VM hears of the earlier.
+    // Of two VMs that send requests to this one, the later learns of the
+    // earlier.
     gossip.addPeer(vm, host, port);
     if (digest === this.#digest()) return;
     const peers = [self, ...gossip.live]
@@ -131,14 +149,17 @@
   }
 
   /**
-   * Of two VMs that register at once the later finds the other in its list, and
-   * tells it of itself in a datagram.
+   * Of two VMs that register at once, the later finds the other in its list,
+   * and sends it a hello.
    */
   async #register(): Promise<boolean> {
     return await this.#write() && await this.#list();
   }
 
-  /** One call, or two for a name whose address has changed. */
+  /**
+   * Writes this VM's address: one call, or two when its name is registered
+   * already.
+   */
   async #write(): Promise<boolean> {
     const { store, self, health } = this.#options;
     const { host, port } = self;
@@ -149,8 +170,8 @@
       timeoutMs,
       condition: { kind: "absent" },
     });
-    const isThere = created.isErr() && created.error.kind === "conflict";
-    const result = isThere
+    const isRegistered = created.isErr() && created.error.kind === "conflict";
+    const result = isRegistered
       ? await store.put(name, value, { timeoutMs, condition: { kind: "any" } })
       : created;
     if (result.isErr()) health.noteFailure(result.error);
@@ -167,9 +188,9 @@
     }
     health.noteAnswer();
     for (const { name, value } of result.value.objects) {
-      const address = parse(value);
+      const address = parseRegistration(value);
       if (address === undefined) {
-        log.warn("Ignores an entry VM's object.", { name });
+        log.warn("Ignored a malformed registration of an entry VM.", { name });
         continue;
       }
       const vm = name.slice(PREFIX.length) as contracts.VmId;
@@ -179,9 +200,11 @@
   }
 }
 
-function parse(value: string): z.infer<typeof vmObjectSchema> | undefined {
+function parseRegistration(
+  value: string,
+): z.infer<typeof registrationSchema> | undefined {
   try {
-    return vmObjectSchema.safeParse(JSON.parse(value)).data;
+    return registrationSchema.safeParse(JSON.parse(value)).data;
   } catch {
     // Not JSON; the caller writes the log line.
     return undefined;
--- a/packages/entry/src/gateway/watch_relay.ts
+++ b/packages/entry/src/gateway/watch_relay.ts
@@ -1,7 +1,7 @@
 /**
- * Lets a few VMs watch the platform's store for the whole deployment. Readers
- * tell each change to their own cell and to one VM of every other cell, which
- * passes it on.
+ * Lets a few VMs, the readers, watch the platform's store for the whole
+ * deployment. A reader sends each change to its own cell and to one VM of every
+ * other cell, which relays it to its cell.
  */
 import * as contracts from "@guavatide/contracts";
 import * as cells from "@guavatide/decisions/cells/mod";
@@ -10,7 +10,7 @@
 import type { LifeCycle } from "../utils/life_cycle.ts";
 import type { PartLog } from "../utils/log.ts";
 import type { ObjectChange } from "./object_table.ts";
-import type { PeerCalls } from "./peer_calls.ts";
+import type { PeerRpc } from "./peer_calls.ts";
 import { encodeMessage } from "./peer_codec.ts";
 import type { GossipIdentity, PeerGossip } from "./peer_gossip.ts";
 import * as messages from "./peer_messages.ts";
@@ -20,174 +20,191 @@
 export interface WatchRelayOptions {
   readonly self: GossipIdentity;
   readonly gossip: PeerGossip;
-  readonly calls: PeerCalls;
+  readonly rpc: PeerRpc;
   readonly health: StoreHealth;
   readonly hasher: ownership.KeyHasher;
   readonly clock: contracts.Clock;
   readonly log: PartLog;
-  /** Whether other VMs are told to look for this one first. */
+  /** Whether this VM is a seed: other VMs contact it first when they join. */
   readonly isSeed: boolean;
   readonly isLeaving: () => boolean;
-  /** Finds out whether the store answers this VM. */
-  readonly tryStore: () => Promise<boolean>;
+  /** Makes a call to the store; resolves to whether it answered. */
+  readonly probeStore: () => Promise<boolean>;
 }
 
-/** Changes between two positions in the store's order. */
+/**
+ * Changes after `fromPosition` up to and including `toPosition`, in the store's
+ * order.
+ */
 export interface RelayedChanges {
   readonly fromPosition: number;
   readonly toPosition: number;
-  /** Undefined when the changes are not told: the receiver asks for all. */
+  /**
+   * Undefined when the changes are left out of the message: the receiver
+   * fetches all objects.
+   */
   readonly events: readonly ObjectChange[] | undefined;
-  /** All names that exist, when the changes come from a list. */
+  /** Names of all objects, when the changes come from a list. */
   readonly names?: readonly string[];
 }
 
-/** The watch of one kind, as the relay sees it. */
+/** The watch of one prefix, as the relay sees it. */
 export interface RelayedWatch {
   readonly prefix: string;
-  /** Position of the last change that this VM has heard of. */
+  /** Position of the last change known to this VM. */
   readonly position: number;
   /** All objects; undefined before the first list. */
-  readonly state: messages.KindState | undefined;
-  /** Takes changes that a peer has read. */
-  takeRelayed(changes: RelayedChanges, from: contracts.VmId): void;
-  /** A peer has heard of changes up to a position. */
-  noteNews(position: number, peer: contracts.VmId): void;
-  /** This VM became a reader, or is none any more. */
-  roleChanged(): void;
+  readonly snapshot: messages.KindSnapshot | undefined;
+  /** Applies changes that the peer `from` has sent. */
+  applyRelayed(changes: RelayedChanges, from: contracts.VmId): void;
+  /** Notes that a peer knows all changes up to a position. */
+  notePeerPosition(position: number, peer: contracts.VmId): void;
+  /** Called when this VM has become a reader, or has ceased to be one. */
+  onRoleChange(): void;
 }
 
-/** Interval at which the duty is looked at. */
-const REVIEW_MS = 100;
-/** The order of the candidates serves for so long. */
-const ORDER_LIFE_MS = 500;
-/** Interval at which a reader tells each cell that it reaches the store. */
-const WORD_MS = 300;
-/** Batches that a VM remembers for peers that missed a message. */
-const REMEMBERED_BATCHES = 64;
+/** Interval of reviews of whether this VM is to be a reader. */
+const REVIEW_INTERVAL_MS = 100;
+/** The ranking of the candidates is cached for this long. */
+const RANKING_TTL_MS = 500;
+/** Interval of a reader's heartbeats to all cells. */
+const READER_HEARTBEAT_MS = 300;
+/** Batches of changes that a VM buffers for peers that missed a message. */
+const MAX_BUFFERED_BATCHES = 64;
 /**
- * Largest message, in bytes. A datagram is lost when one of its packets is; for
- * more, as when a thousand routes come, each VM asks a peer for all objects.
+ * Largest message, in bytes. A datagram is lost when one of its packets is;
+ * when the changes are larger, as when a thousand routes are added, each VM
+ * fetches all objects from a peer.
  */
-const LARGEST_BYTES = 24_000;
-const STATE_METHOD = "kindState";
+const MAX_MESSAGE_BYTES = 24_000;
+const SNAPSHOT_METHOD = "kindState";
 
-/** The task that relays. */
+/**
+ * Relays changes of the store between VMs, and takes part in the election of
+ * the readers.
+ */
 export class WatchRelay {
   readonly #options: WatchRelayOptions;
-  readonly #order: grants.DutyOrder;
-  readonly #duty: cells.ReaderDuty;
+  readonly #ranking: grants.DutyOrder;
+  readonly #election: cells.ReaderDuty;
   readonly #watches = new Map<string, RelayedWatch>();
   readonly #batches = new Map<string, RelayedChanges[]>();
-  #sorted: readonly contracts.VmId[] = [];
-  #candidatesAtMs = Number.NEGATIVE_INFINITY;
+  #rankedVms: readonly contracts.VmId[] = [];
+  #rankedAtMs = Number.NEGATIVE_INFINITY;
   #startedAtMs = 0;
-  #isTrying = false;
+  #isProbing = false;
 
   constructor(options: WatchRelayOptions) {
     this.#options = options;
-    const { gossip, calls, hasher, self } = options;
-    this.#order = new grants.DutyOrder(hasher);
-    this.#duty = new cells.ReaderDuty(self.vm);
+    const { gossip, rpc, hasher, self } = options;
+    this.#ranking = new grants.DutyOrder(hasher);
+    this.#election = new cells.ReaderDuty(self.vm);
     gossip.on(
       messages.CHANGES_METHOD,
-      messages.changesSchema,
-      (changes) => this.#take(changes),
+      messages.storeChangesSchema,
+      (changes) => this.#handleChanges(changes),
     );
     gossip.on(
-      messages.CHANGES_WISH_METHOD,
-      messages.changesWishSchema,
-      (wish) => this.#answer(wish),
+      messages.CHANGES_REQUEST_METHOD,
+      messages.changesRequestSchema,
+      (request) => this.#sendMissedChanges(request),
     );
     gossip.on(
       messages.READER_METHOD,
-      messages.readerWordSchema,
-      (word) => this.#takeWord(word),
+      messages.readerStatusSchema,
+      (status) => this.#handleReaderStatus(status),
     );
-    calls.on(STATE_METHOD, (prefix) => this.#watches.get(prefix)?.state);
+    rpc.on(SNAPSHOT_METHOD, (prefix) => this.#watches.get(prefix)?.snapshot);
   }
 
-  /** Starts the regular work. */
+  /** Starts the periodic work. */
   start(lifeCycle: LifeCycle): void {
     this.#startedAtMs = this.#options.clock.nowMs();
-    lifeCycle.every(REVIEW_MS, () => this.#review());
-    lifeCycle.every(WORD_MS, () => this.#tellWord());
+    lifeCycle.every(REVIEW_INTERVAL_MS, () => this.#review());
+    lifeCycle.every(READER_HEARTBEAT_MS, () => this.#broadcastReaderStatus());
   }
 
   /** Whether this VM watches the store itself. */
   get isReader(): boolean {
-    return this.#duty.isReader;
+    return this.#election.isReader;
   }
 
-  /** How long the store has answered without a failure, as the readers see it. */
-  get storeCalmMs(): number {
+  /** How long, in ms, the store has answered a reader without a failure. */
+  get storeHealthyMs(): number {
     const { health, clock } = this.#options;
-    const ownMs = this.isReader && health.isReached ? health.calmMs : 0;
-    return Math.max(ownMs, this.#duty.storeCalmMs(clock.nowMs()));
+    const ownHealthyMs = this.isReader && health.isReachable
+      ? health.healthyMs
+      : 0;
+    return Math.max(ownHealthyMs, this.#election.storeCalmMs(clock.nowMs()));
   }
 
-  /** Adds the watch of a kind. */
+  /** Registers the watch of a prefix. */
   add(watch: RelayedWatch): void {
     this.#watches.set(watch.prefix, watch);
   }
 
-  /** Tells all VMs what this one has read. */
+  /** Sends changes that this VM has read to all VMs. */
   publish(prefix: string, changes: RelayedChanges): void {
-    this.#remember(prefix, changes);
+    this.#buffer(prefix, changes);
     const message = this.#encode(prefix, changes);
-    this.#options.gossip.spread(messages.CHANGES_METHOD, message);
+    this.#options.gossip.broadcast(messages.CHANGES_METHOD, message);
   }
 
-  /** Asks a peer for the changes after a position. */
-  ask(prefix: string, cursor: number, peer: contracts.VmId): void {
+  /** Requests the changes after a position from a peer. */
+  requestChanges(prefix: string, cursor: number, peer: contracts.VmId): void {
     const { gossip, self: { vm } } = this.#options;
-    gossip.send(messages.CHANGES_WISH_METHOD, { vm, prefix, cursor }, [peer]);
+    gossip.send(messages.CHANGES_REQUEST_METHOD, { vm, prefix, cursor }, [
+      peer,
+    ]);
   }
 
-  /** All objects of a kind as a peer knows them; undefined without an answer. */
-  async fetchState(
+  /**
+   * Fetches all objects with a prefix from a peer, a random one if `peer` is
+   * not up; undefined without an answer.
+   */
+  async fetchSnapshot(
     prefix: string,
     peer: contracts.VmId | undefined,
-  ): Promise<messages.KindState | undefined> {
-    const { gossip, calls, log } = this.#options;
+  ): Promise<messages.KindSnapshot | undefined> {
+    const { gossip, rpc, log } = this.#options;
     const address = gossip.live.find(({ vm }) => vm === peer) ??
-      gossip.drawPeer();
+      gossip.randomPeer();
     if (address === undefined) return undefined;
-    const state = await calls.ask(address, {
-      method: STATE_METHOD,
+    const result = await rpc.call(address, {
+      method: SNAPSHOT_METHOD,
       name: prefix,
-      result: messages.kindStateSchema,
+      resultSchema: messages.kindSnapshotSchema,
     });
     const fields = { prefix, peer: address.vm };
-    if (state.isErr()) {
-      log.warn("A peer did not tell its state.", {
+    if (result.isErr()) {
+      log.warn("Fetching objects from a peer failed.", {
         ...fields,
-        reason: state.error.message,
+        reason: result.error.message,
       });
       return undefined;
     }
-    const { position, objects } = state.value;
-    log.info("State taken from a peer.", {
+    const { position, objects } = result.value;
+    log.info("Fetched all objects from a peer.", {
       ...fields,
       position,
       objects: objects.length,
     });
-    return state.value;
+    return result.value;
   }
 
   get #isHealthyReader(): boolean {
     const { health, isLeaving } = this.#options;
-    return this.isReader && health.isReached && !isLeaving();
+    return this.isReader && health.isReachable && !isLeaving();
   }
 
-  // The duty
+  // Election of readers
 
   #review(): void {
-    if (this.#options.isLeaving() || this.#isTrying) return;
+    if (this.#options.isLeaving() || this.#isProbing) return;
     const wasReader = this.isReader;
-    const step = this.#duty.review(this.#view());
-    if (step === "try") this.#try();
-    else if (wasReader !== this.isReader) this.#roleChanged();
+    const step = this.#election.review(this.#view());
+    if (step === "try") this.#probeStore();
+    else if (wasReader !== this.isReader) this.#notifyRoleChange();
   }
 
   #view(): cells.ReaderView {
@@ -196,83 +213,88 @@
     return {
       nowMs,
       lifeMs: nowMs - this.#startedAtMs,
-      hasStore: health.isReached,
-      order: this.#candidates(nowMs),
+      hasStore: health.isReachable,
+      order: this.#rankedCandidates(nowMs),
       isSeed: isSeed || gossip.seedCount === 0,
     };
   }
 
-  /** VMs that may read, in the order of the duty; sorted anew now and then. */
-  #candidates(nowMs: number): readonly contracts.VmId[] {
-    if (nowMs - this.#candidatesAtMs < ORDER_LIFE_MS) return this.#sorted;
+  /** VMs that may be readers, ranked; the ranking is cached. */
+  #rankedCandidates(nowMs: number): readonly contracts.VmId[] {
+    if (nowMs - this.#rankedAtMs < RANKING_TTL_MS) return this.#rankedVms;
     const { gossip, self } = this.#options;
-    const reach = gossip.live.filter(({ hasStore }) => hasStore);
-    this.#candidatesAtMs = nowMs;
-    this.#sorted = cells.readerOrder(
-      [self, ...reach],
-      (vms) => this.#order.of("readers", [...vms].sort()),
+    const reachable = gossip.live.filter(({ hasStore }) => hasStore);
+    this.#rankedAtMs = nowMs;
+    this.#rankedVms = cells.readerOrder(
+      [self, ...reachable],
+      (vms) => this.#ranking.of("readers", [...vms].sort()),
     );
-    return this.#sorted;
+    return this.#rankedVms;
   }
 
-  #try(): void {
-    const { tryStore, log } = this.#options;
-    this.#isTrying = true;
-    tryStore().then((isReached) => {
-      this.#isTrying = false;
-      this.#duty.noteTried(isReached, this.#view());
-      if (this.isReader) this.#roleChanged();
+  #probeStore(): void {
+    const { probeStore, log } = this.#options;
+    this.#isProbing = true;
+    probeStore().then((isReached) => {
+      this.#isProbing = false;
+      this.#election.noteTried(isReached, this.#view());
+      if (this.isReader) this.#notifyRoleChange();
     }, (error) => {
-      this.#isTrying = false;
-      this.#duty.noteTried(false, this.#view());
-      log.error("Trying the store failed.", { error: String(error) });
+      this.#isProbing = false;
+      this.#election.noteTried(false, this.#view());
+      log.error("Probing the store failed.", { error: String(error) });
     });
   }
 
-  #roleChanged(): void {
+  #notifyRoleChange(): void {
     const { log, gossip, clock } = this.#options;
     log.info(
-      this.isReader ? "Reads for all VMs." : "Leaves reading to peers.",
+      this.isReader
+        ? "Became a reader of the store."
+        : "No longer a reader of the store.",
       {
         peers: gossip.vmCount,
-        readers: this.#duty.active(clock.nowMs()).map(({ vm }) => vm).join(),
+        readers: this.#election.active(clock.nowMs()).map(({ vm }) => vm)
+          .join(),
       },
     );
-    for (const watch of this.#watches.values()) watch.roleChanged();
-    this.#tellWord();
+    for (const watch of this.#watches.values()) watch.onRoleChange();
+    this.#broadcastReaderStatus();
   }
 
-  #tellWord(): void {
+  #broadcastReaderStatus(): void {
     if (!this.#isHealthyReader) return;
     const { gossip, health, self: { vm } } = this.#options;
     const positions = Object.fromEntries(
       [...this.#watches].map(([prefix, { position }]) => [prefix, position]),
     );
-    const storeCalmMs = told(health.calmMs);
-    const word: messages.ReaderWord = { vm, storeCalmMs, positions };
-    gossip.spread(messages.READER_METHOD, word);
+    const storeCalmMs = capHealthyMs(health.healthyMs);
+    const status: messages.ReaderStatus = { vm, storeCalmMs, positions };
+    gossip.broadcast(messages.READER_METHOD, status);
   }
 
-  #takeWord({ vm, storeCalmMs, positions }: messages.ReaderWord): void {
-    const heardAtMs = this.#options.clock.nowMs();
-    this.#duty.note({ vm, heardAtMs, storeCalmMs });
+  #handleReaderStatus(
+    { vm, storeCalmMs, positions }: messages.ReaderStatus,
+  ): void {
+    const receivedAtMs = this.#options.clock.nowMs();
+    this.#election.note({ vm, heardAtMs: receivedAtMs, storeCalmMs });
     for (const [prefix, position] of Object.entries(positions)) {
-      this.#watches.get(prefix)?.noteNews(position, vm);
+      this.#watches.get(prefix)?.notePeerPosition(position, vm);
     }
   }
 
   // Changes
 
-  #remember(prefix: string, changes: RelayedChanges): void {
+  #buffer(prefix: string, changes: RelayedChanges): void {
     const batches = this.#batches.get(prefix) ?? [];
     this.#batches.set(prefix, batches);
     batches.push(changes);
-    if (batches.length > REMEMBERED_BATCHES) batches.shift();
+    if (batches.length > MAX_BUFFERED_BATCHES) batches.shift();
   }
 
-  #encode(prefix: string, changes: RelayedChanges): messages.Changes {
+  #encode(prefix: string, changes: RelayedChanges): messages.StoreChanges {
     const { vm } = this.#options.self;
-    const message: messages.Changes = {
+    const message: messages.StoreChanges = {
       vm,
       prefix,
       fromCursor: changes.fromPosition,
@@ -284,7 +306,7 @@
       names: changes.names === undefined ? null : [...changes.names],
     };
     const { length } = encodeMessage(messages.CHANGES_METHOD, message);
-    return length > LARGEST_BYTES
+    return length > MAX_MESSAGE_BYTES
       ? { ...message, events: null, names: null }
       : message;
   }
@@ -298,7 +320,7 @@
     this.#options.gossip.send(messages.CHANGES_METHOD, message, [peer]);
   }
 
-  #take(message: messages.Changes): void {
+  #handleChanges(message: messages.StoreChanges): void {
     const { vm, prefix, fromCursor, toCursor, names } = message;
     const events = message.events?.map(([name, object]): ObjectChange =>
       object === null
@@ -313,12 +335,15 @@
     };
     const watch = this.#watches.get(prefix);
     if (watch === undefined) return;
-    if (toCursor > watch.position) this.#remember(prefix, changes);
-    watch.takeRelayed(changes, vm);
+    if (toCursor > watch.position) this.#buffer(prefix, changes);
+    watch.applyRelayed(changes, vm);
   }
 
-  /** Tells a peer what it missed, or that this is not remembered. */
-  #answer({ vm, prefix, cursor }: messages.ChangesWish): void {
+  /**
+   * Sends a peer the changes that it missed, or a message without changes when
+   * they are no longer buffered.
+   */
+  #sendMissedChanges({ vm, prefix, cursor }: messages.ChangesRequest): void {
     const batches = this.#batches.get(prefix) ?? [];
     const missed = batches.filter(({ toPosition }) => toPosition > cursor);
     const position = this.#watches.get(prefix)?.position ?? 0;
@@ -329,16 +354,16 @@
         fromPosition <= (missed[index - 1]?.toPosition ?? cursor)
       );
     if (!isWhole) {
-      const none = { fromPosition: cursor, toPosition: position };
-      return this.#send(prefix, { ...none, events: undefined }, vm);
+      const range = { fromPosition: cursor, toPosition: position };
+      return this.#send(prefix, { ...range, events: undefined }, vm);
     }
     for (const batch of missed) this.#send(prefix, batch, vm);
   }
 }
 
 /** Nothing depends on a longer time than this. */
-const LONGEST_CALM_MS = 60_000;
+const MAX_HEALTHY_MS = 60_000;
 
-function told(calmMs: number): number {
-  return Math.min(LONGEST_CALM_MS, Math.floor(calmMs));
+function capHealthyMs(healthyMs: number): number {
+  return Math.min(MAX_HEALTHY_MS, Math.floor(healthyMs));
 }
--- a/packages/entry/src/gateway/wire_gateway.ts
+++ b/packages/entry/src/gateway/wire_gateway.ts
@@ -19,7 +19,7 @@
 import type { GatewaySettings } from "./gateway_settings.ts";
 import { GrantTask } from "./grant_task.ts";
 import { KindWatch } from "./kind_watch.ts";
-import { PeerCalls } from "./peer_calls.ts";
+import { PeerRpc } from "./peer_calls.ts";
 import { type OwnState, PeerGossip } from "./peer_gossip.ts";
 import type { PlatformAdapter } from "./platform_adapter.ts";
 import { RangeMapStore } from "./range_map_store.ts";
@@ -30,7 +30,7 @@
 import { StoreHealth } from "./store_health.ts";
 import { StoreProbe } from "./store_probe.ts";
 import { WatchRelay } from "./watch_relay.ts";
-import { VmDirectory } from "./vm_directory.ts";
+import { PeerDiscovery } from "./vm_directory.ts";
 import { ZoneEvacuations } from "./zone_evacuations.ts";
 
 /** Descriptors kept for files, the store, peers and control calls. */
@@ -93,7 +93,7 @@
     evacuationUseMs: (settings.evacuation?.boundMs ?? 0) *
       EVACUATION_USE_PART,
     coldStartOf: (service) => config.service(service)?.coldStart,
-    storeCalmMs: () => relay.storeCalmMs,
+    storeCalmMs: () => relay.storeHealthyMs,
     clock,
     log: log.part("member"),
   });
@@ -111,16 +111,16 @@
     random,
     log: log.part("member"),
     ownHello: () => ({
-      hasStore: health.isReached,
+      hasStore: health.isReachable,
       isLeaving: lifeCycle.isStopping,
       ...grantTask.ownHello(),
     }),
     ownState: () => ownState(),
-    ownKeeperState: () => ({
+    ownVoterState: () => ({
       lifeMs: Math.ceil(clock.nowMs() - startedMs),
-      ...grantTask.ownKeeperState(),
+      ...grantTask.ownVoterState(),
     }),
-    keepers: () => grantTask.keepers(),
+    voters: () => grantTask.voters(),
     ownLoads: () => forwarder.ownState().loads,
     takeSlowdowns: () => forwarder.takeSlowdowns(),
     onSent: (method, bytes, isSameZone) => {
@@ -137,11 +137,11 @@
     onObject: (object) => config.take(object),
     clock,
     need: () => {
-      if (relay.isReader || grantTask.isMover) return "duty";
-      return grantTask.keepers().has(settings.vm) ? "standby" : "none";
+      if (relay.isReader || grantTask.isLeader) return "duty";
+      return grantTask.voters().has(settings.vm) ? "standby" : "none";
     },
   });
-  const calls = new PeerCalls({
+  const calls = new PeerRpc({
     host: settings.host,
     port: settings.peerPort,
     log: log.part("member"),
@@ -149,14 +149,14 @@
   const relay: WatchRelay = new WatchRelay({
     self,
     gossip,
-    calls,
+    rpc: calls,
     health,
     hasher,
     clock,
     log: log.part("store"),
     isSeed: settings.seeds.some(({ host }) => host === settings.host),
     isLeaving: () => lifeCycle.isStopping,
-    tryStore: () => probe.ask(),
+    probeStore: () => probe.probe(),
   });
   const watches = createWatches();
   const coldStarts = new ColdStarts({
@@ -171,12 +171,12 @@
   const grantTask: GrantTask = new GrantTask({
     self,
     timings: timingsOf(settings),
-    longestGrantMs: settings.timings.longestGrantMs,
+    maxLeaseMs: settings.timings.longestGrantMs,
     hasher,
     config,
     registry,
     gossip,
-    calls,
+    rpc: calls,
     maps: new RangeMapStore({ store, health, log: log.part("owner") }),
     control: adapter.grants,
     health,
@@ -186,7 +186,7 @@
     isCold: ({ server, service }) =>
       registry.coldUntilMs(server) > clock.nowMs() &&
       config.service(service)?.coldStart !== undefined,
-    serverFactorsOf: (service) => slots.factors(service),
+    latencyFactorsOf: (service) => slots.factors(service),
     isLeaving: () => lifeCycle.isStopping,
   });
   const slots = new SlotTask({
@@ -310,7 +310,7 @@
     probe,
     calls,
     relay,
-    directory: new VmDirectory({
+    directory: new PeerDiscovery({
       self,
       store,
       health,
@@ -319,7 +319,7 @@
       clock,
       random,
       log: log.part("member"),
-      isContact: () => relay.isReader,
+      shouldRegister: () => relay.isReader,
     }),
   };
 }
@@ -338,7 +338,9 @@
     if (lifeCycle.isStopping) return "The process stops";
     if (config.active === undefined) return "No configuration yet";
     if (!registry.isListed) return "No list of servers yet";
-    return grantTask.isKnown ? undefined : "Owners of keys are not known yet";
+    return grantTask.areOwnersKnown
+      ? undefined
+      : "Owners of keys are not known yet";
   };
   const readiness = new ReadinessDoor({
     ...settings.readiness,
@@ -350,8 +352,8 @@
   await parts.metrics.listen(settings, lifeCycle);
   for (const { host } of settings.seeds) gossip.addSeed(host);
   gossip.onStatus(({ vm, configCursor, serversCursor }) => {
-    watches.config.noteNews(configCursor, vm);
-    watches.servers.noteNews(serversCursor, vm);
+    watches.config.notePeerPosition(configCursor, vm);
+    watches.servers.notePeerPosition(serversCursor, vm);
   });
   await gossip.start(lifeCycle);
   await parts.calls.listen(lifeCycle);
@@ -379,7 +381,7 @@
   const mainLog = log.part("main");
   mainLog.info("Entry process stops.", { vm: settings.vm });
   const stopping = lifeCycle.stop();
-  gossip.sendToAll();
+  gossip.sendHelloToAll();
   const report = await stopping;
   for (const { name, reason } of report.failed) {
     mainLog.warn("A part did not stop cleanly.", { name, reason });
