--- a/packages/entry/src/gateway/range_map_learner.ts
+++ b/packages/entry/src/gateway/range_map_learner.ts
@@ -58,7 +58,7 @@
   #newerPeer: contracts.VmId | undefined;
   /** Whether the store has answered a read. */
   #hasStoreAnswered = false;
-  #hasReadMap = false;
+  #hasRead = false;
 
   constructor(options: RangeMapFetcherOptions) {
     this.#options = options;
@@ -72,7 +72,7 @@
    * pause.
    */
   get hasReadMap(): boolean {
-    return this.#hasReadMap;
+    return this.#hasRead;
   }
 
   /** Notes the revision of the map that a peer knows. */
@@ -86,14 +86,12 @@
   noteMap(): void {
     this.#staleSinceMs = undefined;
     // A voter's status confirms maps only once it has read the store itself.
-    if (this.#options.isVoterOrLeader() && !this.#hasReadMap) {
-      this.requestRead();
-    }
+    if (this.#options.isVoterOrLeader() && !this.#hasRead) this.requestRead();
   }
 
   /** The store answered a read or write of the map. */
   noteMapRead(): void {
-    this.#hasReadMap = true;
+    this.#hasRead = true;
     this.#hasStoreAnswered = true;
   }
 
@@ -102,16 +100,15 @@
    * outdated.
    */
   invalidate(): void {
-    this.#hasReadMap = false;
+    this.#hasRead = false;
   }
 
   /** Fetches the map if that is due. */
   tick(nowMs: number): void {
     const isStale = this.#staleSinceMs !== undefined &&
       nowMs - this.#staleSinceMs >= UPDATE_GRACE_MS;
-    if (this.#options.isVoterOrLeader() && !this.#hasReadMap) {
-      this.requestRead();
-    } else if (!this.#hasStoreAnswered || isStale) this.catchUp();
+    if (this.#options.isVoterOrLeader() && !this.#hasRead) this.requestRead();
+    else if (!this.#hasStoreAnswered || isStale) this.catchUp();
   }
 
   /**
@@ -122,7 +119,7 @@
       const { maps, service, onStoreMap, onFirstStoreRead } = this.#options;
       const result = await maps.read(service);
       if (result.kind === "unsure") return;
-      const hadReadMap = this.#hasReadMap;
+      const hadReadMap = this.#hasRead;
       this.noteMapRead();
       if (result.kind === "absent") return;
       onStoreMap(result.stored.map, nowMs);
--- a/packages/entry/src/gateway/service_grants.ts
+++ b/packages/entry/src/gateway/service_grants.ts
@@ -395,9 +395,13 @@
     if (!this.#isConfirmed(map)) return this.#fetcher.requestRead();
     for (const range of due) {
       const handover = this.#handoverController.handover(range.fence);
-      const leaseMs = this.#leaseMs;
       const isStillAllowed = () => this.#isStillGranted(range);
-      const request = { range, handover, leaseMs, isStillAllowed };
+      const request = {
+        range,
+        handover,
+        leaseMs: this.#leaseMs,
+        isStillAllowed,
+      };
       this.#sender.send(request).then(
         () => this.#renewNext(range.owner.server),
         (error) =>
--- a/packages/entry/src/gateway/vm_directory.ts
+++ b/packages/entry/src/gateway/vm_directory.ts
@@ -86,10 +86,8 @@
     const graceMs = gossip.seedCount > 0 ? JOIN_GRACE_MS : 0;
     const isAlone = gossip.live.length === 0 &&
       nowMs - this.#startedAtMs >= graceMs;
-    const mayCall = !this.#isCalling && nowMs >= this.#retryAtMs;
-    if (this.#isRegistered || !mayCall || !(isAlone || shouldRegister())) {
-      return;
-    }
+    const isDue = !this.#isCalling && nowMs >= this.#retryAtMs;
+    if (this.#isRegistered || !isDue || !(isAlone || shouldRegister())) return;
     this.#isCalling = true;
     this.#register().then((isRegistered) => {
       this.#isCalling = false;
