--- a/packages/entry/src/gateway/grant_task.ts
+++ b/packages/entry/src/gateway/grant_task.ts
@@ -8,7 +8,7 @@
 import type { PartLog } from "../utils/log.ts";
 import type { ConfigHolder } from "./config_holder.ts";
 import type { MovePlannerOptions } from "./move_planner.ts";
-import type { PeerRpc } from "./peer_calls.ts";
+import type { PeerRpc } from "./peer_rpc.ts";
 import type { GossipIdentity, PeerGossip } from "./peer_gossip.ts";
 import * as messages from "./peer_messages.ts";
 import type { RangeMapStore } from "./range_map_store.ts";
--- a/packages/entry/src/gateway/peer_gossip.ts
+++ b/packages/entry/src/gateway/peer_gossip.ts
@@ -8,7 +8,7 @@
 import type * as z from "zod";
 import type { LifeCycle } from "../utils/life_cycle.ts";
 import type { PartLog } from "../utils/log.ts";
-import { type Peer, PeerRegistry } from "./peer_book.ts";
+import { type Peer, PeerRegistry } from "./peer_registry.ts";
 import { PeerChannel, type PeerTarget } from "./peer_channel.ts";
 import {
   BROADCAST_METHOD,
--- a/packages/entry/src/gateway/peer_book_test.ts
+++ b/packages/entry/src/gateway/peer_registry_test.ts
@@ -1,7 +1,7 @@
 import type * as contracts from "@guavatide/contracts";
 import { expect } from "earl";
 import { test } from "node:test";
-import { PeerRegistry } from "./peer_book.ts";
+import { PeerRegistry } from "./peer_registry.ts";
 import type { PeerHello } from "./peer_messages.ts";
 
 const SELF = { vm: "vm0" as contracts.VmId, zone: "z1" as contracts.ZoneId };
--- a/packages/entry/src/gateway/range_map_learner.ts
+++ b/packages/entry/src/gateway/range_map_fetcher.ts
@@ -5,7 +5,7 @@
 import type * as contracts from "@guavatide/contracts";
 import type { PartLog } from "../utils/log.ts";
 import type { RangeMapStore } from "./range_map_store.ts";
-import { ThrottledTask } from "./spaced_task.ts";
+import { ThrottledTask } from "./throttled_task.ts";
 
 /** Options of {@link RangeMapFetcher}. */
 export interface RangeMapFetcherOptions {
--- a/packages/entry/src/gateway/service_grants.ts
+++ b/packages/entry/src/gateway/service_grants.ts
@@ -15,7 +15,7 @@
   RangeMapUpdate,
   VoterStatus,
 } from "./peer_messages.ts";
-import { RangeMapFetcher } from "./range_map_learner.ts";
+import { RangeMapFetcher } from "./range_map_fetcher.ts";
 import type { RangeMapStore } from "./range_map_store.ts";
 import type { ServerRegistry } from "./server_registry.ts";
 
--- a/packages/entry/src/gateway/watch_relay.ts
+++ b/packages/entry/src/gateway/watch_relay.ts
@@ -10,7 +10,7 @@
 import type { LifeCycle } from "../utils/life_cycle.ts";
 import type { PartLog } from "../utils/log.ts";
 import type { ObjectChange } from "./object_table.ts";
-import type { PeerRpc } from "./peer_calls.ts";
+import type { PeerRpc } from "./peer_rpc.ts";
 import { encodeMessage } from "./peer_codec.ts";
 import type { GossipIdentity, PeerGossip } from "./peer_gossip.ts";
 import * as messages from "./peer_messages.ts";
--- a/packages/entry/src/gateway/wire_gateway.ts
+++ b/packages/entry/src/gateway/wire_gateway.ts
@@ -19,7 +19,7 @@
 import type { GatewaySettings } from "./gateway_settings.ts";
 import { GrantTask } from "./grant_task.ts";
 import { KindWatch } from "./kind_watch.ts";
-import { PeerRpc } from "./peer_calls.ts";
+import { PeerRpc } from "./peer_rpc.ts";
 import { type OwnState, PeerGossip } from "./peer_gossip.ts";
 import type { PlatformAdapter } from "./platform_adapter.ts";
 import { RangeMapStore } from "./range_map_store.ts";
@@ -30,7 +30,7 @@
 import { StoreHealth } from "./store_health.ts";
 import { StoreProbe } from "./store_probe.ts";
 import { WatchRelay } from "./watch_relay.ts";
-import { PeerDiscovery } from "./vm_directory.ts";
+import { PeerDiscovery } from "./peer_discovery.ts";
 import { ZoneEvacuations } from "./zone_evacuations.ts";
 
 /** Descriptors kept for files, the store, peers and control calls. */
