--- a/packages/entry/src/gateway/range_map_store.ts
+++ b/packages/entry/src/gateway/range_map_store.ts
@@ -19,7 +19,7 @@
 
 const PREFIX = "rangemaps/";
 /**
- * The store answers in a few milliseconds, at its slowest in some tenths of a
+ * The store answers in milliseconds, at its slowest in some tenths of a
  * second.
  */
 const READ_TIMEOUT_MS = 800;
