--- a/packages/entry/src/gateway/slot_task.ts
+++ b/packages/entry/src/gateway/slot_task.ts
@@ -9,7 +9,7 @@
 import type { LifeCycle, RegularWork } from "../utils/life_cycle.ts";
 import { OncePerTurn } from "../utils/once_per_turn.ts";
 import type { PartLog } from "../utils/log.ts";
-import type { ColdStarts } from "./cold_starts.ts";
+import type { ColdStartLimits } from "./cold_start_limits.ts";
 import type { PeerGossip } from "./peer_gossip.ts";
 import * as messages from "./peer_messages.ts";
 import type { ServerRegistry } from "./server_registry.ts";
@@ -25,12 +25,12 @@
   readonly random: contracts.RandomSource;
   readonly log: PartLog;
   readonly isLeaving: () => boolean;
-  readonly coldStarts: ColdStarts;
+  readonly coldStarts: ColdStartLimits;
 }
 
 /** The queue whose requests ask for slots. */
-export interface SlotCaller {
-  place(request: admission.WaitingRequest): void;
+export interface SlotConsumer {
+  grant(request: admission.WaitingRequest): void;
   refuse(
     request: admission.WaitingRequest,
     refusal: admission.Refusal,
@@ -38,7 +38,7 @@
 }
 
 /** Interval at which lost words are made good and waits are looked through. */
-const TICK_MS = 25;
+const ACTIVE_TICK_MS = 25;
 /** The same while no request waits. */
 const IDLE_TICK_MS = 200;
 
@@ -50,7 +50,7 @@
   readonly #order: grants.DutyOrder;
   /** Answers of the own coordinator, not sent yet. */
   readonly #words = new Map<contracts.VmId, admission.SlotWord[]>();
-  readonly #callers = new Map<admission.WaitingRequest, SlotCaller>();
+  readonly #callers = new Map<admission.WaitingRequest, SlotConsumer>();
   #work: RegularWork | undefined;
   /** What changes in one turn of the event loop leaves together. */
   readonly #flushing = new OncePerTurn(() => this.#flush());
@@ -63,7 +63,7 @@
       vm,
       coordinatorOf: (server, silent) => this.#coordinatorOf(server, silent),
       onMessage: () => this.#flushing.schedule(),
-      onGiven: (request) => this.#callers.get(request)?.place(request),
+      onGiven: (request) => this.#callers.get(request)?.grant(request),
       onRefused: (request, refusal) => {
         const caller = this.#callers.get(request);
         this.#callers.delete(request);
@@ -78,7 +78,7 @@
       zone,
       random,
       decide: (decision) => this.#decide(decision),
-      coldStartsOf: (service) => options.coldStarts.coordinated(service),
+      coldStartsOf: (service) => options.coldStarts.forCoordinator(service),
     });
     options.registry.onChange(() =>
       this.#order.keepOnly(options.registry.ids())
@@ -107,11 +107,11 @@
 
   #followLoad(): void {
     const isIdle = this.#asks.isIdle && !this.#coordinator.isWaited;
-    this.#work?.setIntervalMs(isIdle ? IDLE_TICK_MS : TICK_MS);
+    this.#work?.setIntervalMs(isIdle ? IDLE_TICK_MS : ACTIVE_TICK_MS);
   }
 
   /** Slots for the requests of one queue. */
-  source(caller: SlotCaller): admission.SlotSource {
+  source(caller: SlotConsumer): admission.SlotSource {
     return {
       take: (request, load, nowMs) => {
         this.#callers.set(request, caller);
@@ -130,7 +130,9 @@
   }
 
   /** How much longer than average each server takes, as this coordinator sees it. */
-  factors(service: contracts.ServiceId): Map<contracts.ServerId, number> {
+  latencyFactors(
+    service: contracts.ServiceId,
+  ): Map<contracts.ServerId, number> {
     return this.#coordinator.factors(service);
   }
 
@@ -172,7 +174,7 @@
     const answers = [...this.#words];
     this.#words.clear();
     for (const [to, words] of answers) {
-      const answer = encodeWords(vm, words);
+      const answer = encodeReplies(vm, words);
       if (to === vm) this.#takeWords(answer);
       else gossip.send(messages.SLOT_REPLIES_METHOD, answer, [to]);
     }
@@ -257,7 +259,7 @@
   return { id, service, server, bornMs, slots, route };
 }
 
-function encodeWords(
+function encodeReplies(
   vm: contracts.VmId,
   words: readonly admission.SlotWord[],
 ): messages.SlotReplies {
