--- a/packages/entry/src/gateway/forwarder.ts
+++ b/packages/entry/src/gateway/forwarder.ts
@@ -19,7 +19,7 @@
 } from "./front_request.ts";
 import type { GrantTask } from "./grant_task.ts";
 import type { PeerGossip } from "./peer_gossip.ts";
-import type { LoadNews, PeerStatus } from "./peer_messages.ts";
+import type { LoadUpdate, PeerStatus } from "./peer_messages.ts";
 import type { HeaderNames } from "./platform_adapter.ts";
 import type { RequestRecord } from "./request_log.ts";
 import type { ServerRegistry } from "./server_registry.ts";
@@ -90,7 +90,7 @@
     options.grants.onChange((service) =>
       this.#services.get(service)?.queue.pump(options.clock.nowMs())
     );
-    options.gossip.onMembers(() => this.#followMembers());
+    options.gossip.onMembersChange(() => this.#followMembers());
     options.gossip.onStatus((status) => this.#applyPeerStatus(status));
     options.gossip.onLoad((loads) => this.#applyPeerLoadNews(loads));
   }
@@ -179,7 +179,7 @@
   }
 
   /** Returns and clears the slowdowns to send to peers; undefined for none. */
-  takeSlowdowns(): LoadNews["slowdowns"] {
+  takeSlowdowns(): LoadUpdate["slowdowns"] {
     const slowdowns = this.#slowdowns;
     this.#slowdowns = undefined;
     return slowdowns;
@@ -229,7 +229,9 @@
       recordServerReport: (server, report, nowMs) =>
         this.#recordServerReport(state, { server, report, nowMs }),
       onFinished,
-      onLoadChange: state.isKeyed ? () => {} : () => gossip.noteChanged(),
+      onLoadChange: state.isKeyed
+        ? () => {}
+        : () => gossip.scheduleLoadUpdate(),
     };
   }
 
@@ -327,7 +329,7 @@
     const { registry, gossip, vm } = this.#options;
     const entries = registry.servers(service);
     times.keepOnly(new Set(entries.map(({ server }) => server)));
-    const { plan } = gossip;
+    const { cellPlan: plan } = gossip;
     const active = entries.filter(({ isDraining }) => !isDraining);
     queue.setServers(
       entries,
@@ -375,7 +377,7 @@
     }
   }
 
-  #applyPeerLoadNews({ vm, loads, slowdowns }: LoadNews): void {
+  #applyPeerLoadNews({ vm, loads, slowdowns }: LoadUpdate): void {
     const atMs = this.#options.clock.nowMs();
     for (const [server, slowdownRatio] of Object.entries(slowdowns ?? {})) {
       this.#findServer(server)?.load.noteSpeed({ slowdownRatio, atMs });
--- /dev/null
+++ b/packages/entry/src/gateway/peer_rpc.ts
@@ -0,0 +1,166 @@
+/**
+ * Remote procedure calls between entry VMs, for data too large for a datagram:
+ * JSON-RPC 2.0 over HTTP, on the port number of the datagrams.
+ */
+import * as jsonRpc from "json-rpc-2.0";
+import * as neverthrow from "neverthrow";
+import * as http from "node:http";
+import type * as z from "zod";
+import { HttpChannel } from "../platform/http_channel.ts";
+import * as httpServer from "../utils/http_server.ts";
+import type { LifeCycle } from "../utils/life_cycle.ts";
+import type { PartLog } from "../utils/log.ts";
+import * as bodies from "../utils/read_body.ts";
+
+/** Options of {@link PeerRpc}. */
+export interface PeerRpcOptions {
+  readonly host: string;
+  readonly port: number;
+  readonly log: PartLog;
+}
+
+/** Address of a peer's RPC server. */
+export interface PeerAddress {
+  readonly host: string;
+  readonly port: number;
+}
+
+/** A call of a method about a named thing, with the schema of its result. */
+export interface PeerRpcRequest<Schema extends z.ZodType> {
+  readonly method: string;
+  readonly name: string;
+  readonly resultSchema: Schema;
+}
+
+/** Why a call returned no valid result. */
+export interface PeerRpcError {
+  readonly kind: "unreachable" | "unreadable";
+  readonly message: string;
+}
+
+/** Returns the result for a named thing; undefined when it is unknown. */
+export type PeerRpcHandler = (name: string) => object | undefined;
+
+/** Timeout of one call. */
+const CALL_TIMEOUT_MS = 600;
+const MAX_REQUEST_BYTES = 4_096;
+const NOT_FOUND_CODE = -32_001;
+
+/** Client and server of the calls between peers. */
+export class PeerRpc {
+  readonly #options: PeerRpcOptions;
+  readonly #handlers = new Map<string, PeerRpcHandler>();
+
+  constructor(options: PeerRpcOptions) {
+    this.#options = options;
+  }
+
+  /** Registers the handler of a method. */
+  on(method: string, handler: PeerRpcHandler): void {
+    this.#handlers.set(method, handler);
+  }
+
+  /** Starts to listen. Rejects when the port is taken. */
+  async listen(lifeCycle: LifeCycle): Promise<void> {
+    const server = http.createServer((request, response) => {
+      this.#handle(request, response).catch((error) => {
+        this.#options.log.warn("Answering a peer's call failed.", {
+          error: String(error),
+        });
+        response.destroy();
+      });
+    });
+    lifeCycle.onStop({
+      name: "calls of peers",
+      timeoutMs: 100,
+      run: () => {
+        server.close();
+        server.closeAllConnections();
+      },
+    });
+    await httpServer.listenOn(server, this.#options);
+  }
+
+  /** Calls one peer. Errors: {@link PeerRpcError}. */
+  async call<Schema extends z.ZodType>(
+    { host, port }: PeerAddress,
+    { method, name, resultSchema }: PeerRpcRequest<Schema>,
+  ): Promise<neverthrow.Result<z.output<Schema>, PeerRpcError>> {
+    const channel = new HttpChannel(`http://${host}:${port}`);
+    const request = jsonRpc.createJSONRPCRequest(1, method, { name });
+    const response = await channel.call({
+      method: "POST",
+      path: "/",
+      headers: { "content-type": "application/json" },
+      body: JSON.stringify(request),
+    }, { timeoutMs: CALL_TIMEOUT_MS });
+    channel.close().catch((error) =>
+      this.#options.log.debug("Closing the connection to a peer failed.", {
+        host,
+        error: String(error),
+      })
+    );
+    if (response.isErr()) {
+      const { message } = response.error;
+      return neverthrow.err({ kind: "unreachable", message });
+    }
+    return parseResult(response.value.text, resultSchema);
+  }
+
+  async #handle(
+    request: http.IncomingMessage,
+    response: http.ServerResponse,
+  ): Promise<void> {
+    const read = await bodies.readBody(request, MAX_REQUEST_BYTES);
+    if (read.kind !== "whole") {
+      throw new Error(
+        `The request body is ${read.kind}; send one JSON-RPC request`,
+      );
+    }
+    const call = parseRequest(Buffer.from(read.body ?? []).toString());
+    const name = call?.params?.name;
+    const result = call === undefined || typeof name !== "string"
+      ? undefined
+      : this.#handlers.get(call.method)?.(name);
+    const id = call?.id ?? null;
+    const reply = result === undefined
+      ? jsonRpc.createJSONRPCErrorResponse(id, NOT_FOUND_CODE, "Not known here")
+      : jsonRpc.createJSONRPCSuccessResponse(id, result);
+    const bytes = Buffer.from(JSON.stringify(reply));
+    response.writeHead(200, {
+      "content-type": "application/json",
+      "content-length": bytes.length,
+      connection: "close",
+    });
+    response.end(bytes);
+  }
+}
+
+function parseRequest(text: string): jsonRpc.JSONRPCRequest | undefined {
+  try {
+    const call = JSON.parse(text);
+    return jsonRpc.isJSONRPCRequest(call) ? call : undefined;
+  } catch {
+    // Not JSON; the caller gets a JSON-RPC error.
+    return undefined;
+  }
+}
+
+function parseResult<Schema extends z.ZodType>(
+  text: string,
+  schema: Schema,
+): neverthrow.Result<z.output<Schema>, PeerRpcError> {
+  const unreadableResult = (message: string) =>
+    neverthrow.err({ kind: "unreadable" as const, message });
+  try {
+    const reply = JSON.parse(text);
+    const parsed = schema.safeParse(reply?.result);
+    if (parsed.success) return neverthrow.ok(parsed.data);
+    return unreadableResult(
+      reply?.error?.message ??
+        "The result doesn't match its schema; ask another peer",
+    );
+  } catch (error) {
+    return unreadableResult(`The answer is not JSON: ${String(error)}`);
+  }
+}
--- a/packages/entry/src/gateway/slot_task.ts
+++ b/packages/entry/src/gateway/slot_task.ts
@@ -85,13 +85,13 @@
       this.#coordinatorOrder.keepOnly(options.registry.ids())
     );
     gossip.onGuarded(
-      messages.SLOT_ASKS_METHOD,
-      messages.isSlotAsks,
+      messages.SLOT_REQUESTS_METHOD,
+      messages.isSlotRequests,
       (requests) => this.#handleRequests(requests),
     );
     gossip.onGuarded(
-      messages.SLOT_WORDS_METHOD,
-      messages.isSlotWords,
+      messages.SLOT_REPLIES_METHOD,
+      messages.isSlotReplies,
       (replies) => this.#handleReplies(replies),
     );
   }
@@ -153,7 +153,7 @@
   ): contracts.VmId | undefined {
     const { gossip, registry, vm } = this.#options;
     const zone = registry.zoneOf(server);
-    const inZone = zone === undefined ? [] : gossip.membersOf(zone);
+    const inZone = zone === undefined ? [] : gossip.liveVmsIn(zone);
     const eligibleInZone = inZone.filter((it) =>
       this.#isEligible(it, unresponsive)
     );
@@ -178,20 +178,20 @@
     for (const [coordinator, message] of this.#requester.takeMessages()) {
       const requests = this.#encodeRequests(message);
       if (coordinator === vm) this.#handleRequests(requests);
-      else gossip.send(messages.SLOT_ASKS_METHOD, requests, [coordinator]);
+      else gossip.send(messages.SLOT_REQUESTS_METHOD, requests, [coordinator]);
     }
     const pending = [...this.#replies];
     this.#replies.clear();
     for (const [to, replies] of pending) {
       const answer = encodeReplies(vm, replies);
       if (to === vm) this.#handleReplies(answer);
-      else gossip.send(messages.SLOT_WORDS_METHOD, answer, [to]);
+      else gossip.send(messages.SLOT_REPLIES_METHOD, answer, [to]);
     }
   }
 
   #encodeRequests(
     { wishes, ended, held }: admission.SlotMessage,
-  ): messages.SlotAsks {
+  ): messages.SlotRequests {
     const { vm, clock } = this.#options;
     const nowMs = clock.nowMs();
     return {
@@ -206,7 +206,7 @@
     };
   }
 
-  #handleRequests({ vm, wishes, ended, held }: messages.SlotAsks): void {
+  #handleRequests({ vm, wishes, ended, held }: messages.SlotRequests): void {
     const nowMs = this.#options.clock.nowMs();
     for (const [id, tookMs] of ended) {
       this.#coordinator.end(vm, id, { tookMs: tookMs ?? undefined, nowMs });
@@ -223,7 +223,7 @@
     this.#coordinator.noteHeld(vm, held.map(decodeSlot), nowMs);
   }
 
-  #handleReplies({ vm, given, queued, refused }: messages.SlotWords): void {
+  #handleReplies({ vm, given, queued, refused }: messages.SlotReplies): void {
     const replies: admission.SlotWord[] = [
       ...given.map((id) => ({ id, kind: "given" as const })),
       ...queued.map((id) => ({ id, kind: "queued" as const })),
@@ -246,7 +246,7 @@
 
 function encodeSlot(
   { id, service, server, bornMs, slots, route }: admission.HeldSlot,
-): messages.SlotMessage {
+): messages.SlotTuple {
   const { name, priority, targetLatencyMs } = route;
   return [
     id,
@@ -262,7 +262,7 @@
 
 function decodeSlot(
   [id, service, server, bornMs, slots, name, priority, targetLatencyMs]:
-    messages.SlotMessage,
+    messages.SlotTuple,
 ): admission.HeldSlot {
   const route = { name, priority, targetLatencyMs };
   return { id, service, server, bornMs, slots, route };
@@ -271,7 +271,7 @@
 function encodeReplies(
   vm: contracts.VmId,
   replies: readonly admission.SlotWord[],
-): messages.SlotWords {
+): messages.SlotReplies {
   const idsOf = (expectedKind: admission.SlotWord["kind"]) =>
     replies.filter(({ kind }) => kind === expectedKind).map(({ id }) => id);
   return {
