--- a/packages/decisions/src/admission/cold_start_limit.ts
+++ b/packages/decisions/src/admission/cold_start_limit.ts
@@ -1,52 +1,52 @@
 /**
- * Limits the requests begun at cold servers, over all entry VMs, in touch with
- * one another or not: a server that has just started crashes under the load of
- * a warm one.
+ * Limits the rate of requests to cold servers over all entry VMs, also while
+ * they can't reach one another: a server that has just started crashes under
+ * the load of a warm one.
  */
 import type * as contracts from "@guavatide/contracts";
 
 /**
- * What a cold server may get in any one second from all entry VMs together:
- * what it bears times the ratio, plus the slack.
+ * Upper bound on the requests that a cold server gets in any one second from
+ * all entry VMs together: the rate it sustains times the ratio, plus the slack.
  */
 export interface ColdStartBound {
   readonly excessRatio: number;
   readonly slack: number;
 }
 
-/** What a limit needs to know of the servers. */
+/** Options of {@link ColdStartLimit}. */
 export interface ColdStartLimitOptions {
   /** Undefined where there is no bound. */
   readonly bound: ColdStartBound | undefined;
-  /** Until when a server is cold. */
+  /** Time at which a server is warm. */
   readonly coldUntilMs: (server: contracts.ServerId) => number;
-  /** Requests a second that a cold server bears; undefined for any number. */
+  /** Requests a second that a cold server sustains; undefined for no limit. */
   readonly requestsPerSecond: () => number | undefined;
   /**
-   * Place of this VM among all that may ever send to the server, lost ones
+   * Rank of this VM among all that may ever send to the server, failed ones
    * included; undefined while they are not known.
    */
-  readonly placeOf: (server: contracts.ServerId) => number | undefined;
-  /** The part of the rate that each place has; the parts sum up to 1. */
-  readonly parts: readonly number[];
+  readonly rankOf: (server: contracts.ServerId) => number | undefined;
+  /** The fraction of the rate for each rank; the fractions sum up to 1. */
+  readonly rateShares: readonly number[];
 }
 
-/** Parts of VMs that send requests of their own, one beside the other. */
-export const EQUAL_PARTS: readonly number[] = [1 / 3, 1 / 3, 1 / 3];
-/** Parts of a coordinator and of those that take its place. */
-export const COORDINATOR_PARTS: readonly number[] = [1 / 2, 1 / 4, 1 / 4];
-/** The rate of all places, as a multiple of what a cold server bears. */
+/** Shares of VMs that each send their own requests. */
+export const EQUAL_SHARES: readonly number[] = [1 / 3, 1 / 3, 1 / 3];
+/** Shares of a coordinator and of the VMs that take over from it. */
+export const COORDINATOR_SHARES: readonly number[] = [1 / 2, 1 / 4, 1 / 4];
+/** Rate of all ranks together, as a multiple of what a cold server sustains. */
 const MAX_RATE_RATIO = 2;
-/** Requests of the bound that stay unused, for those that are long on the way. */
+/** Requests of the bound that stay unused, to cover those long in transit. */
 const SPARE_REQUESTS = 2;
 
-/** Tokens of one server. */
+/** Token bucket of one server. */
 interface Bucket {
   tokens: number;
   updatedMs: number;
 }
 
-/** This VM's share of what cold servers bear. */
+/** Token buckets for this VM's share of the rate that cold servers sustain. */
 export class ColdStartLimit {
   readonly #options: ColdStartLimitOptions;
   readonly #buckets = new Map<contracts.ServerId, Bucket>();
@@ -55,41 +55,41 @@
     this.#options = options;
   }
 
-  /** Whether the server has just started, and takes longer. */
+  /** Whether the server has just started and is slower than a warm one. */
   isCold(server: contracts.ServerId, nowMs: number): boolean {
     return this.#options.coldUntilMs(server) > nowMs;
   }
 
-  /** Whether the server bears little load now. */
+  /** Whether the server is cold and its rate is limited. */
   isLimited(server: contracts.ServerId, nowMs: number): boolean {
     const { bound, requestsPerSecond } = this.#options;
     return this.isCold(server, nowMs) && bound !== undefined &&
       requestsPerSecond() !== undefined;
   }
 
-  /** Requests a second that this VM may begin at a server that is limited. */
+  /** Requests a second that this VM may start at a limited server. */
   ratePerSecond(server: contracts.ServerId): number {
-    const { placeOf, parts, bound, requestsPerSecond } = this.#options;
-    const place = placeOf(server);
-    const borne = requestsPerSecond();
-    if (borne === undefined || bound === undefined) {
+    const { rankOf, rateShares, bound, requestsPerSecond } = this.#options;
+    const rank = rankOf(server);
+    const sustained = requestsPerSecond();
+    if (sustained === undefined || bound === undefined) {
       return Number.POSITIVE_INFINITY;
     }
-    const part = place === undefined ? 0 : parts[place] ?? 0;
-    // Each place may begin one request more than its rate says.
-    const room = borne * bound.excessRatio + bound.slack - parts.length -
-      SPARE_REQUESTS;
-    return part * Math.max(0, Math.min(MAX_RATE_RATIO * borne, room));
+    const share = rank === undefined ? 0 : rateShares[rank] ?? 0;
+    // Each rank may start one request beyond its rate: its bucket holds one.
+    const maxRate = sustained * bound.excessRatio + bound.slack -
+      rateShares.length - SPARE_REQUESTS;
+    return share * Math.max(0, Math.min(MAX_RATE_RATIO * sustained, maxRate));
   }
 
-  /** Whether a request may begin now; always at a warm server. */
-  mayBegin(server: contracts.ServerId, nowMs: number): boolean {
+  /** Whether a request may start now; always true for a warm server. */
+  mayStart(server: contracts.ServerId, nowMs: number): boolean {
     if (!this.isLimited(server, nowMs)) return true;
     return this.#bucket(server, nowMs).tokens >= 1;
   }
 
-  /** A request begins. */
-  noteBegin(server: contracts.ServerId, nowMs: number): void {
+  /** Takes a token for a request that starts now. */
+  recordStart(server: contracts.ServerId, nowMs: number): void {
     if (!this.isLimited(server, nowMs)) {
       return void this.#buckets.delete(server);
     }
--- a/packages/decisions/src/admission/late_loop_rule.ts
+++ b/packages/decisions/src/admission/late_loop_rule.ts
@@ -1,33 +1,33 @@
 /**
- * Whether a request is refused because this entry VM reads it too late. A
- * refusal takes far less processor time than a forwarded request, so an
- * overloaded VM answers the others on time.
+ * Load shedding by event loop lag: refuses requests that this entry VM has read
+ * too late. A refusal takes far less processor time than forwarding, so an
+ * overloaded VM still answers the other requests on time.
  */
 
-/** What is known of a request when it has been read. */
-export interface LateRequest {
-  /** How long it lay unread because the event loop was behind; 0 if not. */
+/** A request that has been read, with the lag before that. */
+export interface DelayedRequest {
+  /** How long it stayed unread because of event loop lag; 0 without lag. */
   readonly lagMs: number;
   readonly nowMs: number;
-  /** When it arrived, before it lay unread. */
+  /** When it arrived, before it was read. */
   readonly arrivedMs: number;
-  /** Time from its arrival within which an answer has its full worth. */
+  /** Time from its arrival within which it should be answered. */
   readonly targetLatencyMs: number;
-  /** Expected time at a server. */
+  /** Expected service time at a server. */
   readonly serviceMs: number;
 }
 
 /**
- * Part of the target latency kept for the VM's own work: an overloaded VM takes
- * requests up to this limit.
+ * Fraction of the target latency reserved for the VM's own work: an overloaded
+ * VM admits requests right up to this limit.
  */
-const SPARE_PART = 0.2;
+const RESERVED_FRACTION = 0.2;
 
-/** Whether the lag alone makes the answer late. */
-export function isLateByLag(request: LateRequest): boolean {
+/** Whether the answer would be on time without the lag, and is late with it. */
+export function shouldShedForLag(request: DelayedRequest): boolean {
   const { lagMs, nowMs, arrivedMs, targetLatencyMs, serviceMs } = request;
   if (lagMs <= 0) return false;
-  const lastMs = arrivedMs + targetLatencyMs * (1 - SPARE_PART);
+  const lastMs = arrivedMs + targetLatencyMs * (1 - RESERVED_FRACTION);
   const answeredMs = nowMs + serviceMs;
   return answeredMs > lastMs && answeredMs - lagMs <= lastMs;
 }
--- a/packages/decisions/src/admission/late_loop_rule_test.ts
+++ b/packages/decisions/src/admission/late_loop_rule_test.ts
@@ -1,25 +1,25 @@
 import { expect } from "earl";
 import { test } from "node:test";
-import { isLateByLag } from "./late_loop_rule.ts";
+import { shouldShedForLag } from "./late_loop_rule.ts";
 
 const SERVICE_MS = 100;
 const TARGET_MS = 300;
-/** Processor time of a request that is forwarded, and of one refused. */
+/** Processor time to forward a request, and to refuse one. */
 const FORWARD_MS = 6;
 const REFUSE_MS = 1.2;
-/** Between two arrivals: a third more than the VM can forward. */
+/** Time between arrivals: a third more requests than the VM can forward. */
 const ARRIVAL_MS = 4.5;
 
-/** Requests of ten seconds at one VM; how many are answered within the target. */
-function answeredInTarget(
-  mustRefuse: (lagMs: number, nowMs: number, arrivedMs: number) => boolean,
+/** Counts the requests of 10 s that one VM answers within the target latency. */
+function countAnsweredInTarget(
+  shouldShed: (lagMs: number, nowMs: number, arrivedMs: number) => boolean,
 ): number {
   let nowMs = 0;
   let answered = 0;
   for (let arrivedMs = 0; arrivedMs < 10_000; arrivedMs += ARRIVAL_MS) {
     nowMs = Math.max(nowMs, arrivedMs);
     const targetMs = arrivedMs + TARGET_MS;
-    if (mustRefuse(nowMs - arrivedMs, nowMs, arrivedMs)) {
+    if (shouldShed(nowMs - arrivedMs, nowMs, arrivedMs)) {
       nowMs += REFUSE_MS;
       continue;
     }
@@ -29,12 +29,12 @@
   return answered;
 }
 
-/** Guards against a VM that falls behind and answers every caller too late. */
-test("should answer most callers on time at a VM with too little processor", () => {
+/** Guards against an overloaded VM that answers every request too late. */
+test("should answer most requests on time on an overloaded VM", () => {
   const requests = 10_000 / ARRIVAL_MS;
-  const all = answeredInTarget((lagMs) => lagMs > 400);
-  const shed = answeredInTarget((lagMs, nowMs, arrivedMs) =>
-    isLateByLag({
+  const withoutShedding = countAnsweredInTarget((lagMs) => lagMs > 400);
+  const withShedding = countAnsweredInTarget((lagMs, nowMs, arrivedMs) =>
+    shouldShedForLag({
       lagMs,
       nowMs,
       arrivedMs,
@@ -42,18 +42,18 @@
       serviceMs: SERVICE_MS,
     })
   );
-  expect(all < 0.1 * requests).toEqual(true);
-  expect(shed > 0.6 * requests).toEqual(true);
+  expect(withoutShedding < 0.1 * requests).toEqual(true);
+  expect(withShedding > 0.6 * requests).toEqual(true);
 });
 
-test("should not blame the loop for a request that is late anyhow", () => {
+test("should not shed a request that is late even without the lag", () => {
   const request = {
     nowMs: 1_000,
     arrivedMs: 900,
     targetLatencyMs: 150,
     serviceMs: 100,
   };
-  expect(isLateByLag({ ...request, lagMs: 20 })).toEqual(false);
-  expect(isLateByLag({ ...request, lagMs: 90 })).toEqual(true);
-  expect(isLateByLag({ ...request, lagMs: 0 })).toEqual(false);
+  expect(shouldShedForLag({ ...request, lagMs: 20 })).toEqual(false);
+  expect(shouldShedForLag({ ...request, lagMs: 90 })).toEqual(true);
+  expect(shouldShedForLag({ ...request, lagMs: 0 })).toEqual(false);
 });
--- a/packages/decisions/src/admission/mod.ts
+++ b/packages/decisions/src/admission/mod.ts
@@ -1,4 +1,4 @@
-/** Admission: which request goes to which backend server, and when. */
+/** Admission control: which request is sent to which backend server, and when. */
 export * from "./cold_start_limit.ts";
 export * from "./late_loop_rule.ts";
 export * from "./server_load.ts";
--- a/packages/decisions/src/admission/rank_order.ts
+++ b/packages/decisions/src/admission/rank_order.ts
@@ -1,29 +1,29 @@
 /**
- * Which of the waiting requests goes next: by rank, then those that can still
- * be answered in time, then by arrival.
+ * Order in which queued requests are sent: by priority, then those that can
+ * still be answered within their target latency, then by arrival.
  */
 import type { ServiceTimes } from "./service_times.ts";
 import type { WaitingRequest } from "./waiting_request.ts";
 
 /**
- * A less urgent request goes next after so many more urgent ones: prevents
- * starvation.
+ * After this many requests of a higher priority in a row, one of a lower
+ * priority is sent first: prevents starvation.
  */
 const STARVATION_LIMIT = 12;
 
-/** The order of one queue. */
-export class RankOrder {
+/** Sorts the requests of one queue. */
+export class PriorityOrder {
   readonly #times: ServiceTimes;
-  /** Urgent requests in a row that went ahead of less urgent ones. */
-  #passedOver = 0;
+  /** Requests sent in a row while ones of a lower priority were waiting. */
+  #sentAhead = 0;
 
   constructor(times: ServiceTimes) {
     this.#times = times;
   }
 
-  /** The requests in the order in which they may go, given by arrival. */
-  inTurn(waiting: readonly WaitingRequest[], nowMs: number): WaitingRequest[] {
-    // The sort is stable: equals stay in the order of their arrival.
+  /** Returns the requests, given by arrival, in the order to send them. */
+  sort(waiting: readonly WaitingRequest[], nowMs: number): WaitingRequest[] {
+    // The sort is stable: equal requests stay in order of arrival.
     const ordered = waiting
       .map((request) => ({
         request,
@@ -33,22 +33,22 @@
         a.request.route.priority - b.request.route.priority || a.late - b.late
       )
       .map(({ request }) => request);
-    if (this.#passedOver < STARVATION_LIMIT) return ordered;
-    const first = ordered[0]!.route.priority;
-    const next = ordered.findIndex(({ route }) => route.priority > first);
-    if (next > 0) ordered.unshift(...ordered.splice(next, 1));
+    if (this.#sentAhead < STARVATION_LIMIT) return ordered;
+    const highest = ordered[0]!.route.priority;
+    const starved = ordered.findIndex(({ route }) => route.priority > highest);
+    if (starved > 0) ordered.unshift(...ordered.splice(starved, 1));
     return ordered;
   }
 
-  /** Counts the urgent requests that went ahead of less urgent ones. */
-  noteTurn(request: WaitingRequest, queued: readonly WaitingRequest[]): void {
+  /** Counts a request that was sent ahead of ones of a lower priority. */
+  recordSent(request: WaitingRequest, queued: readonly WaitingRequest[]): void {
     const { priority } = request.route;
-    const isAhead = queued.some(({ route }) => route.priority > priority);
-    this.#passedOver = isAhead ? this.#passedOver + 1 : 0;
+    const overtakes = queued.some(({ route }) => route.priority > priority);
+    this.#sentAhead = overtakes ? this.#sentAhead + 1 : 0;
   }
 
-  /** Whether its answer is likely to miss its target even if it left now. */
+  /** Whether the answer would likely miss its target even if sent now. */
   #isLate({ route, targetMs }: WaitingRequest, nowMs: number): boolean {
-    return nowMs + this.#times.routeMs(route) > targetMs;
+    return nowMs + this.#times.estimateMs(route) > targetMs;
   }
 }
--- a/packages/decisions/src/admission/server_load.ts
+++ b/packages/decisions/src/admission/server_load.ts
@@ -1,58 +1,58 @@
-/** What this entry VM believes of one backend server's load and health. */
+/** Load and health of one backend server as this entry VM sees it. */
 import type * as contracts from "@guavatide/contracts";
 
-/** A peer's load at a server is dropped after this time. */
+/** A peer's reported load is ignored after this time. */
 const PEER_LOAD_TTL_MS = 1_000;
-/** Weight of a new end in the ratio of failures. */
-const FAILURE_GAIN = 1 / 8;
-/** Sends without an answer, in a row, after which a server is suspended. */
+/** Weight of a new outcome in the failure ratio. */
+const FAILURE_SAMPLE_WEIGHT = 1 / 8;
+/** Consecutive requests without an answer after which a server is suspended. */
 const SUSPEND_AFTER_LOSSES = 2;
 /**
- * The same for the only owner of its keys, which no other server can answer. An
- * owner that answers nothing is found by its grants.
+ * The same for a server that owns its keys: no other server can answer for it,
+ * and an owner that answers nothing at all is detected by its leases.
  */
 const SUSPEND_OWNER_AFTER_LOSSES = 5;
 const SUSPEND_MIN_MS = 400;
 const SUSPEND_MAX_MS = 4_000;
-
-/** A reported speed loses weight with age and lapses after this time. */
+/** A reported speed loses weight with age and expires after this time. */
 const SPEED_TTL_MS = 400;
 
 /** How a request at a server ended. */
-export type SendEnd =
-  /** An answer by the server itself. */
+export type SendOutcome =
+  /** The server answered. */
   | { readonly kind: "answered"; readonly isFailure: boolean }
-  /** The server said that it did not run the request. */
+  /** The server replied that it did not run the request. */
   | { readonly kind: "rejected" }
-  /** No whole answer came, or no connection. */
+  /** No connection, or no complete answer. */
   | { readonly kind: "lost" }
-  /** Nobody waits for it any more; says nothing about the server. */
+  /** The VM stopped waiting for it; says nothing about the server. */
   | { readonly kind: "abandoned" };
 
-/** A server's word of its speed. */
+/** A server's report of its current speed. */
 export interface ReportedSpeed {
-  /** How much longer work takes than usual. */
+  /** Service time relative to the usual one. */
   readonly slowdownRatio: number;
   readonly atMs: number;
 }
 
 interface PeerLoad {
   readonly outstanding: number;
-  readonly atMs: number;
+  readonly reportedMs: number;
 }
 
 /** Load and health of one server. */
 export class ServerLoad {
   entry: contracts.ServerEntry;
-  /** Start times of this VM's requests there, oldest first. */
-  readonly #sentMs = new Set<{ readonly atMs: number }>();
+  /** This VM's requests in flight there, oldest first. */
+  readonly #inFlight = new Set<{ readonly atMs: number }>();
   readonly #peerLoads = new Map<contracts.VmId, PeerLoad>();
-  /** Whether it is the only one that can serve its keys. */
+  /** Whether it owns keys, which no other server can serve. */
   readonly #isOwner: boolean;
   #speed: ReportedSpeed | undefined;
   #failureRatio = 0;
-  /** Both in a row, without an answer between them. */
-  #lossesInARow = 0;
+  /** Since the last answer. */
+  #consecutiveLosses = 0;
+  /** Since the last answer; each doubles the next one's duration. */
   #suspensions = 0;
   #lastLostMs = Number.NEGATIVE_INFINITY;
   #suspendedUntilMs = Number.NEGATIVE_INFINITY;
@@ -62,54 +62,54 @@
     this.#isOwner = isOwner;
   }
 
-  /** Requests of this VM at the server. */
-  get own(): number {
-    return this.#sentMs.size;
+  /** Requests of this VM in flight at the server. */
+  get ownInFlight(): number {
+    return this.#inFlight.size;
   }
 
-  /** Part of the latest requests that the server answered with a failure. */
+  /** Moving average of failures among the requests that ended; 0 to 1. */
   get failureRatio(): number {
     return this.#failureRatio;
   }
 
-  /** Requests of all entry VMs at the server, as last told. */
+  /** Requests of all entry VMs at the server, as last reported. */
   outstanding(nowMs: number): number {
-    let sum = this.#sentMs.size;
-    for (const told of this.#peerLoads.values()) {
-      if (nowMs - told.atMs < PEER_LOAD_TTL_MS) sum += told.outstanding;
+    let sum = this.#inFlight.size;
+    for (const peer of this.#peerLoads.values()) {
+      if (nowMs - peer.reportedMs < PEER_LOAD_TTL_MS) sum += peer.outstanding;
     }
     return sum;
   }
 
-  /** How long the oldest of this VM's requests has been there. */
-  oldestMs(nowMs: number): number {
-    for (const { atMs } of this.#sentMs) return nowMs - atMs;
+  /** Age of this VM's oldest request in flight; 0 without any. */
+  oldestAgeMs(nowMs: number): number {
+    for (const { atMs } of this.#inFlight) return nowMs - atMs;
     return 0;
   }
 
-  /** Time until requests may be sent again; 0 when they may now. */
-  opensInMs(nowMs: number): number {
+  /** Time until the suspension ends; 0 if the server is not suspended. */
+  suspensionLeftMs(nowMs: number): number {
     return Math.max(0, this.#suspendedUntilMs - nowMs);
   }
 
-  /** Whether requests may be sent now. */
-  isOpen(nowMs: number): boolean {
-    return this.opensInMs(nowMs) === 0;
+  /** Whether the server is not suspended. */
+  isUp(nowMs: number): boolean {
+    return this.suspensionLeftMs(nowMs) === 0;
   }
 
-  /** A peer told of its requests there. */
-  noteTold(vm: contracts.VmId, told: PeerLoad): void {
-    this.#peerLoads.set(vm, told);
+  /** Records a peer's report of its requests in flight there. */
+  recordPeerLoad(vm: contracts.VmId, report: PeerLoad): void {
+    this.#peerLoads.set(vm, report);
   }
 
-  /** The server told its momentary speed, here or at a peer. */
-  noteSpeed(speed: ReportedSpeed): void {
+  /** Records the server's report of its speed, received here or by a peer. */
+  recordSpeed(speed: ReportedSpeed): void {
     if (this.#speed === undefined || speed.atMs >= this.#speed.atMs) {
       this.#speed = speed;
     }
   }
 
-  /** How much longer than usual work is expected to take there now. */
+  /** Expected service time now relative to the usual one. */
   slowdownRatio(nowMs: number): number {
     if (this.#speed === undefined) return 1;
     const { slowdownRatio, atMs } = this.#speed;
@@ -117,45 +117,47 @@
     return 1 + (slowdownRatio - 1) * weight;
   }
 
-  /** A request leaves. The returned function takes note of its end. */
-  begin(nowMs: number): (end: SendEnd, nowMs: number) => void {
+  /** A request is sent. The returned function records its outcome. */
+  startRequest(nowMs: number): (outcome: SendOutcome, nowMs: number) => void {
     const sent = { atMs: nowMs };
-    this.#sentMs.add(sent);
-    return (end, endedMs) => {
-      this.#sentMs.delete(sent);
-      this.#noteEnd(end, nowMs, endedMs);
+    this.#inFlight.add(sent);
+    return (outcome, endedMs) => {
+      this.#inFlight.delete(sent);
+      this.#recordOutcome(outcome, nowMs, endedMs);
     };
   }
 
-  #noteEnd(end: SendEnd, sentMs: number, nowMs: number): void {
-    if (end.kind === "abandoned") return;
-    if (end.kind === "lost") return this.#noteLost(sentMs, nowMs);
-    this.#lossesInARow = 0;
+  #recordOutcome(outcome: SendOutcome, sentMs: number, nowMs: number): void {
+    if (outcome.kind === "abandoned") return;
+    if (outcome.kind === "lost") return this.#recordLoss(sentMs, nowMs);
+    this.#consecutiveLosses = 0;
     this.#suspensions = 0;
-    if (end.kind === "rejected") return;
-    const failure = end.isFailure ? 1 : 0;
-    this.#failureRatio += FAILURE_GAIN * (failure - this.#failureRatio);
+    if (outcome.kind === "rejected") return;
+    const failure = outcome.isFailure ? 1 : 0;
+    this.#failureRatio += FAILURE_SAMPLE_WEIGHT *
+      (failure - this.#failureRatio);
   }
 
   /**
-   * Suspends a server after losses in a row, at first shortly: a reset
-   * connection costs little. A server that is down holds each request until its
-   * deadline. Only requests sent after the last loss count, as a reset ends
-   * many at once.
+   * Suspends a server after consecutive losses, as a server that is down holds
+   * each request until its deadline. The first suspension is short, as a reset
+   * connection alone means little. Requests sent before the last suspension
+   * ended, and to an owner also those sent before its last loss, don't count
+   * again: one reset ends many requests at once.
    */
-  #noteLost(sentMs: number, nowMs: number): void {
-    this.#failureRatio += FAILURE_GAIN * (1 - this.#failureRatio);
-    // What left before the last loss was lost with it.
+  #recordLoss(sentMs: number, nowMs: number): void {
+    this.#failureRatio += FAILURE_SAMPLE_WEIGHT * (1 - this.#failureRatio);
+    // A request sent before the last loss was lost with it.
     if (this.#isOwner && sentMs < this.#lastLostMs) return;
     this.#lastLostMs = nowMs;
-    this.#lossesInARow++;
+    this.#consecutiveLosses++;
     const limit = this.#isOwner
       ? SUSPEND_OWNER_AFTER_LOSSES
       : SUSPEND_AFTER_LOSSES;
-    if (this.#lossesInARow < limit) return;
+    if (this.#consecutiveLosses < limit) return;
     if (sentMs < this.#suspendedUntilMs) return;
-    const doubled = SUSPEND_MIN_MS * 2 ** this.#suspensions;
+    const backoffMs = SUSPEND_MIN_MS * 2 ** this.#suspensions;
     this.#suspensions++;
-    this.#suspendedUntilMs = nowMs + Math.min(SUSPEND_MAX_MS, doubled);
+    this.#suspendedUntilMs = nowMs + Math.min(SUSPEND_MAX_MS, backoffMs);
   }
 }
--- a/packages/decisions/src/admission/service_queue.ts
+++ b/packages/decisions/src/admission/service_queue.ts
@@ -1,14 +1,14 @@
 /**
- * Requests of one service that wait for a backend server with room; those that
- * can't be answered any more are refused.
+ * Queue of one service's requests that wait for a backend server with capacity.
+ * Requests that can't be answered in time are refused.
  */
 import type * as contracts from "@guavatide/contracts";
 import type { ColdStartLimit } from "./cold_start_limit.ts";
-import { RankOrder } from "./rank_order.ts";
+import { PriorityOrder } from "./rank_order.ts";
 import { ServerLoad } from "./server_load.ts";
 import * as ranking from "./server_ranking.ts";
 import type { ServiceTimes } from "./service_times.ts";
-import type { ShortWorkReserve } from "./short_work_reserve.ts";
+import type { ShortRequestReserve } from "./short_work_reserve.ts";
 import type {
   Refusal,
   RefusalReason,
@@ -16,29 +16,31 @@
   WaitingRequest,
 } from "./waiting_request.ts";
 
-/** Who owns a key at present, as far as this entry VM knows. */
+/** Current owner of a key, as far as this entry VM knows. */
 export type KeyOwner =
   | {
     readonly kind: "owned";
     readonly server: contracts.ServerId;
+    /** When the owning incarnation of the server started. */
     readonly bornMs: number;
+    /** Fencing token of the lease. */
     readonly fence: number;
   }
-  /** Between two owners, or not granted yet. */
+  /** Handed over from one owner to the next, or not granted yet. */
   | {
     readonly kind: "moving";
     /** How long it has had no owner. */
     readonly ageMs: number;
-    /** How long the service's grants last. */
+    /** Lease duration of the service. */
     readonly holdMs: number;
   }
-  /** No ownership is known. */
+  /** Ownership is not known. */
   | { readonly kind: "unknown" };
 
-/** What a queue of requests for keys needs besides. */
+/** Options of a {@link ServiceQueue} whose requests have keys. */
 export interface KeyedQueueOptions {
   readonly ownerOf: (key: number) => KeyOwner;
-  /** Where owners' slots are given out. */
+  /** Source of slots at the owners. */
   readonly slots: SlotSource;
 }
 
@@ -49,77 +51,85 @@
   readonly random: contracts.RandomSource;
   /** Absent for a service without keys. */
   readonly keyed?: KeyedQueueOptions;
-  /** Absent where another VM limits what cold servers get. */
+  /** Absent where another VM limits the requests to cold servers. */
   readonly coldStarts?: ColdStartLimit | undefined;
-  /** Present where all requests at the one server are known. */
-  readonly reserve?: ShortWorkReserve;
+  /** Present for a single server whose requests all pass through this queue. */
+  readonly reserve?: ShortRequestReserve;
   /** Region of an availability zone; undefined for an unknown one. */
   readonly regionOf?: (
     zone: contracts.ZoneId,
   ) => contracts.RegionId | undefined;
-  /** Called when a request begins to wait. */
+  /** Called when a request is queued. */
   readonly onWait?: () => void;
 }
 
 /**
- * Part of its time left that a late request may be expected to wait; beyond it
- * its caller is told at once to come back.
+ * Fraction of the time to its deadline that a request may be expected to wait
+ * if it misses its target latency. Beyond it the request is refused at once, so
+ * that its caller can retry.
  */
-const LATE_WAIT_PART = 0.5;
-/** Shortest and longest time after which a caller is asked to come back. */
+const LATE_WAIT_FRACTION = 0.5;
+/** Shortest and longest time after which a caller is asked to retry. */
 const RETRY_AFTER_MIN_MS = 60;
 const RETRY_AFTER_MAX_MS = 1_500;
-/** Requests of a VM at servers of other cells, whose load it does not know. */
+/** Concurrent requests to servers of other cells, whose load is not known here. */
 const OVERFLOW_REQUESTS = 1;
-/** The same while the own cell has cold servers only, which bear little. */
+/** The same while the own cell has only cold servers, which sustain little load. */
 const OVERFLOW_REQUESTS_WHILE_COLD = 4;
-/** How long a key's move takes when its last owner gives it up. */
-const MOVE_WAIT_MS = 250;
-/** A planned move ends with the work that ran at its last owner. */
-const MAX_PLANNED_MOVE_MS = 800;
+/** Expected duration of a handover when the previous owner releases the key. */
+const HANDOVER_WAIT_MS = 250;
 /**
- * How long a lost owner's keys wait beyond the length of a grant: until all
- * that was granted has run out.
+ * A planned handover ends once the requests at the previous owner have ended;
+ * one that takes longer is due to a lost owner.
  */
-const LOSS_WAIT_MS = 700;
-/** Shortest wait that is expected of a key without owner. */
-const MIN_MOVE_WAIT_MS = 100;
-/** A request whose answer cannot come any more within this time is refused. */
-const MIN_SERVICE_PART = 0.5;
+const MAX_PLANNED_HANDOVER_MS = 800;
+/**
+ * Wait for a lost owner's keys beyond the lease duration, until everything
+ * granted to it has expired.
+ */
+const LOST_OWNER_WAIT_MS = 700;
+/** Shortest expected wait for a key without an owner. */
+const MIN_HANDOVER_WAIT_MS = 100;
+/**
+ * A queued request is refused when the time to its deadline is at most this
+ * fraction of its service time.
+ */
+const MIN_SERVICE_FRACTION = 0.5;
 
-/** The queue of one service on one entry VM. */
+/** Queue of one service on one entry VM. */
 export class ServiceQueue {
   readonly #options: ServiceQueueOptions;
   readonly #loads = new Map<contracts.ServerId, ServerLoad>();
   #waiting: WaitingRequest[] = [];
-  /** Servers that this VM's cell uses; undefined for all of them. */
+  /** Servers that this VM's cell uses; undefined for all servers. */
   #inCell: ReadonlySet<contracts.ServerId> | undefined;
-  readonly #order: RankOrder;
+  readonly #order: PriorityOrder;
   #waitingElsewhere = 0;
 
   constructor(options: ServiceQueueOptions) {
     this.#options = options;
-    this.#order = new RankOrder(options.times);
+    this.#order = new PriorityOrder(options.times);
   }
 
-  /** Requests that wait here. */
+  /** Number of queued requests. */
   get waiting(): number {
     return this.#waiting.length;
   }
 
-  /** Whether each key has one owner, who alone can serve it. */
+  /** Whether each key has one owner, which alone can serve it. */
   get isKeyed(): boolean {
     return this.#options.keyed !== undefined;
   }
 
-  /** Servers as this queue knows them. */
+  /** Load and health of the servers. */
   get loads(): ReadonlyMap<contracts.ServerId, ServerLoad> {
     return this.#loads;
   }
 
   /**
-   * Takes over the list of the service's servers. In a deployment of several
-   * cells `inCell` names those that this VM's cell uses; others only help out.
+   * Replaces the list of the service's servers. In a deployment with several
+   * cells `inCell` names those that this VM's cell uses; the others only take
+   * overflow.
    */
   setServers(
     entries: readonly contracts.ServerEntry[],
@@ -138,81 +148,81 @@
     this.#inCell = inCell;
   }
 
-  /** Requests of the service that wait at other entry VMs. */
+  /** Sets the number of the service's requests queued at other entry VMs. */
   setWaitingElsewhere(count: number): void {
     this.#waitingElsewhere = count;
   }
 
-  /** Sends, queues or refuses a request; its method is called for the first and last. */
+  /** Sends, queues or refuses a request; calls its `placed` or `refused`. */
   add(request: WaitingRequest, nowMs: number): void {
     if (this.#tryPlace(request, nowMs)) return;
-    // Whether it can be served in time is known where its slot is given out.
+    // Its coordinator decides whether it can be answered in time.
     if (this.#awaitsSlot(request, nowMs)) return this.#insert(request);
     const reason = this.#blockedBy(request, nowMs);
     const waitMs = this.#expectedWaitMs(request, this.#waiting, nowMs);
     const isUnservable = reason === "no-server" || reason === "not-home";
-    if (isUnservable || this.#isHopeless(request, waitMs, nowMs)) {
+    if (isUnservable || this.#mustRefuse(request, waitMs, nowMs)) {
       request.refused(this.#refusal(request, reason, waitMs, nowMs));
       return;
     }
     this.#insert(request);
   }
 
-  /** Takes a request out; false when it does not wait here. */
-  withdraw(request: WaitingRequest): boolean {
+  /** Removes a request from the queue; false if it is not queued. */
+  cancel(request: WaitingRequest): boolean {
     const index = this.#waiting.indexOf(request);
     if (index < 0) return false;
     this.#waiting.splice(index, 1);
-    this.#options.keyed?.slots.withdraw(request);
+    this.#options.keyed?.slots.cancel(request);
     return true;
   }
 
-  /** A coordinator gave the request a slot: only this one has found room. */
-  placeGiven(request: WaitingRequest, nowMs: number): void {
+  /** Sends a request to which a coordinator granted a slot. */
+  placeGranted(request: WaitingRequest, nowMs: number): void {
     const index = this.#waiting.indexOf(request);
     if (index < 0) return;
     this.#waiting.splice(index, 1);
     if (!this.#tryPlace(request, nowMs)) this.#insert(request);
   }
 
-  /** A coordinator refused the request. */
+  /** Refuses a request that a coordinator refused. */
   refuse(request: WaitingRequest, refusal: Refusal): void {
-    if (this.withdraw(request)) request.refused(refusal);
+    if (this.cancel(request)) request.refused(refusal);
   }
 
-  /** Sends what has found room. Called at each end and each news of load. */
-  pump(nowMs: number): void {
+  /** Sends what servers have capacity for. Called when a load or server changes. */
+  dispatch(nowMs: number): void {
     if (this.#waiting.length === 0) return;
     const rest: WaitingRequest[] = [];
-    const queued = this.#order.inTurn(this.#waiting, nowMs);
+    const queued = this.#order.sort(this.#waiting, nowMs);
     this.#waiting = [];
     const full = new Set<string>();
     for (const request of queued) {
-      // Routes of one place may have different numbers of its slots.
-      const place = `${this.#placeName(request)} ${request.route.name}`;
-      if (!full.has(place) && this.#tryPlace(request, nowMs)) {
-        this.#order.noteTurn(request, queued);
+      // Routes to one destination may be allowed different numbers of its slots.
+      const group = `${this.#destinationOf(request)} ${request.route.name}`;
+      if (!full.has(group) && this.#tryPlace(request, nowMs)) {
+        this.#order.recordSent(request, queued);
         continue;
       }
-      const isPlaceFull = request.tried.size === 0 &&
+      const isFull = request.tried.size === 0 &&
         !this.#awaitsSlot(request, nowMs);
-      if (isPlaceFull) full.add(place);
+      if (isFull) full.add(group);
       rest.push(request);
     }
-    // A request that was placed may have ended at once and added others.
+    // A request that was placed may have ended already and queued others.
     this.#waiting = [...rest, ...this.#waiting];
   }
 
-  /** Refuses those whose time no longer suffices; called at an interval. */
-  review(nowMs: number): void {
+  /** Refuses requests that can't meet their deadline. Called at an interval. */
+  refuseExpired(nowMs: number): void {
     const kept: WaitingRequest[] = [];
     const queued = this.#waiting;
     this.#waiting = [];
     for (const request of queued) {
-      const serviceMs = this.#options.times.routeMs(request.route) *
-        MIN_SERVICE_PART;
+      const serviceMs = this.#options.times.estimateMs(request.route) *
+        MIN_SERVICE_FRACTION;
       const leftMs = request.answerByMs - nowMs;
-      // The coordinator knows who else waits there.
+      // Its coordinator estimates the wait: only it knows all other requests.
       const waitMs = this.#awaitsSlot(request, nowMs)
         ? 0
         : this.#expectedWaitMs(request, kept, nowMs);
@@ -222,7 +232,7 @@
       }
       const reason = this.#blockedBy(request, nowMs);
       const refusal = this.#refusal(request, reason, waitMs, nowMs);
-      this.#options.keyed?.slots.withdraw(request);
+      this.#options.keyed?.slots.cancel(request);
       request.refused(refusal);
     }
     this.#waiting = [...kept, ...this.#waiting];
@@ -252,28 +262,31 @@
 
   #tryAny(request: WaitingRequest, nowMs: number): boolean {
     const { coldStarts, reserve } = this.#options;
-    if (reserve?.mayTake(request, nowMs) === false) return false;
-    const open = this.#candidates(request, nowMs)
+    if (reserve?.mayAcquire(request, nowMs) === false) return false;
+    const free = this.#candidates(request, nowMs)
       .filter((load) =>
-        ranking.hasRoom(load, nowMs) &&
-        (coldStarts?.mayBegin(load.entry.server, nowMs) ?? true)
+        ranking.hasCapacity(load, nowMs) &&
+        (coldStarts?.mayStart(load.entry.server, nowMs) ?? true)
       );
     const context = this.#context(nowMs);
-    const best = ranking.chooseServer(open, request, context);
-    const isFree = best !== undefined &&
+    const best = ranking.chooseServer(free, request, context);
+    const hasFreeSlot = best !== undefined &&
       best.outstanding(nowMs) < best.entry.slots;
-    // A request behind a full server's slots waits for as long as work takes.
-    const load = isFree ? best : this.#overflowServer(request, nowMs) ?? best;
+    // Queueing at a full server takes as long as a running request.
+    const load = hasFreeSlot
+      ? best
+      : this.#overflowServer(request, nowMs) ?? best;
     if (load === undefined) return false;
-    coldStarts?.noteBegin(load.entry.server, nowMs);
+    coldStarts?.recordStart(load.entry.server, nowMs);
     const outstanding = load.outstanding(nowMs);
     request.placed({ load, outstanding, fence: undefined });
     return true;
   }
 
   /**
-   * A server of another cell, when those of the own cell are full. Their load
-   * is not known here, so a VM has only a few requests there at a time.
+   * Returns a server of another cell, used when those of the own cell are full.
+   * The load of other cells is not known here, so a VM has only a few requests
+   * there at a time.
    */
   #overflowServer(
     request: WaitingRequest,
@@ -288,21 +301,22 @@
     let sent = 0;
     for (const load of this.#loads.values()) {
       if (inCell.has(load.entry.server)) continue;
-      sent += load.own;
+      sent += load.ownInFlight;
       if (sent >= limit) return undefined;
-      const isUsable = load.own === 0 && this.#isUsable(load, request) &&
+      const isUsable = load.ownInFlight === 0 &&
+        this.#isUsable(load, request) &&
         !this.#isLimited(load.entry.server, nowMs) &&
-        load.isOpen(nowMs) && load.outstanding(nowMs) < load.entry.slots;
+        load.isUp(nowMs) && load.outstanding(nowMs) < load.entry.slots;
       if (isUsable) usable.push(load);
     }
     if (usable.length === 0) return undefined;
     const { zone, random } = this.#options;
-    const near = usable.filter(({ entry }) => entry.zone === zone);
-    const choice = near.length > 0 ? near : usable;
-    return choice[Math.floor(random.next() * choice.length)];
+    const inZone = usable.filter(({ entry }) => entry.zone === zone);
+    const choices = inZone.length > 0 ? inZone : usable;
+    return choices[Math.floor(random.next() * choices.length)];
   }
 
-  /** Whether the own cell has no server that is warm. */
+  /** Whether all servers of the own cell are cold. */
   #isCellCold(nowMs: number): boolean {
     return [...this.#inCell!].every((server) => this.#isLimited(server, nowMs));
   }
@@ -330,26 +344,26 @@
     if (owner.kind !== "owned") return false;
     const load = this.#loads.get(owner.server);
     if (load === undefined || load.entry.bornMs !== owner.bornMs) return false;
-    if (!load.isOpen(nowMs) || !this.#isHome(load.entry, request)) return false;
+    if (!load.isUp(nowMs) || !this.#isHome(load.entry, request)) return false;
     const { slots } = this.#options.keyed!;
-    if (!slots.take(request, load, nowMs)) return false;
+    if (!slots.tryAcquire(request, load, nowMs)) return false;
     const outstanding = load.outstanding(nowMs);
-    const ended = slots.begin(request);
-    request.placed({ load, outstanding, fence: owner.fence, ended });
+    const releaseSlot = slots.markInUse(request);
+    request.placed({ load, outstanding, fence: owner.fence, releaseSlot });
     return true;
   }
 
-  /** Servers that a request may go to, whether or not they have room. */
+  /** Servers that a request may go to, with or without capacity. */
   #candidates(request: WaitingRequest, nowMs: number): ServerLoad[] {
-    const live = this.#usableServers(request, nowMs);
-    const open = live.filter((load) => load.isOpen(nowMs));
-    // With every server suspended one of them is tried all the same.
-    return open.length > 0 ? open : live;
+    const usable = this.#usableServers(request, nowMs);
+    const up = usable.filter((load) => load.isUp(nowMs));
+    // If all servers are suspended, requests are still sent to one of them.
+    return up.length > 0 ? up : usable;
   }
 
   /**
-   * Those of the own cell; of all cells when it has none left. Cold servers are
-   * shared out among VMs whatever their cell.
+   * Usable servers of the own cell, or of all cells if it has none. Cold servers
+   * are shared among VMs by rank instead of by cell.
    */
   #usableServers(request: WaitingRequest, nowMs: number): ServerLoad[] {
     const all: ServerLoad[] = [];
@@ -366,24 +380,24 @@
     return own.length > 0 ? own : all;
   }
 
-  /** Whether the server is cold and bears little load. */
+  /** Whether the server is cold and its rate is limited. */
   #isLimited(server: contracts.ServerId, nowMs: number): boolean {
     return this.#options.coldStarts?.isLimited(server, nowMs) ?? false;
   }
 
-  /** Whether the request waits for a coordinator to give it its owner's slot. */
+  /** Whether the request waits for a coordinator to grant it a slot. */
   #awaitsSlot(request: WaitingRequest, nowMs: number): boolean {
     const owner = this.#ownerOf(request);
     if (owner?.kind !== "owned") return false;
     const load = this.#loads.get(owner.server);
-    // Nobody is asked for a slot of a server that is left alone for now.
-    return load?.entry.bornMs === owner.bornMs && load.isOpen(nowMs) &&
+    // No slot is requested at a suspended server.
+    return load?.entry.bornMs === owner.bornMs && load.isUp(nowMs) &&
       this.#isHome(load.entry, request);
   }
 
   #blockedBy(request: WaitingRequest, nowMs: number): RefusalReason {
     const owner = this.#ownerOf(request);
-    // Nothing can be waited for, not even the move of a key.
+    // Without any server, waiting for a key's handover is pointless as well.
     if (this.#loads.size === 0) return "no-server";
     const isOutsideHome = owner?.kind === "owned"
       ? this.#isOwnerOutsideHome(owner.server, request)
@@ -404,56 +418,56 @@
     return load !== undefined && !this.#isHome(load.entry, request);
   }
 
-  /** Whether there are servers, but none in a region that may run it. */
+  /** Whether no server is in a region that may run the request. */
   #areAllOutsideHome(request: WaitingRequest): boolean {
     if (request.route.homeRegions === undefined) return false;
     return [...this.#loads.values()]
       .every(({ entry }) => !this.#isHome(entry, request));
   }
 
-  /** Where a request waits: requests of one place find room together. */
-  #placeName(request: WaitingRequest): string {
+  /** Identifies the servers that a request waits for. */
+  #destinationOf(request: WaitingRequest): string {
     const owner = this.#ownerOf(request);
     return owner?.kind === "owned" ? owner.server : owner?.kind ?? "any";
   }
 
-  /** Time until a request would leave, behind those listed that go first. */
+  /** Expected time until a request is sent, behind those queued before it. */
   #expectedWaitMs(
     request: WaitingRequest,
     queued: readonly WaitingRequest[],
     nowMs: number,
   ): number {
     const owner = this.#ownerOf(request);
-    if (owner?.kind === "moving") return moveWaitMs(owner);
-    if (owner?.kind === "unknown") return MOVE_WAIT_MS;
-    const place = this.#placeName(request);
+    if (owner?.kind === "moving") return handoverWaitMs(owner);
+    if (owner?.kind === "unknown") return HANDOVER_WAIT_MS;
+    const destination = this.#destinationOf(request);
     const ahead =
       queued.filter((other) =>
         other.route.priority <= request.route.priority &&
-        this.#placeName(other) === place
+        this.#destinationOf(other) === destination
       ).length;
-    const here = Math.max(1, queued.length);
+    const queuedHere = Math.max(1, queued.length);
     const { times } = this.#options;
-    const meanMs = times.meanMs ?? times.routeMs(request.route);
+    const meanMs = times.meanMs ?? times.estimateMs(request.route);
     if (owner?.kind === "owned") {
       const load = this.#loads.get(owner.server);
-      if (load === undefined) return MOVE_WAIT_MS;
-      return load.opensInMs(nowMs) +
+      if (load === undefined) return HANDOVER_WAIT_MS;
+      return load.suspensionLeftMs(nowMs) +
         (ahead + 1) / this.#servedPerMs([load], meanMs, nowMs);
     }
-    const heldBackMs = this.#heldBackWaitMs(request, queued, nowMs);
-    if (heldBackMs !== undefined) return heldBackMs;
+    const restrictedMs = this.#restrictedWaitMs(request, queued, nowMs);
+    if (restrictedMs !== undefined) return restrictedMs;
     const candidates = this.#candidates(request, nowMs);
     const perMs = this.#servedPerMs(candidates, meanMs, nowMs);
-    const elsewhere = this.#waitingElsewhere * (ahead + 1) / here;
+    const elsewhere = this.#waitingElsewhere * (ahead + 1) / queuedHere;
     return (ahead + 1 + elsewhere) / perMs;
   }
 
   /**
-   * Wait of a route that may not have all slots: for others of its kind, in the
-   * slots that it may have. Undefined for any other route.
+   * Expected wait of a route that may not use all slots, behind requests of its
+   * priority in the slots that it may use. Undefined for any other route.
    */
-  #heldBackWaitMs(
+  #restrictedWaitMs(
     { route }: WaitingRequest,
     queued: readonly WaitingRequest[],
     nowMs: number,
@@ -462,13 +476,15 @@
     const [load] = this.#loads.values();
     if (reserve === undefined || load === undefined) return undefined;
     const { server, slots } = load.entry;
-    const own = reserve.slotsFor(route, nowMs);
-    if (own >= slots) return undefined;
+    const allowed = reserve.slotsFor(route, nowMs);
+    if (allowed >= slots) return undefined;
     const ahead =
       queued.filter((other) => other.route.priority === route.priority).length;
-    return (ahead + 1) * times.routeMs(route) * times.factor(server) / own;
+    return (ahead + 1) * times.estimateMs(route) *
+      times.latencyFactor(server) / allowed;
   }
 
+  /** Requests that the servers complete per millisecond; above 0. */
   #servedPerMs(
     loads: readonly ServerLoad[],
     meanMs: number,
@@ -477,24 +493,26 @@
     const { times, coldStarts } = this.#options;
     let perMs = 0;
     for (const { entry: { server, slots } } of loads) {
-      const warmPerMs = slots / Math.max(1, meanMs * times.factor(server));
-      const mostPerMs = this.#isLimited(server, nowMs)
+      const warmPerMs = slots /
+        Math.max(1, meanMs * times.latencyFactor(server));
+      const maxPerMs = this.#isLimited(server, nowMs)
         ? coldStarts!.ratePerSecond(server) / 1_000
         : warmPerMs;
-      perMs += Math.min(warmPerMs, mostPerMs);
+      perMs += Math.min(warmPerMs, maxPerMs);
     }
     return Math.max(perMs, 1e-6);
   }
 
-  #isHopeless(
+  /** Whether to refuse at once: it would miss its target and waits too long. */
+  #mustRefuse(
     request: WaitingRequest,
     waitMs: number,
     nowMs: number,
   ): boolean {
-    const serviceMs = this.#options.times.routeMs(request.route);
+    const serviceMs = this.#options.times.estimateMs(request.route);
     if (nowMs + waitMs + serviceMs <= request.targetMs) return false;
     const leftMs = request.answerByMs - nowMs;
-    return waitMs > leftMs * LATE_WAIT_PART || waitMs + serviceMs > leftMs;
+    return waitMs > leftMs * LATE_WAIT_FRACTION || waitMs + serviceMs > leftMs;
   }
 
   #refusal(
@@ -503,15 +521,15 @@
     waitMs: number,
     nowMs: number,
   ): Refusal {
-    const isOver = request.answerByMs <= nowMs;
-    // Spreads out the return of callers refused together.
-    const spreadMs = waitMs * (0.5 + this.#options.random.next());
+    const isExpired = request.answerByMs <= nowMs;
+    // Spreads out the retries of callers that are refused together.
+    const jitteredMs = waitMs * (0.5 + this.#options.random.next());
     const retryAfterMs = Math.min(
       RETRY_AFTER_MAX_MS,
-      Math.max(RETRY_AFTER_MIN_MS, spreadMs),
+      Math.max(RETRY_AFTER_MIN_MS, jitteredMs),
     );
     return {
-      reason: isOver ? "timeout" : reason,
+      reason: isExpired ? "timeout" : reason,
       retryAfterMs,
       expectedWaitMs: waitMs,
     };
@@ -528,11 +546,11 @@
   }
 }
 
-/** How much longer a key that has no owner is expected to have none. */
-function moveWaitMs(
+/** Expected time until a key without an owner gets one. */
+function handoverWaitMs(
   { ageMs, holdMs }: Extract<KeyOwner, { kind: "moving" }>,
 ): number {
-  const isPlanned = ageMs < MAX_PLANNED_MOVE_MS;
-  const totalMs = isPlanned ? MOVE_WAIT_MS : holdMs + LOSS_WAIT_MS;
-  return Math.max(MIN_MOVE_WAIT_MS, totalMs - ageMs);
+  const isPlanned = ageMs < MAX_PLANNED_HANDOVER_MS;
+  const totalMs = isPlanned ? HANDOVER_WAIT_MS : holdMs + LOST_OWNER_WAIT_MS;
+  return Math.max(MIN_HANDOVER_WAIT_MS, totalMs - ageMs);
 }
--- a/packages/decisions/src/admission/service_queue_test.ts
+++ b/packages/decisions/src/admission/service_queue_test.ts
@@ -33,7 +33,7 @@
   };
 }
 
-/** A request that records what became of it. */
+/** A request that records whether it was placed or refused. */
 class Request implements admission.WaitingRequest {
   readonly route: contracts.Route;
   readonly key: number | undefined;
@@ -69,20 +69,20 @@
   }
 }
 
-/** Owners' slots without end. */
-const FREE_SLOTS: admission.SlotSource = {
-  take: () => true,
-  begin: () => () => {},
-  withdraw: () => {},
+/** A source that grants every slot request. */
+const UNLIMITED_SLOTS: admission.SlotSource = {
+  tryAcquire: () => true,
+  markInUse: () => () => {},
+  cancel: () => {},
 };
 
-/** Keys that one server owns. */
+/** Makes one server the owner of all keys. */
 function ownedBy(name: string, bornMs = 1): () => admission.KeyOwner {
   const server = name as contracts.ServerId;
   return () => ({ kind: "owned", server, bornMs, fence: 3 });
 }
 
-/** A queue whose servers answer when the test says so. */
+/** A queue; the test decides when its servers answer. */
 class Fixture {
   readonly times = new admission.ServiceTimes();
   readonly queue: admission.ServiceQueue;
@@ -96,7 +96,7 @@
       zone: "z1" as contracts.ZoneId,
       times: this.times,
       random: { next: () => 0.5 },
-      keyed: ownerOf && { ownerOf, slots: FREE_SLOTS },
+      keyed: ownerOf && { ownerOf, slots: UNLIMITED_SLOTS },
     });
     this.queue.setServers(servers);
   }
@@ -107,25 +107,25 @@
     return request;
   }
 
-  /** Adds a request and lets it begin when it finds a server. */
-  begin(
+  /** Adds a request and starts it at the server that it is placed on. */
+  start(
     options: ConstructorParameters<typeof Request>[1] = {},
-  ): [Request, (end: admission.SendEnd, nowMs: number) => void] {
+  ): [Request, (end: admission.SendOutcome, nowMs: number) => void] {
     const request = this.add(options);
-    return [request, request.placement!.load.begin(this.nowMs)];
+    return [request, request.placement!.load.startRequest(this.nowMs)];
   }
 
-  /** Teaches how long requests take. */
-  learn(tookMs: number): void {
+  /** Makes all servers take this long for each request. */
+  setServiceTime(tookMs: number): void {
     for (let index = 0; index < 200; index++) {
       for (const server of this.queue.loads.keys()) {
-        this.times.note(ROUTE, server, tookMs);
+        this.times.record(ROUTE, server, tookMs);
       }
     }
   }
 }
 
-test("should send to the server of the own zone when both are idle", () => {
+test("should prefer the server of the own zone when both are idle", () => {
   const fixture = new Fixture([
     server("far", { zone: "z2" as contracts.ZoneId }),
     server("near"),
@@ -135,45 +135,45 @@
   );
 });
 
-/** Guards against VMs that together fill a server's queue unknowingly. */
-test("should count the requests that peers told of", () => {
+/** Guards against VMs that together overload a server unknowingly. */
+test("should count the requests that peers reported", () => {
   const fixture = new Fixture([server("a", { slots: 2 })]);
   const load = fixture.queue.loads.get("a" as contracts.ServerId)!;
-  load.noteTold("vm2" as contracts.VmId, {
+  load.recordPeerLoad("vm2" as contracts.VmId, {
     outstanding: 3,
-    atMs: fixture.nowMs,
+    reportedMs: fixture.nowMs,
   });
   expect(fixture.add().placement).toEqual(undefined);
-  // A peer that is lost tells no more; its requests are forgotten in time.
+  // A failed peer reports no more; its last report expires.
   fixture.nowMs += 1_500;
   expect(fixture.add().placement !== undefined).toEqual(true);
 });
 
-test("should send waiting requests by rank, then by arrival", () => {
+test("should send queued requests by priority, then by arrival", () => {
   const fixture = new Fixture([server("a")]);
-  const [, endFirst] = fixture.begin();
-  const [, endSecond] = fixture.begin();
+  const [, endFirst] = fixture.start();
+  const [, endSecond] = fixture.start();
   const low = fixture.add({ priority: 2 });
   const high = fixture.add({ priority: 0 });
   endFirst({ kind: "answered", isFailure: false }, fixture.nowMs);
   endSecond({ kind: "answered", isFailure: false }, fixture.nowMs);
-  // One begins and fills the room up again.
+  // Each request that is placed uses capacity again.
   const placed: Request[] = [];
   for (const request of [low, high]) {
     request.placed = (placement) => {
       placed.push(request);
-      placement.load.begin(fixture.nowMs);
+      placement.load.startRequest(fixture.nowMs);
     };
   }
-  fixture.queue.pump(fixture.nowMs);
+  fixture.queue.dispatch(fixture.nowMs);
   expect(placed).toEqual([high, low]);
 });
 
-/** Guards against urgent requests that starve less urgent ones. */
-test("should serve a less urgent request after a number of urgent ones", () => {
+/** Guards against high-priority requests that starve the others. */
+test("should send a low-priority request after several high-priority ones", () => {
   const fixture = new Fixture([server("a")]);
-  fixture.learn(10);
-  const ends = [fixture.begin()[1], fixture.begin()[1]];
+  fixture.setServiceTime(10);
+  const ends = [fixture.start()[1], fixture.start()[1]];
   let isServed = false;
   const low = fixture.add({ priority: 2 });
   low.placed = () => isServed = true;
@@ -182,21 +182,21 @@
     const request = fixture.add({ priority: 0 });
     request.placed = ({ load }) => {
       urgent++;
-      ends.push(load.begin(fixture.nowMs));
+      ends.push(load.startRequest(fixture.nowMs));
     };
     ends.shift()!({ kind: "answered", isFailure: false }, fixture.nowMs);
-    fixture.queue.pump(fixture.nowMs);
+    fixture.queue.dispatch(fixture.nowMs);
   }
   expect(isServed).toEqual(true);
   expect(urgent <= 13).toEqual(true);
 });
 
-/** Guards against callers that wait in vain until their deadline. */
+/** Guards against requests that are queued until their deadline for nothing. */
 test("should refuse at once what can't be answered in time", () => {
   const fixture = new Fixture([server("a")]);
-  fixture.learn(200);
-  fixture.begin();
-  fixture.begin();
+  fixture.setServiceTime(200);
+  fixture.start();
+  fixture.start();
   const requests = Array.from({ length: 20 }, () => fixture.add());
   const refused = requests.filter(({ refusal }) => refusal !== undefined);
   expect(refused.length > 10).toEqual(true);
@@ -212,13 +212,13 @@
   expect(fixture.add().refusal?.reason).toEqual("no-server");
 });
 
-test("should give no new work to a draining server", () => {
+test("should send no request to a draining server", () => {
   const fixture = new Fixture([server("a", { isDraining: true })]);
   expect(fixture.add().refusal?.reason).toEqual("no-server");
 });
 
-/** Guards against requests that fail while their key moves. */
-test("should hold a request while its key moves", () => {
+/** Guards against requests that fail during a handover of their key. */
+test("should queue a request during the handover of its key", () => {
   let owner: admission.KeyOwner = { kind: "moving", ageMs: 0, holdMs: 1_500 };
   const fixture = new Fixture([server("a"), server("b")], () => owner);
   const request = fixture.add({ key: 7 });
@@ -230,85 +230,85 @@
     bornMs: 1,
     fence: 9,
   };
-  fixture.queue.pump(fixture.nowMs);
+  fixture.queue.dispatch(fixture.nowMs);
   expect(request.placement?.load.entry.server).toEqual(
     "b" as contracts.ServerId,
   );
   expect(request.placement?.fence).toEqual(9);
 });
 
-/** Guards against requests to a restarted server that holds no keys. */
-test("should not send a keyed request to a later run of its owner", () => {
+/** Guards against requests to a restarted server that no longer owns the keys. */
+test("should not send a keyed request to a later incarnation of its owner", () => {
   const fixture = new Fixture([server("a", { bornMs: 2 })], ownedBy("a"));
   expect(fixture.add({ key: 1 }).placement).toEqual(undefined);
 });
 
-/** Guards against requests to a server that is cut off. */
-test("should leave a server alone that lost two requests in a row", () => {
+/** Guards against requests to an unreachable server. */
+test("should suspend a server after two consecutive lost requests", () => {
   const fixture = new Fixture([
     server("bad", { slots: 4 }),
     server("good", { slots: 1, zone: "z2" as contracts.ZoneId }),
   ]);
-  fixture.learn(10);
-  const begun = [fixture.begin(), fixture.begin()];
-  for (const [request, end] of begun) {
+  fixture.setServiceTime(10);
+  const started = [fixture.start(), fixture.start()];
+  for (const [request, end] of started) {
     expect(request.placement?.load.entry.server).toEqual(
       "bad" as contracts.ServerId,
     );
     end({ kind: "lost" }, fixture.nowMs);
   }
   const load = fixture.queue.loads.get("bad" as contracts.ServerId)!;
-  expect(load.isOpen(fixture.nowMs)).toEqual(false);
-  expect(load.isOpen(fixture.nowMs + 1_000)).toEqual(true);
+  expect(load.isUp(fixture.nowMs)).toEqual(false);
+  expect(load.isUp(fixture.nowMs + 1_000)).toEqual(true);
   expect(fixture.add().placement?.load.entry.server).toEqual(
     "good" as contracts.ServerId,
   );
 });
 
-/** Guards against a sound server suspended for long after one reset. */
-test("should take requests that are lost together for one loss", () => {
+/** Guards against a healthy server suspended for long after one reset. */
+test("should count requests that are lost together as one loss", () => {
   const fixture = new Fixture([server("a", { slots: 8 })]);
-  const begun = Array.from({ length: 6 }, () => fixture.begin());
-  for (const [, end] of begun) end({ kind: "lost" }, fixture.nowMs);
+  const started = Array.from({ length: 6 }, () => fixture.start());
+  for (const [, end] of started) end({ kind: "lost" }, fixture.nowMs);
   const load = fixture.queue.loads.get("a" as contracts.ServerId)!;
-  expect(load.isOpen(fixture.nowMs + 450)).toEqual(true);
-  // One that left afterwards and is lost as well shows that it is not sound.
+  expect(load.isUp(fixture.nowMs + 450)).toEqual(true);
+  // A request that is sent later and lost as well suspends it for longer.
   fixture.nowMs += 450;
-  load.begin(fixture.nowMs)({ kind: "lost" }, fixture.nowMs);
-  expect(load.isOpen(fixture.nowMs + 450)).toEqual(false);
+  load.startRequest(fixture.nowMs)({ kind: "lost" }, fixture.nowMs);
+  expect(load.isUp(fixture.nowMs + 450)).toEqual(false);
 });
 
-/** Guards against callers that wait in vain for a suspended owner. */
-test("should refuse at once while a key's owner is left alone", () => {
+/** Guards against requests that wait for a suspended owner for nothing. */
+test("should refuse at once while a key's owner is suspended", () => {
   const fixture = new Fixture([server("a", { slots: 4 })], ownedBy("a"));
   const load = fixture.queue.loads.get("a" as contracts.ServerId)!;
   for (let loss = 0; loss < 6; loss++) {
     fixture.nowMs += 5_000;
-    load.begin(fixture.nowMs)({ kind: "lost" }, fixture.nowMs);
+    load.startRequest(fixture.nowMs)({ kind: "lost" }, fixture.nowMs);
   }
   const request = fixture.add({ key: 1 });
   expect(request.refusal?.reason).toEqual("no-room");
   expect(request.refusal!.retryAfterMs > 500).toEqual(true);
 });
 
-/** Guards against large bodies that cross zones while a near server is free. */
+/** Guards against large bodies sent across zones while a local server is free. */
 test("should keep large bodies in their zone", () => {
   const fixture = new Fixture([
     server("near", { slots: 2 }),
     server("far", { slots: 2, zone: "z2" as contracts.ZoneId }),
   ]);
-  fixture.learn(100);
+  fixture.setServiceTime(100);
   const bodyBytes = 60_000;
-  const servers = [fixture.begin({ bodyBytes }), fixture.begin({ bodyBytes })]
+  const servers = [fixture.start({ bodyBytes }), fixture.start({ bodyBytes })]
     .map(([request]) => request.placement!.load.entry.server as string);
   expect(servers).toEqual(["near", "near"]);
 });
 
-/** Guards against callers that time out while a lost owner's grant runs out. */
-test("should refuse at once while a lost owner's grant runs out", () => {
+/** Guards against requests that time out until a lost owner's lease expires. */
+test("should refuse at once until a lost owner's lease expires", () => {
   let owner: admission.KeyOwner = { kind: "moving", ageMs: 20, holdMs: 1_500 };
   const fixture = new Fixture([server("a")], () => owner);
-  fixture.learn(30);
+  fixture.setServiceTime(30);
   const early = fixture.add({ key: 1 });
   expect(early.refusal).toEqual(undefined);
   owner = { kind: "moving", ageMs: 900, holdMs: 1_500 };
@@ -316,71 +316,71 @@
   expect(late.refusal?.reason).toEqual("no-owner");
   expect(late.refusal!.retryAfterMs > 500).toEqual(true);
   fixture.nowMs += 780;
-  fixture.queue.review(fixture.nowMs);
+  fixture.queue.refuseExpired(fixture.nowMs);
   expect(early.refusal?.reason).toEqual("no-owner");
 });
 
-/** Guards against an owner left idle because some of its answers are lost. */
-test("should go on asking an owner that answers some requests", () => {
+/** Guards against an owner suspended because some of its answers are lost. */
+test("should not suspend an owner that answers some requests", () => {
   const fixture = new Fixture([server("a", { slots: 4 })], ownedBy("a"));
   const load = fixture.queue.loads.get("a" as contracts.ServerId)!;
   for (let request = 0; request < 50; request++) {
     fixture.nowMs += 20;
-    const end = load.begin(fixture.nowMs);
+    const end = load.startRequest(fixture.nowMs);
     const isLost = request % 5 < 2;
     end(
       isLost ? { kind: "lost" } : { kind: "answered", isFailure: false },
       fixture.nowMs,
     );
-    expect(load.isOpen(fixture.nowMs)).toEqual(true);
+    expect(load.isUp(fixture.nowMs)).toEqual(true);
   }
 });
 
-/** Guards against requests to a server whose VM is slow at the moment. */
-test("should leave a momentarily slow server alone until its word is old", () => {
+/** Guards against requests to a server that is temporarily slow. */
+test("should avoid a slow server until its speed report expires", () => {
   const fixture = new Fixture([server("slow"), server("usual")]);
-  fixture.learn(100);
+  fixture.setServiceTime(100);
   const slow = fixture.queue.loads.get("slow" as contracts.ServerId)!;
-  slow.noteSpeed({ slowdownRatio: 3, atMs: fixture.nowMs });
+  slow.recordSpeed({ slowdownRatio: 3, atMs: fixture.nowMs });
   expect(fixture.add().placement?.load.entry.server)
     .toEqual("usual" as contracts.ServerId);
   expect(slow.slowdownRatio(fixture.nowMs + 200)).toEqual(2);
   expect(slow.slowdownRatio(fixture.nowMs + 1_000)).toEqual(1);
 });
 
-/** Guards against a late word that replaces a newer one. */
-test("should keep the newest word of a server's speed", () => {
+/** Guards against a delayed report that replaces a newer one. */
+test("should keep the newest report of a server's speed", () => {
   const fixture = new Fixture([server("a")]);
   const load = fixture.queue.loads.get("a" as contracts.ServerId)!;
-  load.noteSpeed({ slowdownRatio: 1, atMs: 50 });
-  load.noteSpeed({ slowdownRatio: 3, atMs: 10 });
+  load.recordSpeed({ slowdownRatio: 1, atMs: 50 });
+  load.recordSpeed({ slowdownRatio: 3, atMs: 10 });
   expect(load.slowdownRatio(50)).toEqual(1);
 });
 
-/** Guards against waits behind full servers while other cells' are free. */
-test("should send to another cell rather than behind full slots", () => {
+/** Guards against queueing at full servers while other cells have free slots. */
+test("should overflow to another cell when the own cell is full", () => {
   const fixture = new Fixture([]);
   const entries = [server("own"), server("other"), server("third")];
   const inCell = new Set(["own" as contracts.ServerId]);
   fixture.queue.setServers(entries, inCell);
-  const [first] = fixture.begin();
-  const [second] = fixture.begin();
-  const [third] = fixture.begin();
+  const [first] = fixture.start();
+  const [second] = fixture.start();
+  const [third] = fixture.start();
   const nameOf = ({ placement }: Request) => placement!.load.entry.server;
   expect(nameOf(first)).toEqual("own" as contracts.ServerId);
   expect(inCell.has(nameOf(second))).toEqual(false);
-  // One request at other cells is all that a VM may have there.
+  // A VM may have only one request at other cells at a time.
   expect(nameOf(third)).toEqual("own" as contracts.ServerId);
 });
 
-/** Guards against full load on a slow server where no bound names it. */
+/** Guards against full load on a cold server without a configured bound. */
 test("should prefer a warm server to one that has just started", () => {
   const coldStarts = new admission.ColdStartLimit({
     bound: undefined,
     coldUntilMs: (id) => id === "cold" ? 5_000 : 0,
     requestsPerSecond: () => undefined,
-    placeOf: () => undefined,
-    parts: admission.EQUAL_PARTS,
+    rankOf: () => undefined,
+    rateShares: admission.EQUAL_SHARES,
   });
   const queue = new admission.ServiceQueue({
     zone: "z1" as contracts.ZoneId,
@@ -391,7 +391,7 @@
   queue.setServers([server("cold"), server("warm")]);
   const [first, second] = [new Request(1_000), new Request(1_000)];
   queue.add(first, 1_000);
-  first.placement!.load.begin(1_000);
+  first.placement!.load.startRequest(1_000);
   queue.add(second, 1_000);
   expect(first.placement?.load.entry.server)
     .toEqual("warm" as contracts.ServerId);
@@ -399,8 +399,8 @@
     .toEqual("cold" as contracts.ServerId);
 });
 
-/** Guards against callers that wait for a lost owner's long grant to run out. */
-test("should expect keys of a lost server back when its grants have run out", () => {
+/** Guards against requests that wait for a lost owner's long lease to expire. */
+test("should expect a lost server's keys back when its leases have expired", () => {
   const owner = { kind: "moving", ageMs: 2_500, holdMs: 5_000 } as const;
   const fixture = new Fixture([server("a")], () => owner);
   const { refusal } = fixture.add({ key: 7 });
--- a/packages/decisions/src/admission/service_times_test.ts
+++ b/packages/decisions/src/admission/service_times_test.ts
@@ -10,20 +10,20 @@
 const SPEEDS = [0.7, 1, 1.6];
 const REQUESTS = 20_000;
 
-/** Guards against estimates that grow to several times what requests take. */
-test("should learn times that stay true however long they are learned", () => {
+/** Guards against estimates that drift to several times the real service time. */
+test("should keep estimates close to the real times over many samples", () => {
   const random = xoroshiro128plus(3);
   const times = new admission.ServiceTimes();
   const servers = SPEEDS.map((_, index) => `s${index}` as contracts.ServerId);
   let worst = 1;
   for (let index = 0; index < REQUESTS; index++) {
-    const place = index % SPEEDS.length;
-    // Exponential times scatter as much as real work does.
+    const server = index % SPEEDS.length;
+    // Exponentially distributed times vary about as much as real ones.
     const workMs = -WORK_MS * Math.log(1 - uniformFloat64(random));
-    times.note(ROUTE, servers[place]!, workMs / SPEEDS[place]!);
-    if (index > 200) worst = Math.max(worst, times.routeMs(ROUTE) / WORK_MS);
+    times.record(ROUTE, servers[server]!, workMs / SPEEDS[server]!);
+    if (index > 200) worst = Math.max(worst, times.estimateMs(ROUTE) / WORK_MS);
   }
   expect(worst < 2).toEqual(true);
-  const factors = servers.map((server) => times.factor(server));
+  const factors = servers.map((server) => times.latencyFactor(server));
   expect(factors[0]! > factors[2]!).toEqual(true);
 });
--- a/packages/decisions/src/admission/shared_retry_budget.ts
+++ b/packages/decisions/src/admission/shared_retry_budget.ts
@@ -1,33 +1,33 @@
 /**
- * This entry VM's part of a retry budget that all entry VMs share. Counts
- * windows in place of a token bucket: no window may exceed the budget.
+ * This entry VM's share of a retry budget that all entry VMs share. Uses a
+ * sliding window instead of a token bucket, as no window may exceed the budget.
  */
 
 /** Options of {@link SharedRetryBudget}. */
 export interface SharedRetryBudgetOptions {
-  /** Second sends allowed for each request of the window. */
+  /** Retries allowed per request in the window. */
   readonly ratio: number;
-  /** Second sends allowed besides, by all entry VMs together. */
+  /** Additional retries allowed per window, for all entry VMs together. */
   readonly slack: number;
   readonly windowMs: number;
 }
 
 /**
- * Part of the budget that is used: windows are not aligned between VMs, and a
- * VM may know too few of the others.
+ * Fraction of the budget that is used: the VMs' windows are not aligned, and a
+ * VM may underestimate how many others there are.
  */
-const USED_PART = 0.75;
-/** Steps a window is counted in. */
-const STEPS = 20;
+const USED_FRACTION = 0.75;
+/** Steps by which a window advances. */
+const WINDOW_STEPS = 20;
 
-/** Counts events of the last window in steps. */
-class WindowCount {
-  readonly #counts = new Array<number>(STEPS).fill(0);
+/** Counts the events of the latest window. */
+class SlidingWindowCounter {
+  readonly #counts = new Array<number>(WINDOW_STEPS).fill(0);
   #step = 0;
 
   add(step: number): void {
     this.#advance(step);
-    this.#counts[step % STEPS]!++;
+    this.#counts[step % WINDOW_STEPS]!++;
   }
 
   total(step: number): number {
@@ -36,46 +36,46 @@
   }
 
   #advance(step: number): void {
-    const passed = Math.min(STEPS, step - this.#step);
+    const passed = Math.min(WINDOW_STEPS, step - this.#step);
     for (let index = 1; index <= passed; index++) {
-      this.#counts[(this.#step + index) % STEPS] = 0;
+      this.#counts[(this.#step + index) % WINDOW_STEPS] = 0;
     }
     this.#step = Math.max(this.#step, step);
   }
 }
 
-/** Second sends to one service. */
+/** Budget of retries to one service. */
 export class SharedRetryBudget {
   readonly #options: SharedRetryBudgetOptions;
-  readonly #requests = new WindowCount();
-  readonly #repeats = new WindowCount();
+  readonly #requests = new SlidingWindowCounter();
+  readonly #retries = new SlidingWindowCounter();
 
   constructor(options: SharedRetryBudgetOptions) {
     this.#options = options;
   }
 
-  /** A caller's request for the service came in. */
-  noteRequest(nowMs: number): void {
+  /** Counts a caller's request for the service. */
+  recordRequest(nowMs: number): void {
     this.#requests.add(this.#step(nowMs));
   }
 
-  /** Second sends that may still be made now, `vmCount` VMs sharing. */
-  left(nowMs: number, vmCount: number): number {
+  /** Retries that may still be sent now; `vmCount` VMs share the slack. */
+  remaining(nowMs: number, vmCount: number): number {
     const { ratio, slack } = this.#options;
     const step = this.#step(nowMs);
     const allowed = ratio * this.#requests.total(step) +
       slack / Math.max(1, vmCount);
-    return allowed * USED_PART - this.#repeats.total(step);
+    return allowed * USED_FRACTION - this.#retries.total(step);
   }
 
-  /** Takes one second send from the budget if there is one. */
+  /** Takes one retry from the budget; false if none is left. */
   tryTake(nowMs: number, vmCount: number): boolean {
-    if (this.left(nowMs, vmCount) < 1) return false;
-    this.#repeats.add(this.#step(nowMs));
+    if (this.remaining(nowMs, vmCount) < 1) return false;
+    this.#retries.add(this.#step(nowMs));
     return true;
   }
 
   #step(nowMs: number): number {
-    return Math.floor(nowMs / (this.#options.windowMs / STEPS));
+    return Math.floor(nowMs / (this.#options.windowMs / WINDOW_STEPS));
   }
 }
--- a/packages/decisions/src/admission/short_work_reserve.ts
+++ b/packages/decisions/src/admission/short_work_reserve.ts
@@ -1,110 +1,112 @@
 /**
- * Keeps one slot of a server for urgent short work: work that has begun can't
- * be interrupted, and a short request behind long ones is late whatever its
- * rank.
+ * Reserves one slot of a server for short requests of a high priority. Running
+ * requests can't be preempted, so a short request behind long ones would be
+ * late whatever its priority.
  */
 import type { ServiceTimes } from "./service_times.ts";
-import type { RankedRoute, WaitingRequest } from "./waiting_request.ts";
+import type { PrioritizedRoute, WaitingRequest } from "./waiting_request.ts";
 
-/** Work is long beside another kind that takes at most this part of it. */
-const SHORT_WORK_RATIO = 0.5;
-/** Time constant of the rate at which a kind is asked for. */
-const RATE_MS = 1_000;
+/** A request is short if it takes at most this fraction of the other's time. */
+const SHORT_REQUEST_RATIO = 0.5;
+/** Time constant of each route's exponentially decaying request rate. */
+const RATE_DECAY_MS = 1_000;
 /**
- * A slot is kept when so many short requests are expected while a long one
- * runs; with fewer it would mostly stay empty.
+ * A slot is reserved when at least this many short requests are expected while
+ * a long one runs; with fewer it would mostly stay empty.
  */
 const MIN_EXPECTED_REQUESTS = 1;
-
 /**
- * A long request may take the kept slot when its target is less than so many
- * times its work away.
+ * A long request may take the reserved slot when the time left to its target is
+ * less than this many times its service time.
  */
-const CRITICAL_RATIO = 2;
+const CRITICAL_TIME_RATIO = 2;
 
-interface Kind {
-  readonly route: RankedRoute;
-  /** Decaying count of requests, which is their rate by {@link RATE_MS}. */
-  asked: number;
-  askedMs: number;
-  held: number;
+interface RouteUsage {
+  readonly route: PrioritizedRoute;
+  /** Exponentially decayed count of requests, as of `countedMs`. */
+  decayedCount: number;
+  countedMs: number;
+  heldSlots: number;
 }
 
-/** Who may take which slots of one server. */
-export class ShortWorkReserve {
+/** Decides which routes may use which slots of one server. */
+export class ShortRequestReserve {
   readonly #times: ServiceTimes;
   readonly #slots: number;
-  readonly #kinds = new Map<string, Kind>();
+  readonly #usages = new Map<string, RouteUsage>();
 
   constructor(times: ServiceTimes, slots: number) {
     this.#times = times;
     this.#slots = slots;
   }
 
-  /** A request of a route asks for a slot. */
-  noteAsked(route: RankedRoute, nowMs: number): void {
-    const kind = this.#kind(route);
-    kind.asked = askedNow(kind, nowMs) + 1;
-    kind.askedMs = nowMs;
+  /** Counts a route's request for a slot. */
+  recordRequest(route: PrioritizedRoute, nowMs: number): void {
+    const usage = this.#usageOf(route);
+    usage.decayedCount = countAt(usage, nowMs) + 1;
+    usage.countedMs = nowMs;
   }
 
-  /** A slot is taken. Returns what gives it back. */
-  begin(route: RankedRoute): () => void {
-    const kind = this.#kind(route);
-    kind.held++;
-    return () => kind.held--;
+  /** Takes a slot. The returned function releases it. */
+  acquire(route: PrioritizedRoute): () => void {
+    const usage = this.#usageOf(route);
+    usage.heldSlots++;
+    return () => usage.heldSlots--;
   }
 
-  /** Slots that a route may have at a time. */
-  slotsFor(route: RankedRoute, nowMs: number): number {
-    return this.#isHeldBack(route, nowMs) ? this.#slots - 1 : this.#slots;
+  /** Slots that a route's requests may use at a time. */
+  slotsFor(route: PrioritizedRoute, nowMs: number): number {
+    return this.#isRestricted(route, nowMs) ? this.#slots - 1 : this.#slots;
   }
 
   /** Whether a request may take one more slot. */
-  mayTake(
+  mayAcquire(
     { route, targetMs }: Pick<WaitingRequest, "route" | "targetMs">,
     nowMs: number,
   ): boolean {
-    if (!this.#isHeldBack(route, nowMs)) return true;
-    let all = 0;
-    let asPatient = 0;
-    for (const { route: other, held } of this.#kinds.values()) {
-      all += held;
-      if (other.priority >= route.priority) asPatient += held;
+    if (!this.#isRestricted(route, nowMs)) return true;
+    let total = 0;
+    let notMoreUrgent = 0;
+    for (const { route: other, heldSlots } of this.#usages.values()) {
+      total += heldSlots;
+      if (other.priority >= route.priority) notMoreUrgent += heldSlots;
     }
-    if (all >= this.#slots) return false;
-    return asPatient < this.#slots - 1 ||
+    if (total >= this.#slots) return false;
+    return notMoreUrgent < this.#slots - 1 ||
       this.#isCritical(route, targetMs - nowMs);
   }
 
-  /** Whether it can still be answered in time, but not for much longer. */
-  #isCritical(route: RankedRoute, leftMs: number): boolean {
-    const workMs = this.#times.routeMs(route);
-    return leftMs < workMs * CRITICAL_RATIO && leftMs >= workMs;
+  /** Whether it can still be answered in time, but only if it starts soon. */
+  #isCritical(route: PrioritizedRoute, leftMs: number): boolean {
+    const serviceMs = this.#times.estimateMs(route);
+    return leftMs < serviceMs * CRITICAL_TIME_RATIO && leftMs >= serviceMs;
   }
 
-  /** Whether a more urgent kind of much shorter work comes at present. */
-  #isHeldBack(route: RankedRoute, nowMs: number): boolean {
+  /** Whether enough much shorter requests of a higher priority are expected. */
+  #isRestricted(route: PrioritizedRoute, nowMs: number): boolean {
     if (this.#slots < 2) return false;
-    const longMs = this.#times.routeMs(route);
+    const longMs = this.#times.estimateMs(route);
     let expected = 0;
-    for (const kind of this.#kinds.values()) {
-      const isShort = kind.route.priority < route.priority &&
-        this.#times.routeMs(kind.route) <= longMs * SHORT_WORK_RATIO;
-      if (isShort) expected += askedNow(kind, nowMs) * longMs / RATE_MS;
+    for (const usage of this.#usages.values()) {
+      const isShort = usage.route.priority < route.priority &&
+        this.#times.estimateMs(usage.route) <= longMs * SHORT_REQUEST_RATIO;
+      if (isShort) expected += countAt(usage, nowMs) * longMs / RATE_DECAY_MS;
     }
     return expected >= MIN_EXPECTED_REQUESTS;
   }
 
-  #kind(route: RankedRoute): Kind {
-    const found = this.#kinds.get(route.name);
+  #usageOf(route: PrioritizedRoute): RouteUsage {
+    const found = this.#usages.get(route.name);
     if (found !== undefined) return found;
-    const created = { route, asked: 0, askedMs: 0, held: 0 };
-    this.#kinds.set(route.name, created);
+    const created = { route, decayedCount: 0, countedMs: 0, heldSlots: 0 };
+    this.#usages.set(route.name, created);
     return created;
   }
 }
 
-function askedNow({ asked, askedMs }: Kind, nowMs: number): number {
-  return asked * Math.exp((askedMs - nowMs) / RATE_MS);
+function countAt(
+  { decayedCount, countedMs }: RouteUsage,
+  nowMs: number,
+): number {
+  return decayedCount * Math.exp((countedMs - nowMs) / RATE_DECAY_MS);
 }
--- a/packages/decisions/src/admission/short_work_reserve_test.ts
+++ b/packages/decisions/src/admission/short_work_reserve_test.ts
@@ -1,4 +1,4 @@
-/** Short urgent work beside long work at one server that owns their keys. */
+/** Short requests of a high priority beside long ones at one server. */
 import type * as contracts from "@guavatide/contracts";
 import { expect } from "earl";
 import { test } from "node:test";
@@ -9,45 +9,45 @@
 const VM = "vm" as contracts.VmId;
 const STEP_MS = 1;
 const RUN_MS = 120_000;
-const REVIEW_MS = 25;
-/** From a coordinator's word to the server, and back from a request's end. */
-const WAY_MS = 4;
+const SWEEP_MS = 25;
+/** Delay from a coordinator's grant to the server, and from there back. */
+const ONE_WAY_MS = 4;
 
-interface Kind {
-  readonly route: admission.RankedRoute;
-  readonly workMs: number;
+interface Workload {
+  readonly route: admission.PrioritizedRoute;
+  readonly serviceMs: number;
   readonly perSecond: number;
   readonly timeoutMs: number;
 }
 
-const SHORT: Kind = {
+const SHORT: Workload = {
   route: { name: "short", priority: 1, targetLatencyMs: 150 },
-  workMs: 40,
+  serviceMs: 40,
   perSecond: 7,
   timeoutMs: 1_000,
 };
-const LONG: Kind = {
+const LONG: Workload = {
   route: { name: "long", priority: 2, targetLatencyMs: 800 },
-  workMs: 250,
+  serviceMs: 250,
   perSecond: 3,
   timeoutMs: 2_500,
 };
 
 interface Sent {
   readonly id: number;
-  readonly kind: Kind;
+  readonly workload: Workload;
   readonly sentMs: number;
 }
 
-/** What callers got of one kind. */
+/** Number of requests of one workload, by result. */
 interface Outcome {
-  asked: number;
+  requested: number;
   inTime: number;
   served: number;
 }
 
-/** Plays two kinds of load on a server with two slots and its coordinator. */
-class Play {
+/** Simulates workloads on a server with two slots and its coordinator. */
+class Simulation {
   readonly #random = xoroshiro128plus(1);
   readonly #coordinator: admission.SlotCoordinator;
   readonly #requests = new Map<number, Sent>();
@@ -62,41 +62,41 @@
     this.#coordinator = new admission.SlotCoordinator({
       zone: "z1" as contracts.ZoneId,
       random: { next: () => this.#next() },
-      decide: ({ id, kind }) => {
-        if (kind === "given") this.#after(WAY_MS, () => this.#arrive(id));
+      onDecision: ({ id, kind }) => {
+        if (kind === "given") this.#after(ONE_WAY_MS, () => this.#arrive(id));
       },
     });
   }
 
-  run(kinds: readonly Kind[], loadRatio: number): void {
+  run(workloads: readonly Workload[], loadRatio: number): void {
     for (; this.#nowMs < RUN_MS; this.#nowMs += STEP_MS) {
-      for (const kind of kinds) {
-        const chance = kind.perSecond * loadRatio * STEP_MS / 1_000;
-        if (this.#next() < chance) this.#ask(kind);
+      for (const workload of workloads) {
+        const probability = workload.perSecond * loadRatio * STEP_MS / 1_000;
+        if (this.#next() < probability) this.#request(workload);
       }
       for (const due of this.#due.splice(0)) {
         if (due.atMs <= this.#nowMs) due.run();
         else this.#due.push(due);
       }
-      if (this.#nowMs % REVIEW_MS === 0) this.#coordinator.review(this.#nowMs);
+      if (this.#nowMs % SWEEP_MS === 0) this.#coordinator.sweep(this.#nowMs);
     }
   }
 
-  #ask(kind: Kind): void {
+  #request(workload: Workload): void {
     const id = this.#nextId++;
     const nowMs = this.#nowMs;
-    this.#requests.set(id, { id, kind, sentMs: nowMs });
-    this.#outcome(kind).asked++;
-    this.#coordinator.wish({
+    this.#requests.set(id, { id, workload, sentMs: nowMs });
+    this.#outcome(workload).requested++;
+    this.#coordinator.request({
       service: "s" as contracts.ServiceId,
       server: "s1" as contracts.ServerId,
       bornMs: 1,
       slots: 2,
       id,
       vm: VM,
-      route: kind.route,
-      targetMs: nowMs + kind.route.targetLatencyMs,
-      answerByMs: nowMs + kind.timeoutMs,
+      route: workload.route,
+      targetMs: nowMs + workload.route.targetLatencyMs,
+      answerByMs: nowMs + workload.timeoutMs,
     }, nowMs);
   }
 
@@ -109,28 +109,29 @@
     while (this.#running < 2 && this.#queue.length > 0) {
       const request = this.#queue.shift()!;
       this.#running++;
-      // Exponential times: a few requests take several times the mean.
-      const workMs = -request.kind.workMs * Math.log(1 - this.#next());
-      this.#after(workMs, () => this.#end(request, workMs));
+      // Exponentially distributed: a few requests take several times the mean.
+      const serviceMs = -request.workload.serviceMs *
+        Math.log(1 - this.#next());
+      this.#after(serviceMs, () => this.#end(request, serviceMs));
     }
   }
 
-  #end({ id, kind, sentMs }: Sent, tookMs: number): void {
+  #end({ id, workload, sentMs }: Sent, tookMs: number): void {
     this.#running--;
-    const outcome = this.#outcome(kind);
-    const isInTime = this.#nowMs - sentMs <= kind.route.targetLatencyMs;
+    const outcome = this.#outcome(workload);
+    const isInTime = this.#nowMs - sentMs <= workload.route.targetLatencyMs;
     if (isInTime) outcome.inTime++;
     outcome.served++;
-    this.#after(WAY_MS, () => {
-      this.#coordinator.end(VM, id, { tookMs, nowMs: this.#nowMs });
+    this.#after(ONE_WAY_MS, () => {
+      this.#coordinator.release(VM, id, { tookMs, nowMs: this.#nowMs });
     });
     this.#start();
   }
 
-  #outcome({ route }: Kind): Outcome {
+  #outcome({ route }: Workload): Outcome {
     const found = this.outcomes.get(route.name);
     if (found !== undefined) return found;
-    const created = { asked: 0, inTime: 0, served: 0 };
+    const created = { requested: 0, inTime: 0, served: 0 };
     this.outcomes.set(route.name, created);
     return created;
   }
@@ -144,29 +145,29 @@
   }
 }
 
-/** Guards against short urgent requests that wait for long ones to end. */
+/** Guards against short urgent requests that queue behind long ones. */
 test("should answer most short urgent requests in time beside long ones", () => {
-  const play = new Play();
-  play.run([SHORT, LONG], 1.2);
-  const short = play.outcomes.get("short")!;
-  const long = play.outcomes.get("long")!;
-  expect(short.inTime / short.asked >= 0.85).toEqual(true);
-  expect(long.served / long.asked >= 0.6).toEqual(true);
+  const simulation = new Simulation();
+  simulation.run([SHORT, LONG], 1.2);
+  const short = simulation.outcomes.get("short")!;
+  const long = simulation.outcomes.get("long")!;
+  expect(short.inTime / short.requested >= 0.85).toEqual(true);
+  expect(long.served / long.requested >= 0.6).toEqual(true);
 });
 
-/** Guards against a slot that stays empty for work that does not come. */
-test("should give long requests all slots while nothing shorter comes", () => {
-  const play = new Play();
-  play.run([{ ...LONG, perSecond: 6 }], 1);
-  const long = play.outcomes.get("long")!;
-  expect(long.served / long.asked >= 0.9).toEqual(true);
+/** Guards against a slot that stays reserved for requests that never arrive. */
+test("should let long requests use all slots without short requests", () => {
+  const simulation = new Simulation();
+  simulation.run([{ ...LONG, perSecond: 6 }], 1);
+  const long = simulation.outcomes.get("long")!;
+  expect(long.served / long.requested >= 0.9).toEqual(true);
 });
 
 /** Guards against an overloaded server that answers each request just too late. */
-test("should answer half in time at a fifth more load than a server carries", () => {
-  const play = new Play();
-  play.run([{ ...SHORT, perSecond: 60 }], 1);
-  const short = play.outcomes.get("short")!;
-  expect(short.served / short.asked >= 0.6).toEqual(true);
-  expect(short.inTime / short.asked >= 0.5).toEqual(true);
+test("should answer half of the requests in time at 120% load", () => {
+  const simulation = new Simulation();
+  simulation.run([{ ...SHORT, perSecond: 60 }], 1);
+  const short = simulation.outcomes.get("short")!;
+  expect(short.served / short.requested >= 0.6).toEqual(true);
+  expect(short.inTime / short.requested >= 0.5).toEqual(true);
 });
--- a/packages/decisions/src/admission/slot_asks.ts
+++ b/packages/decisions/src/admission/slot_asks.ts
@@ -1,169 +1,173 @@
-/** What this entry VM asks of the coordinators that give out owners' slots. */
+/** Client side of the {@link SlotCoordinator} protocol, on each entry VM. */
 import type * as contracts from "@guavatide/contracts";
 import type {
   HeldSlot,
   SlotDecision,
+  SlotRequest,
   SlotServer,
-  SlotWish,
 } from "./slot_coordinator.ts";
 import type { Refusal, WaitingRequest } from "./waiting_request.ts";
 
-/** Messages for one coordinator, sent together. */
-export interface SlotMessage {
-  readonly wishes: SlotWish[];
-  /** Wishes and slots that are over, with the time of an answered request. */
+/** What is sent to one coordinator in one message. */
+export interface CoordinatorMessage {
+  readonly requests: SlotRequest[];
+  /** Slots released and slot requests cancelled, with an answered request's time. */
   readonly ended: { readonly id: number; readonly tookMs?: number }[];
-  /** All slots that this VM has of the coordinator; undefined when not told now. */
+  /** All slots held from the coordinator; undefined if this message has no list. */
   held: HeldSlot[] | undefined;
 }
 
-/** A coordinator's answer to one wish of this VM. */
-export type SlotWord = Omit<SlotDecision, "vm">;
+/** A coordinator's reply to one slot request of this VM. */
+export type SlotReply = Omit<SlotDecision, "vm">;
 
-/** Options of {@link SlotAsks}. */
-export interface SlotAsksOptions {
+/** Options of {@link SlotClient}. */
+export interface SlotClientOptions {
   readonly vm: contracts.VmId;
-  /** The VM that gives out a server's slots, leaving out silent ones. */
+  /** The VM that coordinates a server, except unresponsive ones. */
   readonly coordinatorOf: (
     server: SlotServer,
-    silent: ReadonlySet<contracts.VmId>,
+    unresponsive: ReadonlySet<contracts.VmId>,
   ) => contracts.VmId | undefined;
   /** There are messages to send. */
   readonly onMessage: () => void;
-  /** A request has a slot and can be placed. */
-  readonly onGiven: (request: WaitingRequest) => void;
+  /** A request has a slot, or its coordinator failed: try to place it. */
+  readonly onGranted: (request: WaitingRequest) => void;
   readonly onRefused: (request: WaitingRequest, refusal: Refusal) => void;
-  /** A coordinator is left out for a while, and asked again afterwards. */
-  readonly onSilent: (coordinator: contracts.VmId) => void;
+  /** A coordinator is unresponsive and excluded for a while. */
+  readonly onUnresponsive: (coordinator: contracts.VmId) => void;
 }
 
-/** A wish without any word is sent again: the datagram was lost. */
+/** A request without a reply is resent after this time, as datagrams get lost. */
 const RESEND_MS = 60;
-/** A coordinator that leaves a wish without any word for so long is not asked. */
+/** Without a reply for this long, a coordinator counts as unresponsive. */
 const ANSWER_TIMEOUT_MS = 250;
-/** A wish that is queued is told again at this interval. */
+/** A queued request is resent at this interval to be confirmed. */
 const QUEUED_RESEND_MS = 300;
-/** A coordinator that does not confirm a queued wish for so long is gone. */
+/** Without a confirmation for this long, a coordinator counts as unresponsive. */
 const QUEUED_TIMEOUT_MS = 800;
-/** How long a silent coordinator is left out. */
+/** How long an unresponsive coordinator is excluded. */
 const COORDINATOR_QUARANTINE_MS = 2_000;
-/** Interval at which slots are listed to their coordinators. */
+/** Interval at which held slots are reported to their coordinators. */
 const HELD_SLOTS_INTERVAL_MS = 500;
 
-interface Ask {
-  readonly wish: SlotWish;
+interface OpenRequest {
+  readonly slotRequest: SlotRequest;
   readonly request: WaitingRequest;
-  /** Undefined when no coordinator can be asked. */
+  /** Undefined when no coordinator is available. */
   readonly coordinator: contracts.VmId | undefined;
   state: "asked" | "queued" | "given" | "in-use";
   sentMs: number;
-  heardMs: number;
+  lastReplyMs: number;
 }
 
-/** Wishes and slots of one entry VM. */
-export class SlotAsks {
-  readonly #options: SlotAsksOptions;
-  readonly #open = new Map<WaitingRequest, Ask>();
-  readonly #byId = new Map<number, Ask>();
-  readonly #silentUntilMs = new Map<contracts.VmId, number>();
-  readonly #outbox = new Map<contracts.VmId, SlotMessage>();
+/** Slot requests and held slots of one entry VM. */
+export class SlotClient {
+  readonly #options: SlotClientOptions;
+  readonly #open = new Map<WaitingRequest, OpenRequest>();
+  readonly #byId = new Map<number, OpenRequest>();
+  readonly #quarantinedUntilMs = new Map<contracts.VmId, number>();
+  readonly #outbox = new Map<contracts.VmId, CoordinatorMessage>();
   #nextId = 1;
-  #listedMs = 0;
+  #heldReportedMs = 0;
 
-  constructor(options: SlotAsksOptions) {
+  constructor(options: SlotClientOptions) {
     this.#options = options;
   }
 
   /**
-   * Whether a request has a slot at a server; asks for one if it has not.
-   * `ownRequests` are this VM's requests there: without a coordinator the first
-   * is sent all the same.
+   * Whether a request has a slot at a server; requests one if not.
+   * `ownRequests` are this VM's requests in flight there: without a coordinator
+   * a request is sent only when there is none.
    */
-  take(
+  tryAcquire(
     request: WaitingRequest,
     server: SlotServer,
     { ownRequests, nowMs }: { ownRequests: number; nowMs: number },
   ): boolean {
-    let ask = this.#open.get(request);
-    const isSame = ask?.wish.server === server.server &&
-      ask.wish.bornMs === server.bornMs;
+    let open = this.#open.get(request);
+    const isSame = open?.slotRequest.server === server.server &&
+      open.slotRequest.bornMs === server.bornMs;
     // The key has moved to another owner since.
-    if (ask !== undefined && !isSame) this.withdraw(request);
-    if (ask === undefined || !isSame) ask = this.#ask(request, server, nowMs);
-    if (ask.coordinator === undefined) return ownRequests === 0;
-    return ask.state === "given";
+    if (open !== undefined && !isSame) this.cancel(request);
+    if (open === undefined || !isSame) open = this.#add(request, server, nowMs);
+    if (open.coordinator === undefined) return ownRequests === 0;
+    return open.state === "given";
   }
 
-  /** A request is sent with its slot. The returned function gives it back. */
-  begin(request: WaitingRequest): (tookMs: number | undefined) => void {
-    const ask = this.#open.get(request);
-    if (ask === undefined) return () => {};
+  /** A request is sent in its slot. The returned function releases the slot. */
+  markInUse(request: WaitingRequest): (tookMs: number | undefined) => void {
+    const open = this.#open.get(request);
+    if (open === undefined) return () => {};
     this.#open.delete(request);
-    ask.state = "in-use";
-    return (tookMs) => this.#end(ask, tookMs);
+    open.state = "in-use";
+    return (tookMs) => this.#release(open, tookMs);
   }
 
-  /** A request needs no slot any more. */
-  withdraw(request: WaitingRequest): void {
-    const ask = this.#open.get(request);
-    if (ask === undefined) return;
+  /** Cancels a slot request, or releases its slot if that was granted. */
+  cancel(request: WaitingRequest): void {
+    const open = this.#open.get(request);
+    if (open === undefined) return;
     this.#open.delete(request);
-    this.#end(ask, undefined);
+    this.#release(open, undefined);
   }
 
-  /** Whether no request waits for a slot. */
+  /** Whether no slot request is open. */
   get isIdle(): boolean {
     return this.#open.size === 0;
   }
 
-  /** Words of a coordinator. */
-  noteWords(
+  /** Handles a coordinator's replies. */
+  handleReplies(
     coordinator: contracts.VmId,
-    words: readonly SlotWord[],
+    replies: readonly SlotReply[],
     nowMs: number,
   ): void {
-    for (const { id, kind, refusal } of words) {
-      const ask = this.#byId.get(id);
-      if (ask === undefined || ask.coordinator !== coordinator) {
-        // The wish was withdrawn before the slot was given.
+    for (const { id, kind, refusal } of replies) {
+      const open = this.#byId.get(id);
+      if (open === undefined || open.coordinator !== coordinator) {
+        // The request was cancelled before the slot was granted.
         if (kind === "given") this.#message(coordinator).ended.push({ id });
         continue;
       }
-      ask.heardMs = nowMs;
-      if (ask.state === "in-use" || ask.state === "given") continue;
-      if (kind === "refused") this.#refuse(ask, refusal!);
-      else this.#advance(ask, kind);
+      open.lastReplyMs = nowMs;
+      if (open.state === "in-use" || open.state === "given") continue;
+      if (kind === "refused") this.#refuse(open, refusal!);
+      else this.#advance(open, kind);
     }
   }
 
-  /** Sends again what was lost, and turns from coordinators that are silent. */
+  /** Resends lost messages and leaves unresponsive coordinators. */
   tick(nowMs: number): void {
-    for (const [coordinator, untilMs] of this.#silentUntilMs) {
-      if (nowMs >= untilMs) this.#silentUntilMs.delete(coordinator);
+    for (const [coordinator, untilMs] of this.#quarantinedUntilMs) {
+      if (nowMs >= untilMs) this.#quarantinedUntilMs.delete(coordinator);
     }
-    for (const ask of [...this.#open.values()]) this.#review(ask, nowMs);
-    if (nowMs - this.#listedMs < HELD_SLOTS_INTERVAL_MS) return;
-    this.#listedMs = nowMs;
-    for (const { state, coordinator, wish } of this.#byId.values()) {
+    for (const open of [...this.#open.values()]) this.#checkReply(open, nowMs);
+    if (nowMs - this.#heldReportedMs < HELD_SLOTS_INTERVAL_MS) return;
+    this.#heldReportedMs = nowMs;
+    for (const { state, coordinator, slotRequest } of this.#byId.values()) {
       if (state !== "in-use" || coordinator === undefined) continue;
       const message = this.#message(coordinator);
       message.held ??= [];
-      message.held.push(wish);
+      message.held.push(slotRequest);
     }
   }
 
-  /** Takes what is to be sent, by coordinator. */
-  takeMessages(): Map<contracts.VmId, SlotMessage> {
+  /** Takes the messages to send, by coordinator. */
+  drainMessages(): Map<contracts.VmId, CoordinatorMessage> {
     const messages = new Map(this.#outbox);
     this.#outbox.clear();
     return messages;
   }
 
-  #ask(request: WaitingRequest, server: SlotServer, nowMs: number): Ask {
+  #add(
+    request: WaitingRequest,
+    server: SlotServer,
+    nowMs: number,
+  ): OpenRequest {
     const { vm, coordinatorOf } = this.#options;
     const { route, targetMs, answerByMs } = request;
     const { service, server: name, bornMs, slots } = server;
-    const wish: SlotWish = {
+    const slotRequest: SlotRequest = {
       service,
       server: name,
       bornMs,
@@ -174,65 +178,76 @@
       targetMs,
       answerByMs,
     };
-    const coordinator = coordinatorOf(
+    const target = coordinatorOf(
       server,
-      new Set(this.#silentUntilMs.keys()),
+      new Set(this.#quarantinedUntilMs.keys()),
     );
-    const ask: Ask = {
-      wish,
+    const open: OpenRequest = {
+      slotRequest,
       request,
-      coordinator,
+      coordinator: target,
       state: "asked",
       sentMs: nowMs,
-      heardMs: nowMs,
+      lastReplyMs: nowMs,
     };
-    this.#open.set(request, ask);
-    this.#byId.set(wish.id, ask);
-    if (coordinator !== undefined) this.#message(coordinator).wishes.push(wish);
-    return ask;
+    this.#open.set(request, open);
+    this.#byId.set(slotRequest.id, open);
+    if (target !== undefined) this.#message(target).requests.push(slotRequest);
+    return open;
   }
 
-  #review(ask: Ask, nowMs: number): void {
-    const { coordinator, state, heardMs, sentMs, wish, request } = ask;
+  #checkReply(open: OpenRequest, nowMs: number): void {
+    const { coordinator, state, lastReplyMs, sentMs, slotRequest, request } =
+      open;
     if (coordinator === undefined || state === "given") return;
     const isQueued = state === "queued";
     const limitMs = isQueued ? QUEUED_TIMEOUT_MS : ANSWER_TIMEOUT_MS;
-    if (nowMs - heardMs >= limitMs) {
-      if (!this.#silentUntilMs.has(coordinator)) {
-        this.#options.onSilent(coordinator);
+    if (nowMs - lastReplyMs >= limitMs) {
+      if (!this.#quarantinedUntilMs.has(coordinator)) {
+        this.#options.onUnresponsive(coordinator);
       }
-      this.#silentUntilMs.set(coordinator, nowMs + COORDINATOR_QUARANTINE_MS);
-      this.withdraw(request);
-      // Asks the next coordinator, or goes without one.
-      return this.#options.onGiven(request);
+      this.#quarantinedUntilMs.set(
+        coordinator,
+        nowMs + COORDINATOR_QUARANTINE_MS,
+      );
+      this.cancel(request);
+      // Requests the slot from the next coordinator, or does without one.
+      return this.#options.onGranted(request);
     }
-    const againMs = isQueued ? QUEUED_RESEND_MS : RESEND_MS;
-    if (nowMs - sentMs < againMs) return;
-    ask.sentMs = nowMs;
-    this.#message(coordinator).wishes.push(wish);
+    const resendMs = isQueued ? QUEUED_RESEND_MS : RESEND_MS;
+    if (nowMs - sentMs < resendMs) return;
+    open.sentMs = nowMs;
+    this.#message(coordinator).requests.push(slotRequest);
   }
 
-  #advance(ask: Ask, kind: "given" | "queued"): void {
-    ask.state = kind;
-    if (kind === "given") this.#options.onGiven(ask.request);
+  #advance(open: OpenRequest, kind: "given" | "queued"): void {
+    open.state = kind;
+    if (kind === "given") this.#options.onGranted(open.request);
   }
 
-  #refuse(ask: Ask, refusal: Refusal): void {
-    this.#open.delete(ask.request);
-    this.#byId.delete(ask.wish.id);
-    this.#options.onRefused(ask.request, refusal);
+  #refuse(open: OpenRequest, refusal: Refusal): void {
+    this.#open.delete(open.request);
+    this.#byId.delete(open.slotRequest.id);
+    this.#options.onRefused(open.request, refusal);
   }
 
-  #end({ wish, coordinator }: Ask, tookMs: number | undefined): void {
-    this.#byId.delete(wish.id);
+  #release(
+    { slotRequest, coordinator }: OpenRequest,
+    tookMs: number | undefined,
+  ): void {
+    this.#byId.delete(slotRequest.id);
     if (coordinator === undefined) return;
-    this.#message(coordinator).ended.push({ id: wish.id, tookMs });
+    this.#message(coordinator).ended.push({ id: slotRequest.id, tookMs });
   }
 
-  #message(coordinator: contracts.VmId): SlotMessage {
+  #message(coordinator: contracts.VmId): CoordinatorMessage {
     const found = this.#outbox.get(coordinator);
     if (found !== undefined) return found;
-    const created: SlotMessage = { wishes: [], ended: [], held: undefined };
+    const created: CoordinatorMessage = {
+      requests: [],
+      ended: [],
+      held: undefined,
+    };
     this.#outbox.set(coordinator, created);
     this.#options.onMessage();
     return created;
--- a/packages/decisions/src/admission/slot_coordinator.ts
+++ b/packages/decisions/src/admission/slot_coordinator.ts
@@ -1,43 +1,48 @@
 /**
- * Gives out the slots of servers that own keys, by rank and by what can still
- * be answered in time. One VM does so for each owner: VMs see one another's
- * requests late and would together overrun it. A slot given twice, as by two
- * coordinators after a loss, only makes the server's queue longer.
+ * Grants the slots of servers that own keys, by priority and by which requests
+ * can still be answered in time. One entry VM coordinates each server: VMs see
+ * one another's requests late and would together overload it. Granting a slot
+ * twice, as two coordinators may do after a failover, is safe: it only makes
+ * the server's own queue longer.
  */
 import type * as contracts from "@guavatide/contracts";
 import type { ColdStartLimit } from "./cold_start_limit.ts";
 import { ServiceQueue } from "./service_queue.ts";
 import { ServiceTimes } from "./service_times.ts";
-import { ShortWorkReserve } from "./short_work_reserve.ts";
+import { ShortRequestReserve } from "./short_work_reserve.ts";
 import type {
-  RankedRoute,
+  PrioritizedRoute,
   Refusal,
   WaitingRequest,
 } from "./waiting_request.ts";
 
-/** A server whose slots are asked for. */
+/** A server whose slots are requested. */
 export interface SlotServer {
   readonly service: contracts.ServiceId;
   readonly server: contracts.ServerId;
+  /** When this incarnation of the server started. */
   readonly bornMs: number;
+  /** Requests that the server runs at once. */
   readonly slots: number;
 }
 
-/** A request at some entry VM that asks for a slot. */
-export interface SlotWish extends SlotServer {
-  /** Drawn by the VM; rises with each of its wishes. */
+/** An entry VM's request for one slot. */
+export interface SlotRequest extends SlotServer {
+  /** Assigned by the VM; increases with each of its slot requests. */
   readonly id: number;
   readonly vm: contracts.VmId;
-  readonly route: RankedRoute;
+  readonly route: PrioritizedRoute;
+  /** See {@link WaitingRequest}. */
   readonly targetMs: number;
+  /** See {@link WaitingRequest}. */
   readonly answerByMs: number;
 }
 
-/** A slot that an entry VM says it has. */
-export type HeldSlot = Omit<SlotWish, "vm" | "targetMs" | "answerByMs">;
+/** A slot that an entry VM reports as held. */
+export type HeldSlot = Omit<SlotRequest, "vm" | "targetMs" | "answerByMs">;
 
-/** What a coordinator says to a wish. */
-export type SlotDecision = Pick<SlotWish, "vm" | "id"> & {
+/** A coordinator's decision on a slot request. */
+export type SlotDecision = Pick<SlotRequest, "vm" | "id"> & {
   readonly kind: "given" | "queued" | "refused";
   /** Present when refused. */
   readonly refusal?: Refusal;
@@ -47,147 +52,156 @@
 export interface SlotCoordinatorOptions {
   readonly zone: contracts.ZoneId;
   readonly random: contracts.RandomSource;
-  readonly decide: (decision: SlotDecision) => void;
-  /** What this VM may give out of a service's cold servers; absent for all. */
+  /** Called with each decision, to be sent to its VM. */
+  readonly onDecision: (decision: SlotDecision) => void;
+  /** Limits the slots granted at a service's cold servers; no limit if absent. */
   readonly coldStartsOf?: (
     service: contracts.ServiceId,
   ) => ColdStartLimit | undefined;
 }
 
 /**
- * A slot that its VM does not list for this long is free again: the word that
- * gave it, or that of its end, was lost.
+ * A slot is freed when its VM's reports leave it out this long after the grant:
+ * the message that granted or the one that released it was lost.
  */
 const UNLISTED_SLOT_TTL_MS = 300;
-/** Slots and wishes of a VM that was not heard for so long are dropped. */
-const VM_TIMEOUT_MS = 2_000;
-/** A server that nobody asked for is forgotten after this time. */
+/** Without a message from a VM for this long, its slots and requests are dropped. */
+const UNRESPONSIVE_VM_TIMEOUT_MS = 2_000;
+/** State of a server without any slot request for this long is dropped. */
 const IDLE_SERVER_TTL_MS = 10_000;
 
-interface Held {
-  readonly route: RankedRoute;
-  readonly sinceMs: number;
+interface HeldSlotState {
+  readonly route: PrioritizedRoute;
+  readonly grantedMs: number;
   readonly release: (nowMs: number) => void;
 }
 
-/** The coordinator of one entry VM, for all servers whose slots it gives out. */
+/** Coordinator on one entry VM, for all servers whose slots it grants. */
 export class SlotCoordinator {
   readonly #options: SlotCoordinatorOptions;
-  readonly #servers = new Map<string, ServerSlots>();
+  readonly #servers = new Map<string, ServerSlotAllocator>();
   readonly #times = new Map<contracts.ServiceId, ServiceTimes>();
-  readonly #heardMs = new Map<contracts.VmId, number>();
+  readonly #lastMessageMs = new Map<contracts.VmId, number>();
 
   constructor(options: SlotCoordinatorOptions) {
     this.#options = options;
   }
 
-  /** Takes a wish; one that is known already is answered as it stands. */
-  wish(wish: SlotWish, nowMs: number): void {
-    this.#heardMs.set(wish.vm, nowMs);
-    this.#slotsOf(wish).wish(wish, nowMs);
+  /** Handles a slot request. Idempotent: a repeated one gets its current state. */
+  request(request: SlotRequest, nowMs: number): void {
+    this.#lastMessageMs.set(request.vm, nowMs);
+    this.#allocatorOf(request).request(request, nowMs);
   }
 
-  /** A slot is free again, or a wish is over; `tookMs` of an answered request. */
-  end(
+  /**
+   * Releases a slot or cancels a slot request. `tookMs` is the time of a request
+   * that was answered.
+   */
+  release(
     vm: contracts.VmId,
     id: number,
     { tookMs, nowMs }: { readonly tookMs?: number; readonly nowMs: number },
   ): void {
-    const name = nameOf(vm, id);
+    const key = requestKey(vm, id);
     for (const server of this.#servers.values()) {
-      if (server.end(name, tookMs, nowMs)) return;
+      if (server.release(key, tookMs, nowMs)) return;
     }
   }
 
-  /** All slots that a VM has of this coordinator, as it knows them. */
-  noteHeld(
+  /** Takes over a VM's list of all slots that it holds from this coordinator. */
+  reconcileHeld(
     vm: contracts.VmId,
     slots: readonly HeldSlot[],
     nowMs: number,
   ): void {
-    this.#heardMs.set(vm, nowMs);
-    const listed = new Set(slots.map(({ id }) => nameOf(vm, id)));
+    this.#lastMessageMs.set(vm, nowMs);
+    const listed = new Set(slots.map(({ id }) => requestKey(vm, id)));
     for (const server of this.#servers.values()) {
       server.dropUnlisted(vm, listed, nowMs);
     }
-    for (const slot of slots) this.#slotsOf(slot).adopt(vm, slot, nowMs);
+    for (const slot of slots) this.#allocatorOf(slot).adopt(vm, slot, nowMs);
   }
 
-  /** Refuses what waits in vain; forgets VMs and servers that are gone. */
-  review(nowMs: number): void {
-    for (const [vm, heardMs] of this.#heardMs) {
-      if (nowMs - heardMs < VM_TIMEOUT_MS) continue;
-      this.#heardMs.delete(vm);
+  /**
+   * Refuses requests that can't be answered in time, and drops unresponsive VMs
+   * and idle servers. Called at an interval.
+   */
+  sweep(nowMs: number): void {
+    for (const [vm, messageMs] of this.#lastMessageMs) {
+      if (nowMs - messageMs < UNRESPONSIVE_VM_TIMEOUT_MS) continue;
+      this.#lastMessageMs.delete(vm);
       for (const server of this.#servers.values()) {
         server.dropUnlisted(vm, new Set(), nowMs);
-        server.dropWishes(vm);
+        server.dropPending(vm);
       }
     }
     for (const [name, server] of this.#servers) {
-      server.review(nowMs);
+      server.sweep(nowMs);
       if (server.isIdle(nowMs)) this.#servers.delete(name);
     }
   }
 
-  /** Whether some request waits for a slot given out here. */
-  get isWaited(): boolean {
-    for (const { hasWishes } of this.#servers.values()) {
-      if (hasWishes) return true;
+  /** Whether any slot request is pending here. */
+  get hasPending(): boolean {
+    for (const { hasPending } of this.#servers.values()) {
+      if (hasPending) return true;
     }
     return false;
   }
 
-  /** How much longer than average each server takes, by server. */
-  factors(service: contracts.ServiceId): Map<contracts.ServerId, number> {
+  /** Each server's service time relative to the service's mean; 1 is the mean. */
+  latencyFactors(
+    service: contracts.ServiceId,
+  ): Map<contracts.ServerId, number> {
     const factors = new Map<contracts.ServerId, number>();
     const times = this.#times.get(service);
     if (times === undefined) return factors;
     for (const { server } of this.#servers.values()) {
       if (server.service !== service) continue;
-      factors.set(server.server, times.factor(server.server));
+      factors.set(server.server, times.latencyFactor(server.server));
     }
     return factors;
   }
 
-  #slotsOf(server: SlotServer): ServerSlots {
+  #allocatorOf(server: SlotServer): ServerSlotAllocator {
     const name = `${server.server}/${server.bornMs}`;
     const found = this.#servers.get(name);
     if (found !== undefined) return found;
     const times = this.#times.get(server.service) ?? new ServiceTimes();
     this.#times.set(server.service, times);
-    const created = new ServerSlots(server, times, this.#options);
+    const created = new ServerSlotAllocator(server, times, this.#options);
     this.#servers.set(name, created);
     return created;
   }
 }
 
-function nameOf(vm: contracts.VmId, id: number): string {
+function requestKey(vm: contracts.VmId, id: number): string {
   return `${vm}/${id}`;
 }
 
-/** One server's slots and the wishes for them. */
-class ServerSlots {
+/** Allocates the slots of one server. */
+class ServerSlotAllocator {
   readonly server: SlotServer;
   readonly #times: ServiceTimes;
   readonly #queue: ServiceQueue;
-  readonly #reserve: ShortWorkReserve;
+  readonly #reserve: ShortRequestReserve;
   readonly #decide: (decision: SlotDecision) => void;
-  readonly #wishes = new Map<string, QueuedWish>();
-  readonly #held = new Map<string, Held>();
-  /** Time of the latest call: slots are given in the course of it. */
+  readonly #pending = new Map<string, PendingSlotRequest>();
+  readonly #held = new Map<string, HeldSlotState>();
+  /** Time of the latest call, for the callbacks that run during it. */
   #nowMs = 0;
-  #usedMs = 0;
+  #lastRequestMs = 0;
 
   constructor(
     server: SlotServer,
     times: ServiceTimes,
-    { zone, random, decide, coldStartsOf }: SlotCoordinatorOptions,
+    { zone, random, onDecision, coldStartsOf }: SlotCoordinatorOptions,
   ) {
     this.server = server;
     this.#times = times;
-    this.#decide = decide;
+    this.#decide = onDecision;
     const coldStarts = coldStartsOf?.(server.service);
-    const reserve = new ShortWorkReserve(times, server.slots);
+    const reserve = new ShortRequestReserve(times, server.slots);
     this.#reserve = reserve;
     this.#queue = new ServiceQueue({
       zone,
@@ -196,141 +210,144 @@
       coldStarts,
       reserve,
     });
-    this.#queue.setServers([entryOf(server, zone)]);
+    this.#queue.setServers([serverEntryOf(server, zone)]);
   }
 
-  get hasWishes(): boolean {
-    return this.#wishes.size > 0;
+  get hasPending(): boolean {
+    return this.#pending.size > 0;
   }
 
-  wish(wish: SlotWish, nowMs: number): void {
-    this.#usedMs = nowMs;
+  request(request: SlotRequest, nowMs: number): void {
+    this.#lastRequestMs = nowMs;
     this.#nowMs = nowMs;
-    const { vm, id } = wish;
-    const name = nameOf(vm, id);
-    if (this.#held.has(name)) return this.#decide({ vm, id, kind: "given" });
-    if (this.#wishes.has(name)) return this.#decide({ vm, id, kind: "queued" });
-    const request = new QueuedWish(wish, {
-      give: () => {
-        this.#wishes.delete(name);
-        this.#hold(name, wish.route, this.#nowMs);
+    const { vm, id } = request;
+    const key = requestKey(vm, id);
+    if (this.#held.has(key)) return this.#decide({ vm, id, kind: "given" });
+    if (this.#pending.has(key)) return this.#decide({ vm, id, kind: "queued" });
+    const pending = new PendingSlotRequest(request, {
+      onGranted: () => {
+        this.#pending.delete(key);
+        this.#hold(key, request.route, this.#nowMs);
         this.#decide({ vm, id, kind: "given" });
       },
-      refuse: (refusal) => {
-        this.#wishes.delete(name);
+      onRefused: (refusal) => {
+        this.#pending.delete(key);
         this.#decide({ vm, id, kind: "refused", refusal });
       },
     });
-    this.#wishes.set(name, request);
-    this.#reserve.noteAsked(wish.route, nowMs);
-    this.#queue.add(request, nowMs);
-    if (this.#wishes.has(name)) this.#decide({ vm, id, kind: "queued" });
+    this.#pending.set(key, pending);
+    this.#reserve.recordRequest(request.route, nowMs);
+    this.#queue.add(pending, nowMs);
+    if (this.#pending.has(key)) this.#decide({ vm, id, kind: "queued" });
   }
 
-  /** Whether the slot or wish was here. */
-  end(name: string, tookMs: number | undefined, nowMs: number): boolean {
+  /** Returns whether the slot or slot request was found here. */
+  release(key: string, tookMs: number | undefined, nowMs: number): boolean {
     this.#nowMs = nowMs;
-    const wish = this.#wishes.get(name);
-    if (wish !== undefined) {
-      this.#wishes.delete(name);
-      this.#queue.withdraw(wish);
+    const pending = this.#pending.get(key);
+    if (pending !== undefined) {
+      this.#pending.delete(key);
+      this.#queue.cancel(pending);
       return true;
     }
-    const held = this.#held.get(name);
+    const held = this.#held.get(key);
     if (held === undefined) return false;
-    this.#held.delete(name);
+    this.#held.delete(key);
     held.release(nowMs);
     if (tookMs !== undefined) {
-      this.#times.note(held.route, this.server.server, tookMs);
+      this.#times.record(held.route, this.server.server, tookMs);
     }
-    this.#queue.pump(nowMs);
+    this.#queue.dispatch(nowMs);
     return true;
   }
 
+  /** Takes over a slot that the VM holds and this coordinator doesn't know. */
   adopt(vm: contracts.VmId, { id, route }: HeldSlot, nowMs: number): void {
-    const name = nameOf(vm, id);
-    if (!this.#held.has(name)) this.#hold(name, route, nowMs);
+    const key = requestKey(vm, id);
+    if (!this.#held.has(key)) this.#hold(key, route, nowMs);
   }
 
+  /** Frees the VM's slots that it does not list any more. */
   dropUnlisted(
     vm: contracts.VmId,
     listed: ReadonlySet<string>,
     nowMs: number,
   ): void {
-    for (const [name, { sinceMs }] of this.#held) {
-      const isOver = name.startsWith(`${vm}/`) && !listed.has(name) &&
-        nowMs - sinceMs >= UNLISTED_SLOT_TTL_MS;
-      if (isOver) this.end(name, undefined, nowMs);
+    for (const [key, { grantedMs }] of this.#held) {
+      const isExpired = key.startsWith(`${vm}/`) && !listed.has(key) &&
+        nowMs - grantedMs >= UNLISTED_SLOT_TTL_MS;
+      if (isExpired) this.release(key, undefined, nowMs);
     }
   }
 
-  dropWishes(vm: contracts.VmId): void {
-    for (const [name, wish] of this.#wishes) {
-      if (wish.vm !== vm) continue;
-      this.#wishes.delete(name);
-      this.#queue.withdraw(wish);
+  /** Drops the VM's slot requests. */
+  dropPending(vm: contracts.VmId): void {
+    for (const [key, pending] of this.#pending) {
+      if (pending.vm !== vm) continue;
+      this.#pending.delete(key);
+      this.#queue.cancel(pending);
     }
   }
 
-  review(nowMs: number): void {
+  sweep(nowMs: number): void {
     this.#nowMs = nowMs;
     if (this.#queue.waiting === 0) return;
-    this.#queue.pump(nowMs);
-    this.#queue.review(nowMs);
+    this.#queue.dispatch(nowMs);
+    this.#queue.refuseExpired(nowMs);
   }
 
   isIdle(nowMs: number): boolean {
-    return this.#held.size === 0 && this.#wishes.size === 0 &&
-      nowMs - this.#usedMs > IDLE_SERVER_TTL_MS;
+    return this.#held.size === 0 && this.#pending.size === 0 &&
+      nowMs - this.#lastRequestMs > IDLE_SERVER_TTL_MS;
   }
 
-  #hold(name: string, route: RankedRoute, nowMs: number): void {
-    const end = this.#queue.loads.get(this.server.server)!.begin(nowMs);
-    const giveBack = this.#reserve.begin(route);
+  #hold(key: string, route: PrioritizedRoute, nowMs: number): void {
+    const end = this.#queue.loads.get(this.server.server)!.startRequest(nowMs);
+    const releaseReserve = this.#reserve.acquire(route);
     const release = (endedMs: number) => {
-      giveBack();
+      releaseReserve();
       end({ kind: "abandoned" }, endedMs);
     };
-    this.#held.set(name, { route, sinceMs: nowMs, release });
+    this.#held.set(key, { route, grantedMs: nowMs, release });
   }
 }
 
-/** What becomes of a wish. */
-interface WishOutcome {
-  give(): void;
-  refuse(refusal: Refusal): void;
+/** Called when a slot request is decided. */
+interface SlotRequestCallbacks {
+  onGranted(): void;
+  onRefused(refusal: Refusal): void;
 }
 
-/** A wish as the queue sees it. */
-class QueuedWish implements WaitingRequest {
+/** A slot request as an entry of the queue. */
+class PendingSlotRequest implements WaitingRequest {
   readonly vm: contracts.VmId;
-  readonly route: RankedRoute;
+  readonly route: PrioritizedRoute;
   readonly key = undefined;
   readonly bodyBytes = 0;
   readonly targetMs: number;
   readonly answerByMs: number;
   readonly tried = new Set<contracts.ServerId>();
-  readonly #outcome: WishOutcome;
-
-  constructor(wish: SlotWish, outcome: WishOutcome) {
-    this.vm = wish.vm;
-    this.route = wish.route;
-    this.targetMs = wish.targetMs;
-    this.answerByMs = wish.answerByMs;
-    this.#outcome = outcome;
+  readonly #callbacks: SlotRequestCallbacks;
+
+  constructor(request: SlotRequest, callbacks: SlotRequestCallbacks) {
+    this.vm = request.vm;
+    this.route = request.route;
+    this.targetMs = request.targetMs;
+    this.answerByMs = request.answerByMs;
+    this.#callbacks = callbacks;
   }
 
   placed(): void {
-    this.#outcome.give();
+    this.#callbacks.onGranted();
   }
 
   refused(refusal: Refusal): void {
-    this.#outcome.refuse(refusal);
+    this.#callbacks.onRefused(refusal);
   }
 }
 
-/** The server as a queue wants it; only its slots matter to a coordinator. */
-function entryOf(
+/** Fills in the fields that a queue expects; a coordinator uses only the slots. */
+function serverEntryOf(
   { service, server, bornMs, slots }: SlotServer,
   zone: contracts.ZoneId,
 ): contracts.ServerEntry {
--- a/packages/decisions/src/admission/waiting_request.ts
+++ b/packages/decisions/src/admission/waiting_request.ts
@@ -1,69 +1,77 @@
-/** A request that asks for a backend server. */
+/** A request that waits for a backend server, and how its wait ends. */
 import type * as contracts from "@guavatide/contracts";
 import type { ServerLoad } from "./server_load.ts";
 
-/** Why a request got no server. */
+/** Why a request was not sent to any server. */
 export type RefusalReason =
   /** No live server is known. */
   | "no-server"
-  /** No region that may run it has a server for it. */
+  /** No region that may run the request has a server for it. */
   | "not-home"
   /** The key has no owner at present. */
   | "no-owner"
-  /** Its answer would come too late. */
+  /** The servers have no capacity to answer it in time. */
   | "no-room"
-  /** It waited until its time was over. */
+  /** It was queued until its deadline. */
   | "timeout";
 
-/** A request that was not sent, and when to come back. */
+/** Refusal of a request that was not sent. */
 export interface Refusal {
   readonly reason: RefusalReason;
+  /** When the caller is asked to retry. */
   readonly retryAfterMs: number;
-  /** Expected wait that led to the refusal, for the log. */
+  /** Expected queueing time that led to the refusal, for the log. */
   readonly expectedWaitMs: number;
 }
 
-/** A server with room, and what it was believed to have. */
+/** The server that was chosen for a request. */
 export interface Placement {
   readonly load: ServerLoad;
+  /** Requests of all entry VMs at the server when it was chosen. */
   readonly outstanding: number;
-  /** Fence of the owner's grant, for keyed requests. */
+  /** Fencing token of the owner's lease, for keyed requests. */
   readonly fence: number | undefined;
   /**
-   * Called when the send has ended, with the time of an answered one; gives the
-   * server's slot back where slots are given out.
+   * Releases the slot that a coordinator granted. Called when the request has
+   * ended at the server, with the milliseconds it took if it was answered.
    */
-  readonly ended?: (tookMs: number | undefined) => void;
+  readonly releaseSlot?: (tookMs: number | undefined) => void;
 }
 
-/** Gives out slots of owners where no VM knows all requests at a server. */
+/**
+ * Source of slots at servers that own keys. Coordinators grant the slots, as
+ * no single entry VM sees all requests at such a server.
+ */
 export interface SlotSource {
-  /** Whether the request has a slot at the server; asks for it if not. */
-  take(request: WaitingRequest, load: ServerLoad, nowMs: number): boolean;
-  /** The request is sent with its slot; returns what ends that. */
-  begin(request: WaitingRequest): (tookMs: number | undefined) => void;
-  /** The request needs no slot any more. */
-  withdraw(request: WaitingRequest): void;
+  /** Whether the request has a slot at the server; requests one if not. */
+  tryAcquire(request: WaitingRequest, load: ServerLoad, nowMs: number): boolean;
+  /** The request is sent in its slot. The returned function releases it. */
+  markInUse(request: WaitingRequest): (tookMs: number | undefined) => void;
+  /** Cancels the slot request, or releases the slot if it was granted. */
+  cancel(request: WaitingRequest): void;
 }
 
-/** What of a route decides who goes first, and how long it takes. */
-export type RankedRoute = Pick<
+/** The fields of a route by which its requests are ordered and placed. */
+export type PrioritizedRoute = Pick<
   contracts.Route,
   "name" | "priority" | "targetLatencyMs" | "homeRegions"
 >;
 
-/** A request that waits for a server. */
+/** A request in a {@link ServiceQueue}. */
 export interface WaitingRequest {
-  readonly route: RankedRoute;
+  readonly route: PrioritizedRoute;
+  /** Hash of its key; undefined for a request without one. */
   readonly key: number | undefined;
   /** Size of its body. */
   readonly bodyBytes: number;
-  /** Time by which an answer has its full worth. */
+  /** Time until which the answer meets the route's target latency. */
   readonly targetMs: number;
-  /** Time at which the caller gets its final answer at the latest. */
+  /** Deadline: time at which the caller gets its final answer at the latest. */
   readonly answerByMs: number;
-  /** Servers that it was sent to already. */
+  /** Servers that it was already sent to. */
   readonly tried: ReadonlySet<contracts.ServerId>;
+  /** The request is to be sent. */
   placed(placement: Placement): void;
+  /** The request is not sent; it has left the queue. */
   refused(refusal: Refusal): void;
 }
--- a/packages/entry/src/gateway/cold_starts.ts
+++ b/packages/entry/src/gateway/cold_starts.ts
@@ -39,12 +39,12 @@
 
   /** For requests that this VM sends without asking another. */
   shared(service: contracts.ServiceId): admission.ColdStartLimit {
-    return this.#create(service, admission.EQUAL_PARTS);
+    return this.#create(service, admission.EQUAL_SHARES);
   }
 
   /** For slots that this VM gives out to all others. */
   coordinated(service: contracts.ServiceId): admission.ColdStartLimit {
-    return this.#create(service, admission.COORDINATOR_PARTS);
+    return this.#create(service, admission.COORDINATOR_SHARES);
   }
 
   #create(
@@ -54,11 +54,11 @@
     const { bound, config, registry } = this.#options;
     return new admission.ColdStartLimit({
       bound,
-      parts,
+      rateShares: parts,
       coldUntilMs: (server) => registry.coldUntilMs(server),
       requestsPerSecond: () =>
         config.service(service)?.coldStart?.requestsPerSecond,
-      placeOf: (server) => this.#placeOf(server),
+      rankOf: (server) => this.#placeOf(server),
     });
   }
 
--- a/packages/entry/src/gateway/forwarded_request.ts
+++ b/packages/entry/src/gateway/forwarded_request.ts
@@ -130,11 +130,11 @@
   }
 
   async #send(
-    { load, outstanding, fence, ended }: admission.Placement,
+    { load, outstanding, fence, releaseSlot: ended }: admission.Placement,
     nowMs: number,
   ): Promise<void> {
     const { entry } = load;
-    const noteEnd = load.begin(nowMs);
+    const noteEnd = load.startRequest(nowMs);
     this.#parts.noteLoad();
     const leftMs = this.answerByMs - nowMs;
     this.#isSending = true;
@@ -162,13 +162,13 @@
     const hasFreeSlots = outstanding < entry.slots;
     const isServed = end.kind === "answered" && !end.isFailure;
     if (isServed && hasFreeSlots) {
-      this.#parts.times.note(this.route, entry.server, endedMs - nowMs);
+      this.#parts.times.record(this.route, entry.server, endedMs - nowMs);
     }
     ended?.(isServed ? endedMs - nowMs : undefined);
     this.#parts.noteLoad();
     this.#take(result, entry.server);
     // A keyed server's slot goes back to its coordinator, not to this queue.
-    if (!this.#isOwned()) this.#parts.queue.pump(endedMs);
+    if (!this.#isOwned()) this.#parts.queue.dispatch(endedMs);
   }
 
   #linkRequest(entry: contracts.ServerEntry, leftMs: number): LinkRequest {
@@ -185,7 +185,7 @@
     };
   }
 
-  #sendEnd(result: LinkResult): admission.SendEnd {
+  #sendEnd(result: LinkResult): admission.SendOutcome {
     if (this.#isDone) return { kind: "abandoned" };
     if (result.kind === "answer") {
       return { kind: "answered", isFailure: isFailure(result.answer.status) };
@@ -276,7 +276,7 @@
     const leftMs = this.answerByMs - this.#parts.clock.nowMs();
     const neededMs = Math.max(
       MIN_REPEAT_MS,
-      this.#parts.times.routeMs(this.route) * MIN_REPEAT_TIME_PART,
+      this.#parts.times.estimateMs(this.route) * MIN_REPEAT_TIME_PART,
     );
     return !this.#isDone && this.#sends < this.route.attemptLimit &&
       leftMs > neededMs;
@@ -303,7 +303,7 @@
 
   #onTimeout(): void {
     if (this.#isDone) return;
-    const wasWaiting = this.#parts.queue.withdraw(this);
+    const wasWaiting = this.#parts.queue.cancel(this);
     if (wasWaiting) {
       this.#queuedMs += this.#parts.clock.nowMs() - this.#waitingSinceMs;
       return this.#giveUp("timed out while waiting", MOVED_RETRY_AFTER_MS);
@@ -319,7 +319,7 @@
 
   readonly #onCallerGone = (): void => {
     if (this.#isDone) return;
-    this.#parts.queue.withdraw(this);
+    this.#parts.queue.cancel(this);
     this.#finish(
       { kind: "own", status: 499, message: "The caller has gone" },
       "caller gone",
--- a/packages/entry/src/gateway/forwarder.ts
+++ b/packages/entry/src/gateway/forwarder.ts
@@ -87,7 +87,7 @@
     options.config.onChange(() => this.#followConfig());
     options.registry.onChange(() => this.#followServers());
     options.grants.onChange((service) =>
-      this.#services.get(service)?.queue.pump(options.clock.nowMs())
+      this.#services.get(service)?.queue.dispatch(options.clock.nowMs())
     );
     options.gossip.onMembers(() => this.#followMembers());
     options.gossip.onStatus((status) => this.#takeStatus(status));
@@ -122,12 +122,12 @@
     const service = active.table.draw(route);
     const part = this.#part(service);
     const nowMs = this.#options.clock.nowMs();
-    const isOverloaded = admission.isLateByLag({
+    const isOverloaded = admission.shouldShedForLag({
       lagMs: request.lagMs,
       nowMs,
       arrivedMs: request.arrivedMs,
       targetLatencyMs: route.targetLatencyMs,
-      serviceMs: part.times.routeMs(route),
+      serviceMs: part.times.estimateMs(route),
     });
     if (isOverloaded) {
       this.#overloadLine.note(nowMs, {
@@ -137,7 +137,7 @@
       });
       return Promise.resolve(overloadAnswer(this.#options.random));
     }
-    part.budget.noteRequest(nowMs);
+    part.budget.recordRequest(nowMs);
     if (part.isKeyed && request.key !== undefined) {
       this.#options.grants.noteRequest(service, request.key);
     }
@@ -163,7 +163,7 @@
   capacity(entry: contracts.ServerEntry, toldFactor?: number): number {
     const times = this.#services.get(entry.service)?.times;
     const meanMs = times?.meanMs ?? DEFAULT_SERVICE_MS;
-    const factor = toldFactor ?? times?.factor(entry.server) ?? 1;
+    const factor = toldFactor ?? times?.latencyFactor(entry.server) ?? 1;
     return entry.slots * 1000 / Math.max(1, meanMs * factor);
   }
 
@@ -181,7 +181,7 @@
     for (const [service, { queue, isKeyed }] of this.#services) {
       // Coordinators know what their keyed servers have.
       if (isKeyed) continue;
-      for (const [server, { own }] of queue.loads) {
+      for (const [server, { ownInFlight: own }] of queue.loads) {
         if (own > 0) loads[server] = own;
       }
       if (queue.waiting > 0) waiting[service] = queue.waiting;
@@ -232,7 +232,7 @@
     const load = queue.loads.get(server);
     if (isKeyed || slowdownRatio === undefined || load === undefined) return;
     const change = slowdownRatio / load.slowdownRatio(nowMs);
-    load.noteSpeed({ slowdownRatio, atMs: nowMs });
+    load.recordSpeed({ slowdownRatio, atMs: nowMs });
     const isTold = change > SPEED_UPDATE_RATIO ||
       change < 1 / SPEED_UPDATE_RATIO;
     if (!isTold) return;
@@ -283,7 +283,7 @@
         ? {
           ownerOf: (key) => grants.ownerOf(service, key),
           slots: slots.source({
-            place: (request) => queue.placeGiven(request, clock.nowMs()),
+            place: (request) => queue.placeGranted(request, clock.nowMs()),
             refuse: (request, refusal) => queue.refuse(request, refusal),
           }),
         }
@@ -338,7 +338,7 @@
     const { registry, links, clock } = this.#options;
     for (const [service, part] of this.#services) {
       this.#setServers(service, part);
-      part.queue.pump(clock.nowMs());
+      part.queue.dispatch(clock.nowMs());
     }
     links.keepOnly(registry.ids());
   }
@@ -361,7 +361,7 @@
   #takeLoads({ vm, loads, slowdowns }: LoadNews): void {
     const atMs = this.#options.clock.nowMs();
     for (const [server, slowdownRatio] of Object.entries(slowdowns ?? {})) {
-      this.#find(server)?.load.noteSpeed({ slowdownRatio, atMs });
+      this.#find(server)?.load.recordSpeed({ slowdownRatio, atMs });
     }
     this.#notePeerLoads(vm, loads);
     const told = this.#serversByPeer.get(vm) ?? new Set();
@@ -376,10 +376,10 @@
     for (const [server, outstanding] of Object.entries(loads)) {
       const found = this.#find(server);
       if (found === undefined) continue;
-      found.load.noteTold(vm, { outstanding, atMs: nowMs });
+      found.load.recordPeerLoad(vm, { outstanding, reportedMs: nowMs });
       changed.add(found.queue);
     }
-    for (const queue of changed) queue.pump(nowMs);
+    for (const queue of changed) queue.dispatch(nowMs);
   }
 
   /** A server that a peer has named, with the queue of its service. */
@@ -407,8 +407,8 @@
     let isWaited = false;
     for (const { queue } of this.#services.values()) {
       if (queue.waiting === 0) continue;
-      queue.pump(nowMs);
-      queue.review(nowMs);
+      queue.dispatch(nowMs);
+      queue.refuseExpired(nowMs);
       isWaited ||= queue.waiting > 0;
     }
     if (!isWaited) this.#reviewing?.setIntervalMs(Number.POSITIVE_INFINITY);
--- a/packages/entry/src/gateway/slot_task.ts
+++ b/packages/entry/src/gateway/slot_task.ts
@@ -45,11 +45,11 @@
 /** The task that speaks with the coordinators, and is one. */
 export class SlotTask {
   readonly #options: SlotTaskOptions;
-  readonly #asks: admission.SlotAsks;
+  readonly #asks: admission.SlotClient;
   readonly #coordinator: admission.SlotCoordinator;
   readonly #order: grants.DutyOrder;
   /** Answers of the own coordinator, not sent yet. */
-  readonly #words = new Map<contracts.VmId, admission.SlotWord[]>();
+  readonly #words = new Map<contracts.VmId, admission.SlotReply[]>();
   readonly #callers = new Map<admission.WaitingRequest, SlotCaller>();
   #work: RegularWork | undefined;
   /** What changes in one turn of the event loop leaves together. */
@@ -59,17 +59,17 @@
     this.#options = options;
     const { gossip, zone, random, hasher, vm } = options;
     this.#order = new grants.DutyOrder(hasher);
-    this.#asks = new admission.SlotAsks({
+    this.#asks = new admission.SlotClient({
       vm,
       coordinatorOf: (server, silent) => this.#coordinatorOf(server, silent),
       onMessage: () => this.#flushing.schedule(),
-      onGiven: (request) => this.#callers.get(request)?.place(request),
+      onGranted: (request) => this.#callers.get(request)?.place(request),
       onRefused: (request, refusal) => {
         const caller = this.#callers.get(request);
         this.#callers.delete(request);
         caller?.refuse(request, refusal);
       },
-      onSilent: (coordinator) =>
+      onUnresponsive: (coordinator) =>
         options.log.warn("Leaves out a VM that gives out slots: no answer.", {
           peer: coordinator,
         }),
@@ -77,7 +77,7 @@
     this.#coordinator = new admission.SlotCoordinator({
       zone,
       random,
-      decide: (decision) => this.#decide(decision),
+      onDecision: (decision) => this.#decide(decision),
       coldStartsOf: (service) => options.coldStarts.coordinated(service),
     });
     options.registry.onChange(() =>
@@ -100,38 +100,41 @@
     this.#work = lifeCycle.every(IDLE_TICK_MS, () => {
       const nowMs = this.#options.clock.nowMs();
       this.#asks.tick(nowMs);
-      this.#coordinator.review(nowMs);
+      this.#coordinator.sweep(nowMs);
       this.#followLoad();
     });
   }
 
   #followLoad(): void {
-    const isIdle = this.#asks.isIdle && !this.#coordinator.isWaited;
+    const isIdle = this.#asks.isIdle && !this.#coordinator.hasPending;
     this.#work?.setIntervalMs(isIdle ? IDLE_TICK_MS : TICK_MS);
   }
 
   /** Slots for the requests of one queue. */
   source(caller: SlotCaller): admission.SlotSource {
     return {
-      take: (request, load, nowMs) => {
+      tryAcquire: (request, load, nowMs) => {
         this.#callers.set(request, caller);
-        const ownRequests = load.own;
-        return this.#asks.take(request, load.entry, { ownRequests, nowMs });
+        const ownRequests = load.ownInFlight;
+        return this.#asks.tryAcquire(request, load.entry, {
+          ownRequests,
+          nowMs,
+        });
       },
-      begin: (request) => {
+      markInUse: (request) => {
         this.#callers.delete(request);
-        return this.#asks.begin(request);
+        return this.#asks.markInUse(request);
       },
-      withdraw: (request) => {
+      cancel: (request) => {
         this.#callers.delete(request);
-        this.#asks.withdraw(request);
+        this.#asks.cancel(request);
       },
     };
   }
 
   /** How much longer than average each server takes, as this coordinator sees it. */
   factors(service: contracts.ServiceId): Map<contracts.ServerId, number> {
-    return this.#coordinator.factors(service);
+    return this.#coordinator.latencyFactors(service);
   }
 
   /**
@@ -164,7 +167,7 @@
   #flush(): void {
     this.#followLoad();
     const { vm, gossip } = this.#options;
-    for (const [coordinator, message] of this.#asks.takeMessages()) {
+    for (const [coordinator, message] of this.#asks.drainMessages()) {
       const asks = this.#encodeAsks(message);
       if (coordinator === vm) this.#takeAsks(asks);
       else gossip.send(messages.SLOT_ASKS_METHOD, asks, [coordinator]);
@@ -179,7 +182,7 @@
   }
 
   #encodeAsks(
-    { wishes, ended, held }: admission.SlotMessage,
+    { requests: wishes, ended, held }: admission.CoordinatorMessage,
   ): messages.SlotAsks {
     const { vm, clock } = this.#options;
     const nowMs = clock.nowMs();
@@ -198,10 +201,10 @@
   #takeAsks({ vm, wishes, ended, held }: messages.SlotAsks): void {
     const nowMs = this.#options.clock.nowMs();
     for (const [id, tookMs] of ended) {
-      this.#coordinator.end(vm, id, { tookMs: tookMs ?? undefined, nowMs });
+      this.#coordinator.release(vm, id, { tookMs: tookMs ?? undefined, nowMs });
     }
     for (const [slot, targetLeftMs, answerLeftMs] of wishes) {
-      this.#coordinator.wish({
+      this.#coordinator.request({
         ...decodeSlot(slot),
         vm,
         targetMs: nowMs + targetLeftMs,
@@ -209,11 +212,11 @@
       }, nowMs);
     }
     if (held === null) return;
-    this.#coordinator.noteHeld(vm, held.map(decodeSlot), nowMs);
+    this.#coordinator.reconcileHeld(vm, held.map(decodeSlot), nowMs);
   }
 
   #takeWords({ vm, given, queued, refused }: messages.SlotWords): void {
-    const words: admission.SlotWord[] = [
+    const words: admission.SlotReply[] = [
       ...given.map((id) => ({ id, kind: "given" as const })),
       ...queued.map((id) => ({ id, kind: "queued" as const })),
       ...refused.map(([id, reason, retryAfterMs, expectedWaitMs]) => ({
@@ -222,7 +225,7 @@
         refusal: { reason, retryAfterMs, expectedWaitMs },
       })),
     ];
-    this.#asks.noteWords(vm, words, this.#options.clock.nowMs());
+    this.#asks.handleReplies(vm, words, this.#options.clock.nowMs());
   }
 
   #decide({ vm, ...word }: admission.SlotDecision): void {
@@ -259,9 +262,9 @@
 
 function encodeWords(
   vm: contracts.VmId,
-  words: readonly admission.SlotWord[],
+  words: readonly admission.SlotReply[],
 ): messages.SlotWords {
-  const idsOf = (wanted: admission.SlotWord["kind"]) =>
+  const idsOf = (wanted: admission.SlotReply["kind"]) =>
     words.filter(({ kind }) => kind === wanted).map(({ id }) => id);
   return {
     vm,
