--- a/packages/decisions/src/routing/caller_limits.ts
+++ b/packages/decisions/src/routing/caller_limits.ts
@@ -1,13 +1,13 @@
 /**
- * Rate limits for each partner and for each of its callers, so that one
- * tenant's burst is refused at the door and leaves the rest alone.
+ * Rate limits for each partner and each of its callers, so that one tenant's
+ * burst is refused on arrival and does not affect the others.
  */
 import type * as contracts from "@guavatide/contracts";
 import { TokenBucket } from "./token_bucket.ts";
 
-/** Callers whose state is kept; the longest unseen is dropped beyond that. */
-const CALLERS_KEPT = 10_000;
-/** Part of the partner's rate and burst that one caller may take. */
+/** Callers whose state is kept; beyond that the least recently seen is evicted. */
+const MAX_CALLERS = 10_000;
+/** Fraction of the partner's rate and burst that one caller may use. */
 const CALLER_SHARE = 0.5;
 
 /** Answer of {@link CallerLimits.admit}. */
@@ -24,7 +24,7 @@
   readonly #partners = new Map<contracts.PartnerId, TokenBucket>();
   readonly #callers = new Map<string, TokenBucket>();
 
-  /** Takes a token of the caller and one of its partner, or neither. */
+  /** Takes one token of the caller and one of its partner, or none at all. */
   admit(
     partner: contracts.Partner,
     caller: string,
@@ -37,7 +37,7 @@
     }
     const partnerBucket = this.#partnerBucket(partner, nowMs);
     if (partnerBucket.tryTake(nowMs)) return { kind: "admitted" };
-    callerBucket.giveBack();
+    callerBucket.refund();
     const retryAfterMs = partnerBucket.waitMs(nowMs);
     return { kind: "limited", by: "partner", retryAfterMs };
   }
@@ -71,11 +71,11 @@
     const bucket = found ?? new TokenBucket(options, nowMs);
     if (found !== undefined) {
       found.configure(options);
-      // Moved to the end of the map, whose first entry is the longest unseen.
+      // Moved to the end of the map, whose first entry is the least recently seen.
       this.#callers.delete(name);
     }
     this.#callers.set(name, bucket);
-    if (this.#callers.size > CALLERS_KEPT) {
+    if (this.#callers.size > MAX_CALLERS) {
       const [oldest] = this.#callers.keys();
       this.#callers.delete(oldest!);
     }
--- a/packages/decisions/src/routing/fair_queue.ts
+++ b/packages/decisions/src/routing/fair_queue.ts
@@ -1,23 +1,23 @@
 /**
- * A queue that is fair between tenants and, within a tenant, serves
- * the earliest deadline first. When it has grown too long, the tenant with the
- * most waiting requests loses its latest one, so that one tenant's burst
- * displaces only its own requests.
+ * A queue that serves tenants round-robin and, within a tenant, the earliest
+ * deadline first. If it grows too long, the tenant with the most requests loses
+ * its latest one, so that one tenant's burst evicts only its own requests.
  */
 
-/** What the queue needs to know of an item. */
+/** An item of a {@link FairQueue}. */
 export interface Queued {
   readonly tenant: string;
-  /** Monotonic time after which the item is of no use. */
+  /** Monotonic time by which the item must be served. */
   readonly deadlineMs: number;
 }
 
-/** A fair, deadline-ordered queue; its user bounds it with `displace`. */
+/** A fair, deadline-ordered queue; its user limits its length with `evict`. */
 export class FairQueue<T extends Queued> {
-  /** Tenants in the order of their turn; each list is sorted by deadline. */
+  /** Tenants in round-robin order; each list is sorted by deadline. */
   readonly #tenants = new Map<string, T[]>();
   #size = 0;
 
+  /** Number of queued items of all tenants. */
   get size(): number {
     return this.#size;
   }
@@ -32,24 +32,24 @@
     this.#size++;
   }
 
-  /** Takes out the latest item of the tenant with the most items. */
-  displace(): T | undefined {
+  /** Removes and returns the latest item of the tenant with the most items. */
+  evict(): T | undefined {
     let longest: T[] = [];
     for (const items of this.#tenants.values()) {
       if (items.length >= longest.length) longest = items;
     }
-    const displaced = longest.at(-1);
-    if (displaced !== undefined) this.remove(displaced);
-    return displaced;
+    const evicted = longest.at(-1);
+    if (evicted !== undefined) this.remove(evicted);
+    return evicted;
   }
 
-  /** The item whose turn it is, left in place. */
+  /** Returns the next item without removing it. */
   peek(): T | undefined {
     for (const items of this.#tenants.values()) return items[0];
     return undefined;
   }
 
-  /** Takes out the item whose turn it is and ends its tenant's turn. */
+  /** Removes and returns the next item; its tenant goes to the end of the order. */
   shift(): T | undefined {
     const item = this.peek();
     if (item === undefined) return undefined;
@@ -62,7 +62,7 @@
     return item;
   }
 
-  /** Takes out an item wherever it stands. Returns whether it was there. */
+  /** Removes an item at any position; false if it is not queued. */
   remove(item: T): boolean {
     const items = this.#tenants.get(item.tenant);
     const index = items?.indexOf(item) ?? -1;
--- a/packages/decisions/src/routing/fair_queue_test.ts
+++ b/packages/decisions/src/routing/fair_queue_test.ts
@@ -6,7 +6,7 @@
   return { tenant, deadlineMs };
 }
 
-test("should serve tenants in turn and the earliest deadline of each", () => {
+test("should serve tenants round-robin, each by earliest deadline", () => {
   const queue = new FairQueue<ReturnType<typeof item>>();
   queue.push(item("anchor", 30));
   queue.push(item("anchor", 10));
@@ -17,15 +17,15 @@
   expect(queue.shift()).toEqual(undefined);
 });
 
-test("should let a burst displace only its own tenant's requests", () => {
-  // The anchor customer books dozens of hours at once. A host's single
-  // request that waits beside them must not be the one that is refused.
+test("should let a burst evict only its own tenant's requests", () => {
+  // One tenant queues many requests at once. Another tenant's single request
+  // must not be evicted for them.
   const queue = new FairQueue<ReturnType<typeof item>>();
   queue.push(item("host", 900));
   for (let deadlineMs = 1; deadlineMs <= 8; deadlineMs++) {
     queue.push(item("anchor", deadlineMs));
     if (queue.size <= 4) continue;
-    expect(queue.displace()!.tenant).toEqual("anchor");
+    expect(queue.evict()!.tenant).toEqual("anchor");
   }
   expect([...queue.items()].some(({ tenant }) => tenant === "host")).toEqual(
     true,
--- a/packages/decisions/src/routing/least_outstanding_choice.ts
+++ b/packages/decisions/src/routing/least_outstanding_choice.ts
@@ -1,9 +1,9 @@
-/** Takes the server with the fewest own requests in flight. A baseline. */
+/** Load balancing to the server with the fewest requests in flight. */
 import type * as contracts from "@guavatide/contracts";
-import type { Candidate, ServerChoice } from "./server_choice.ts";
+import type { Candidate, LoadBalancer } from "./server_choice.ts";
 
-/** Least outstanding by this process's own count; ties fall by chance. */
-export class LeastOutstandingChoice implements ServerChoice {
+/** Least requests in flight from this process, by weight; ties break randomly. */
+export class LeastOutstandingBalancer implements LoadBalancer {
   choose(
     candidates: readonly Candidate[],
     random: contracts.RandomSource,
--- a/packages/decisions/src/routing/limits_test.ts
+++ b/packages/decisions/src/routing/limits_test.ts
@@ -12,7 +12,7 @@
   burstRequests: 10,
 };
 
-test("should leave a partner's other callers their part in a burst", () => {
+test("should leave a partner's other callers their share during a burst", () => {
   const limits = new CallerLimits();
   const kinds = Array.from(
     { length: 8 },
@@ -29,18 +29,18 @@
   expect(limits.admit(PARTNER, "anchor", 200).kind).toEqual("admitted");
 });
 
-test("should bound a queue by the wait of its last request", () => {
+test("should limit a queue by the wait of its last request", () => {
   const limit = new QueueLimit();
   expect(limit.limit(64)).toEqual(64);
   for (let nowMs = 0; nowMs <= 100; nowMs += 5) {
-    limit.noteAnswered(20, { nowMs, isWaiting: true });
+    limit.recordAnswer(20, { nowMs, isWaiting: true });
   }
-  // One attempt of 20 ms at one answer each 5 ms.
+  // A wait of one 20 ms attempt, at one answer every 5 ms.
   expect(limit.limit(64)).toEqual(4);
   expect(limit.drainMs(4)).toEqual(20);
 });
 
-test("should move only the jobs of a member that left", () => {
+test("should move only the jobs of a member that leaves", () => {
   const hash = (text: string) => [...text].reduce(mix, 7);
   const members = ["a", "b", "c", "d"] as contracts.VmId[];
   for (let job = 0; job < 50; job++) {
--- a/packages/decisions/src/routing/mod.ts
+++ b/packages/decisions/src/routing/mod.ts
@@ -1,4 +1,4 @@
-/** Rules of the request path: choice, queueing, limits and retries. */
+/** Request path: load balancing, queueing, rate limits and retries. */
 export * from "./caller_limits.ts";
 export * from "./fair_queue.ts";
 export * from "./least_outstanding_choice.ts";
--- a/packages/decisions/src/routing/outlier_ejection.ts
+++ b/packages/decisions/src/routing/outlier_ejection.ts
@@ -1,73 +1,73 @@
 /**
- * Takes a server out of use on evidence from its own answers, and lets it
- * back by a probe and then a single request. Health reports lag or mislead,
- * and a frozen server accepts connections and bytes as a healthy one does;
- * only answers count.
+ * Outlier detection: ejects a server that fails to answer requests, and returns
+ * it after a probe and then a single trial request. Health reports are delayed
+ * or wrong, and a frozen server still accepts connections and bytes, so only
+ * its answers to requests count.
  */
 
-/** Failures in a row after which a server is out. */
-const FAILURES_IN_A_ROW = 3;
-/** Time without any answer, with requests waiting, that hints at a freeze. */
-const SILENCE_MS = 400;
-/** First time out after failures; doubled with each further one. */
-const FIRST_EJECTION_MS = 500;
-/** Longest time out between two probes. */
-const LONGEST_EJECTION_MS = 8000;
+/** Consecutive failures after which a server is ejected. */
+const CONSECUTIVE_FAILURES = 3;
+/** Time without any answer, with requests in flight, that suggests a freeze. */
+const UNRESPONSIVE_MS = 400;
+/** First ejection after failures; doubled with each further one. */
+const MIN_EJECTION_MS = 500;
+/** Longest ejection before the next probe. */
+const MAX_EJECTION_MS = 8000;
 
 /**
- * Where a server stands: `ejected` until a probe is due, `probing` while one
- * is on its way, `on-trial` while it gets one request at a time.
+ * State of a server: `ejected` until a probe is due, `probing` while a probe is
+ * in flight, `on-trial` while it gets one request at a time.
  */
 export type EjectionState = "in-use" | "ejected" | "probing" | "on-trial";
 
-/** Evidence about one server. */
+/** Ejection state of one server. */
 export class OutlierEjection {
   #state: EjectionState = "in-use";
   #failures = 0;
   #lastAnswerMs = -Infinity;
   #ejections = 0;
   #ejectedUntilMs = -Infinity;
-  /** Ejected for its silence alone, not for a failed request. */
-  #isMerelySilent = false;
+  /** Ejected only because it was unresponsive, not for failed requests. */
+  #isOnlyUnresponsive = false;
 
   get state(): EjectionState {
     return this.#state;
   }
 
-  /** The server answered a request or refused it. */
-  noteAnswer(nowMs: number): void {
+  /** Records that the server answered a request or refused it. */
+  recordAnswer(nowMs: number): void {
     this.#state = "in-use";
     this.#failures = 0;
     this.#ejections = 0;
     this.#lastAnswerMs = nowMs;
   }
 
-  /** An attempt ended without an answer. Returns whether it ejected. */
-  noteFailure(nowMs: number): boolean {
+  /** Records an attempt without an answer. Returns whether the server is ejected. */
+  recordFailure(nowMs: number): boolean {
     this.#failures++;
-    const isOut = this.#state === "ejected" || this.#state === "probing";
-    if (isOut) return false;
-    const isEnough = this.#state === "on-trial" ||
-      this.#failures >= FAILURES_IN_A_ROW;
-    if (isEnough) this.#ejectFor(this.#nextTimeOutMs(), nowMs);
-    return isEnough;
+    const isEjected = this.#state === "ejected" || this.#state === "probing";
+    if (isEjected) return false;
+    const mustEject = this.#state === "on-trial" ||
+      this.#failures >= CONSECUTIVE_FAILURES;
+    if (mustEject) this.#ejectFor(this.#nextEjectionMs(), nowMs);
+    return mustEject;
   }
 
   /**
-   * Looks for a freeze: requests are in flight, the oldest was sent long ago
-   * and nothing at all came back since. The probe is due at once, since the
-   * requests may merely be long. Returns whether it ejected.
+   * Ejects the server if it may be frozen: requests are in flight, the oldest
+   * was sent long ago and nothing was answered since. A probe is due at once, as
+   * the requests may just be slow. Returns whether the server is ejected.
    */
-  noteWaiting(oldestSentMs: number, nowMs: number): boolean {
+  detectFreeze(oldestSentMs: number, nowMs: number): boolean {
     if (this.#state !== "in-use") return false;
-    const since = Math.max(oldestSentMs, this.#lastAnswerMs);
-    if (nowMs - since < SILENCE_MS) return false;
+    const sinceMs = Math.max(oldestSentMs, this.#lastAnswerMs);
+    if (nowMs - sinceMs < UNRESPONSIVE_MS) return false;
     this.#ejectFor(0, nowMs);
-    this.#isMerelySilent = true;
+    this.#isOnlyUnresponsive = true;
     return true;
   }
 
-  /** Whether one probe may be sent now; it counts as sent. */
+  /** Returns whether a probe is due; if so it counts as sent. */
   tryProbe(nowMs: number): boolean {
     const isDue = this.#state === "ejected" && nowMs >= this.#ejectedUntilMs;
     if (isDue) this.#state = "probing";
@@ -75,29 +75,30 @@
   }
 
   /**
-   * A probe ended. An answer shows that the process runs, which is all that
-   * was in doubt after a silence: its requests are merely long. It does not
-   * show that requests are served, so after failures one is tried alone.
+   * Records the result of a probe. An answer shows that the process runs, which
+   * suffices for a server that was only unresponsive: its requests are slow. It
+   * does not show that requests are served, so after failures a single request
+   * is tried first.
    */
-  noteProbe(isAnswered: boolean, nowMs: number): void {
+  recordProbe(isAnswered: boolean, nowMs: number): void {
     if (this.#state !== "probing") return;
     if (!isAnswered) {
-      this.#ejectFor(this.#nextTimeOutMs(), nowMs);
+      this.#ejectFor(this.#nextEjectionMs(), nowMs);
       return;
     }
-    this.#state = this.#isMerelySilent ? "in-use" : "on-trial";
+    this.#state = this.#isOnlyUnresponsive ? "in-use" : "on-trial";
     this.#lastAnswerMs = nowMs;
   }
 
-  #nextTimeOutMs(): number {
-    const timeOutMs = FIRST_EJECTION_MS * 2 ** this.#ejections;
+  #nextEjectionMs(): number {
+    const ejectionMs = MIN_EJECTION_MS * 2 ** this.#ejections;
     this.#ejections++;
-    return Math.min(LONGEST_EJECTION_MS, timeOutMs);
+    return Math.min(MAX_EJECTION_MS, ejectionMs);
   }
 
-  #ejectFor(timeOutMs: number, nowMs: number): void {
+  #ejectFor(ejectionMs: number, nowMs: number): void {
     this.#state = "ejected";
-    this.#isMerelySilent = false;
-    this.#ejectedUntilMs = nowMs + timeOutMs;
+    this.#isOnlyUnresponsive = false;
+    this.#ejectedUntilMs = nowMs + ejectionMs;
   }
 }
--- a/packages/decisions/src/routing/policies.ts
+++ b/packages/decisions/src/routing/policies.ts
@@ -1,32 +1,32 @@
-/** The names by which a service object selects how requests are spread. */
-import { LeastOutstandingChoice } from "./least_outstanding_choice.ts";
-import { PowerOfTwoChoice } from "./power_of_two_choice.ts";
-import { RoundRobinChoice } from "./round_robin_choice.ts";
-import type { ServerChoice } from "./server_choice.ts";
+/** Names of the load balancing policies in the configuration of a service. */
+import { LeastOutstandingBalancer } from "./least_outstanding_choice.ts";
+import { PowerOfTwoBalancer } from "./power_of_two_choice.ts";
+import { RoundRobinBalancer } from "./round_robin_choice.ts";
+import type { LoadBalancer } from "./server_choice.ts";
 
-/** Names of the policies that choose by what one entry VM knows. */
+/** Policies that need only the local state of one entry VM. */
 export const LOCAL_POLICIES = [
   "round-robin",
   "least-outstanding",
   "power-of-two",
 ] as const;
-/** A policy that needs no other entry VM. */
+/** One of {@link LOCAL_POLICIES}. */
 export type LocalPolicy = typeof LOCAL_POLICIES[number];
 
-/** The policy that asks one entry VM for each slot. */
+/** Policy by which a single entry VM grants all slots of the service. */
 export const DISPATCHED_POLICY = "dispatched";
 
-/** The policy of a service that names none. */
+/** Policy of a service whose configuration names none. */
 export const DEFAULT_POLICY = "power-of-two";
 
-/** Creates a choice by name; an unknown name gives the default. */
-export function createServerChoice(policy: string | undefined): ServerChoice {
+/** Creates a load balancer by policy name; the default for an unknown name. */
+export function createLoadBalancer(policy: string | undefined): LoadBalancer {
   switch (policy) {
     case "round-robin":
-      return new RoundRobinChoice();
+      return new RoundRobinBalancer();
     case "least-outstanding":
-      return new LeastOutstandingChoice();
+      return new LeastOutstandingBalancer();
     default:
-      return new PowerOfTwoChoice();
+      return new PowerOfTwoBalancer();
   }
 }
--- a/packages/decisions/src/routing/power_of_two_choice.ts
+++ b/packages/decisions/src/routing/power_of_two_choice.ts
@@ -1,15 +1,15 @@
 /**
- * Takes the better of two servers drawn by chance, by the load that the
- * servers themselves reported in recent answers.
+ * Load balancing by the power of two choices: the less loaded of two random
+ * servers, by the load that they reported in recent answers.
  */
 import type * as contracts from "@guavatide/contracts";
-import type { Candidate, ServerChoice } from "./server_choice.ts";
+import type { Candidate, LoadBalancer } from "./server_choice.ts";
 
-/** Reports older than this say nothing about servers of a few slots. */
-const REPORT_LIFE_MS = 200;
+/** Older reports say nothing about the load of servers with only a few slots. */
+const REPORT_TTL_MS = 200;
 
-/** The better of two by fresh reports. */
-export class PowerOfTwoChoice implements ServerChoice {
+/** The less loaded of two random servers. */
+export class PowerOfTwoBalancer implements LoadBalancer {
   choose(
     candidates: readonly Candidate[],
     random: contracts.RandomSource,
@@ -24,12 +24,12 @@
 }
 
 /**
- * Load of a server for each of its slots, from its last report when that is
- * fresh, else from this process's own requests.
+ * Estimates a server's load per slot: from its last report if that is fresh,
+ * otherwise from this process's own requests in flight.
  */
 export function estimateLoad(candidate: Candidate): number {
   const isFresh = candidate.reportedInFlight !== undefined &&
-    candidate.reportAgeMs <= REPORT_LIFE_MS;
+    candidate.reportAgeMs <= REPORT_TTL_MS;
   const inFlight = isFresh
     ? candidate.reportedInFlight!
     : candidate.localInFlight;
--- a/packages/decisions/src/routing/queue_limit.ts
+++ b/packages/decisions/src/routing/queue_limit.ts
@@ -1,63 +1,64 @@
 /**
- * Bounds a queue by the time that its last request would wait. A bound by
- * count alone is too long for slow requests and too short for quick ones:
- * under overload every admitted request would then wait for the whole queue.
+ * Limits a queue by the time that its last request would wait. A fixed length
+ * is too long for slow requests and too short for fast ones: under overload
+ * every admitted request would wait for the whole queue.
  */
 
-/** Weight of the newest sample in the running means. */
+/** Weight of a new sample in the moving averages. */
 const SAMPLE_WEIGHT = 0.05;
-/** Longest wait worth queueing for, in mean attempt times. */
-const WAIT_IN_ATTEMPTS = 1;
-/** Shortest wait worth queueing for. */
-const LEAST_WAIT_MS = 10;
-/** Requests that may always wait, so that a pause in load can be bridged. */
-const LEAST_LIMIT = 2;
-/** A longer gap between two answers says nothing of the pace. */
-const LONGEST_GAP_MS = 1000;
+/** Longest wait to queue for, in mean attempt times. */
+const MAX_WAIT_ATTEMPTS = 1;
+/** The wait to queue for is never shorter than this. */
+const MIN_WAIT_MS = 10;
+/** Requests that may always queue, to cover short gaps between arrivals. */
+const MIN_LIMIT = 2;
+/** A longer gap between two answers says nothing about throughput. */
+const MAX_GAP_MS = 1000;
 
-/** Learns how quickly a queue drains and bounds its length by that. */
+/** Measures how fast a queue drains and limits its length accordingly. */
 export class QueueLimit {
   #gapMs: number | undefined;
   #attemptMs: number | undefined;
   #answeredMs: number | undefined;
 
   /**
-   * An attempt was answered. Only answers are counted: a request that bounces
-   * off full servers leaves the queue often without making it shorter.
+   * Records the answer to an attempt that took `attemptMs`. Only answers count:
+   * a request that full servers refuse is queued again, so its leaving the queue
+   * does not shorten it.
    */
-  noteAnswered(
+  recordAnswer(
     attemptMs: number,
     options: {
       readonly nowMs: number;
-      /** Whether requests wait, so that the next answer tells the pace. */
+      /** Whether requests are queued, so that the next gap shows the throughput. */
       readonly isWaiting: boolean;
     },
   ): void {
     const { nowMs, isWaiting } = options;
-    this.#attemptMs = mean(this.#attemptMs, attemptMs);
+    this.#attemptMs = movingAverage(this.#attemptMs, attemptMs);
     const lastMs = this.#answeredMs;
     this.#answeredMs = isWaiting ? nowMs : undefined;
-    if (lastMs === undefined || nowMs - lastMs > LONGEST_GAP_MS) return;
-    this.#gapMs = mean(this.#gapMs, nowMs - lastMs);
+    if (lastMs === undefined || nowMs - lastMs > MAX_GAP_MS) return;
+    this.#gapMs = movingAverage(this.#gapMs, nowMs - lastMs);
   }
 
-  /** Requests that may wait, at most `mostRequests`. */
-  limit(mostRequests: number): number {
+  /** Requests that may be queued, at most `maxRequests`. */
+  limit(maxRequests: number): number {
     if (this.#gapMs === undefined || this.#attemptMs === undefined) {
-      return mostRequests;
+      return maxRequests;
     }
-    const waitMs = Math.max(LEAST_WAIT_MS, WAIT_IN_ATTEMPTS * this.#attemptMs);
+    const waitMs = Math.max(MIN_WAIT_MS, MAX_WAIT_ATTEMPTS * this.#attemptMs);
     const requests = Math.floor(waitMs / Math.max(this.#gapMs, 0.01));
-    return Math.min(mostRequests, Math.max(LEAST_LIMIT, requests));
+    return Math.min(maxRequests, Math.max(MIN_LIMIT, requests));
   }
 
-  /** Time until a queue of this length has drained, as far as is known. */
+  /** Time to drain a queue of this length; undefined while not measured. */
   drainMs(requests: number): number | undefined {
     return this.#gapMs === undefined ? undefined : this.#gapMs * requests;
   }
 }
 
-function mean(before: number | undefined, sample: number): number {
-  if (before === undefined) return sample;
-  return before + (sample - before) * SAMPLE_WEIGHT;
+function movingAverage(average: number | undefined, sample: number): number {
+  if (average === undefined) return sample;
+  return average + (sample - average) * SAMPLE_WEIGHT;
 }
--- a/packages/decisions/src/routing/rendezvous.ts
+++ b/packages/decisions/src/routing/rendezvous.ts
@@ -1,10 +1,10 @@
 /**
- * Rendezvous hashing: every VM that knows the same members names the same one
- * for a job, without asking, and a member that leaves moves only its own jobs.
+ * Rendezvous hashing: all VMs that know the same members choose the same one
+ * for a job without coordination, and a leaving member moves only its own jobs.
  */
 import type * as contracts from "@guavatide/contracts";
 
-/** The member for a job; nothing when there is no member. */
+/** Returns the member for a job; undefined without members. */
 export function chooseByRendezvous(
   members: readonly contracts.VmId[],
   job: string,
--- a/packages/decisions/src/routing/retry_budget.ts
+++ b/packages/decisions/src/routing/retry_budget.ts
@@ -1,26 +1,29 @@
 /**
- * Keeps retries a small part of the requests. Without it a service that
- * refuses is sent its load several times over just when it can take least.
+ * Limits retries to a small fraction of the requests. Without it an overloaded
+ * service would get a multiple of its load just when it can sustain the least.
  */
 
-/** Retries earned by each request. */
+/** Retries added to the budget by each request. */
 const RETRIES_PER_REQUEST = 0.1;
-/** Retries that may be saved up. */
-const SAVED_RETRIES = 20;
+/** Maximum of the budget. */
+const MAX_SAVED_RETRIES = 20;
 
-/** A budget of retries for one service. */
+/** Retry budget of one service. */
 export class RetryBudget {
-  #saved = SAVED_RETRIES;
+  #retries = MAX_SAVED_RETRIES;
 
-  /** A caller's request came in. */
-  noteRequest(): void {
-    this.#saved = Math.min(SAVED_RETRIES, this.#saved + RETRIES_PER_REQUEST);
+  /** Counts a caller's request. */
+  recordRequest(): void {
+    this.#retries = Math.min(
+      MAX_SAVED_RETRIES,
+      this.#retries + RETRIES_PER_REQUEST,
+    );
   }
 
-  /** Takes one retry from the budget if there is one. */
+  /** Takes one retry from the budget; false if none is left. */
   tryTake(): boolean {
-    if (this.#saved < 1) return false;
-    this.#saved--;
+    if (this.#retries < 1) return false;
+    this.#retries--;
     return true;
   }
 }
--- a/packages/decisions/src/routing/retry_rule.ts
+++ b/packages/decisions/src/routing/retry_rule.ts
@@ -1,4 +1,4 @@
-/** Says whether an attempt that brought no answer may be made again. */
+/** Decides whether a request is retried after an attempt without an answer. */
 import type * as contracts from "@guavatide/contracts";
 import type { RetryBudget } from "./retry_budget.ts";
 
@@ -7,19 +7,19 @@
   | {
     readonly kind: "not-run";
     readonly reason: contracts.NotRunReason;
-    /** Set when the server refused. */
+    /** Present if the server refused the request. */
     readonly refusal?: contracts.ServerRefusal;
   }
   | { readonly kind: "unknown"; readonly reason: contracts.UnknownReason };
 
-/** State of the request that {@link decideRetry} weighs. */
+/** State of a request for {@link decideRetry}. */
 export interface DecideRetryOptions {
   readonly isIdempotent: boolean;
-  /** Whether the request's key has one owner, so that no other can serve it. */
+  /** Whether the request has a key, which only its one owner can serve. */
   readonly isKeyed: boolean;
-  /** Attempts made so far. */
+  /** Attempts so far. */
   readonly attempts: number;
-  /** Whether a server is left that was not tried; always true for a key. */
+  /** Whether an untried server is left; always true for a keyed request. */
   readonly hasOtherServer: boolean;
   readonly timeLeftMs: number;
   readonly budget: RetryBudget;
@@ -30,14 +30,14 @@
   | { readonly kind: "retry" }
   | { readonly kind: "give-up"; readonly failure: FailedAttempt };
 
-/** Attempts of one request, the first included. */
-const ATTEMPT_LIMIT = 4;
-/** Less time than this is of no use for another attempt. */
-const LEAST_TIME_MS = 2;
+/** Attempts of one request, including the first. */
+const MAX_ATTEMPTS = 4;
+/** With less time left another attempt can't succeed. */
+const MIN_TIME_LEFT_MS = 2;
 
 /**
- * Only a request that was proved not to have run, or that is idempotent, is
- * sent again: a second run of a booking charges for an hour twice.
+ * Retries only requests that provably did not run or that are idempotent:
+ * running a booking twice would charge for it twice.
  */
 export function decideRetry(
   failure: FailedAttempt,
@@ -45,14 +45,14 @@
 ): RetryDecision {
   if (
     isFlowControl(failure, options.isKeyed) &&
-    options.timeLeftMs >= LEAST_TIME_MS
+    options.timeLeftMs >= MIN_TIME_LEFT_MS
   ) {
     return { kind: "retry" };
   }
   const isSafe = failure.kind === "not-run" || options.isIdempotent;
-  const isUseful = options.attempts < ATTEMPT_LIMIT &&
-    options.hasOtherServer && options.timeLeftMs >= LEAST_TIME_MS;
-  if (!isSafe || !isUseful) return { kind: "give-up", failure };
+  const isPossible = options.attempts < MAX_ATTEMPTS &&
+    options.hasOtherServer && options.timeLeftMs >= MIN_TIME_LEFT_MS;
+  if (!isSafe || !isPossible) return { kind: "give-up", failure };
   if (options.budget.tryTake()) return { kind: "retry" };
   if (failure.kind === "unknown") return { kind: "give-up", failure };
   return {
@@ -62,11 +62,12 @@
 }
 
 /**
- * A server that is full says so before it has done any work; the request
- * waits in its queue, which paces what goes to such a server. So does one for
- * a key whose owner is leaving, cold, lost or has not yet got the slice: only
- * its next owner can serve it, within seconds. Neither costs anything of the
- * budget, which is there to bound what failures multiply.
+ * Whether the attempt ended by flow control instead of a failure. A full server
+ * refuses before it has done any work, and the request goes back to its queue,
+ * which paces the attempts. So does a request for a key whose owner is leaving,
+ * cold, lost or does not have the slice yet: only the next owner can serve it,
+ * within seconds. Neither is charged to the budget, which limits how failures
+ * multiply the load.
  */
 function isFlowControl(failure: FailedAttempt, isKeyed: boolean): boolean {
   if (failure.kind !== "not-run" || failure.refusal === "deadline") {
--- a/packages/decisions/src/routing/retry_rule_test.ts
+++ b/packages/decisions/src/routing/retry_rule_test.ts
@@ -40,13 +40,13 @@
 
 const CASES: readonly Case[] = [
   {
-    name: "retry a booking that was proved not to have run",
+    name: "retry a request that provably did not run",
     failure: NOT_CONNECTED,
     options: {},
     expected: "retry",
   },
   {
-    name: "not retry a booking that may have run",
+    name: "not retry a request that may have run",
     failure: TIMED_OUT,
     options: {},
     expected: "timeout-after-send",
@@ -76,31 +76,31 @@
     expected: "not-connected",
   },
   {
-    name: "keep to the budget",
+    name: "keep within the budget",
     failure: NOT_CONNECTED,
     options: { budget: emptyBudget() },
     expected: "retry-budget",
   },
   {
-    name: "say unknown, not the budget, when the request may have run",
+    name: "report unknown, not the budget, when the request may have run",
     failure: TIMED_OUT,
     options: { isIdempotent: true, budget: emptyBudget() },
     expected: "timeout-after-send",
   },
   {
-    name: "wait for a moving key without touching the budget",
+    name: "wait for a key's handover without using the budget",
     failure: NOT_OWNER,
     options: { isKeyed: true, attempts: 9, budget: emptyBudget() },
     expected: "retry",
   },
   {
-    name: "wait for the next owner of a key whose owner is lost",
+    name: "wait for the next owner of a lost owner's key",
     failure: NOT_CONNECTED,
     options: { isKeyed: true, attempts: 9, budget: emptyBudget() },
     expected: "retry",
   },
   {
-    name: "wait for a full server without touching the budget",
+    name: "wait for a full server without using the budget",
     failure: BUSY,
     options: { attempts: 9, budget: emptyBudget() },
     expected: "retry",
@@ -121,7 +121,7 @@
 
 function emptyBudget(): RetryBudget {
   const budget = new RetryBudget();
-  while (budget.tryTake()) { /* until it is empty */ }
+  while (budget.tryTake()) { /* until none is left */ }
   return budget;
 }
 
@@ -136,7 +136,9 @@
       budget: new RetryBudget(),
       ...options,
     });
-    const told = decision.kind === "retry" ? "retry" : decision.failure.reason;
-    expect(told).toEqual(expected);
+    const result = decision.kind === "retry"
+      ? "retry"
+      : decision.failure.reason;
+    expect(result).toEqual(expected);
   });
 }
--- a/packages/decisions/src/routing/round_robin_choice.ts
+++ b/packages/decisions/src/routing/round_robin_choice.ts
@@ -1,9 +1,9 @@
-/** Takes servers in turn, whatever their load. A baseline. */
+/** Load balancing to servers in turn, whatever their load. */
 import type * as contracts from "@guavatide/contracts";
-import type { Candidate, ServerChoice } from "./server_choice.ts";
+import type { Candidate, LoadBalancer } from "./server_choice.ts";
 
-/** Round robin over server ids in their order. */
-export class RoundRobinChoice implements ServerChoice {
+/** Round robin in order of the server ids. */
+export class RoundRobinBalancer implements LoadBalancer {
   #last: contracts.ServerId | undefined;
 
   choose(candidates: readonly Candidate[]): Candidate | undefined {
--- a/packages/decisions/src/routing/server_board.ts
+++ b/packages/decisions/src/routing/server_board.ts
@@ -1,28 +1,28 @@
-/** What one entry VM knows of the servers of one service. */
+/** Load and health of one service's servers, as seen by one entry VM. */
 import type * as contracts from "@guavatide/contracts";
 import { OutlierEjection } from "./outlier_ejection.ts";
 import type { Candidate } from "./server_choice.ts";
 import { slowStartWeight } from "./slow_start.ts";
 
-/** Servers seen this soon after the board was made are taken as warm. */
-const WARM_AT_START_MS = 1000;
+/** Servers seen within this time after the tracker's creation count as warm. */
+const WARM_START_MS = 1000;
 
-/** Options of {@link ServerBoard}. */
-export interface ServerBoardOptions {
+/** Options of {@link ServerTracker}. */
+export interface ServerTrackerOptions {
   /** Requests that a server runs at once. */
   readonly slotsPerServer: number;
   /**
-   * Most requests that this board gives to one server at a time. The board
-   * learns a lower limit from refusals and grows it again with answers.
+   * Maximum requests of this process in flight at one server. Refusals lower
+   * the limit for that server, answers raise it again.
    */
-  readonly localLimit: number;
-  /** Whether servers may be put out of use. */
+  readonly maxLocalInFlight: number;
+  /** Whether servers may be ejected. */
   readonly mayEject: boolean;
 }
 
-/** How an attempt at a server ended, as far as the board cares. */
-export type AttemptEnd =
-  /** An answer came; `inFlight` is what the server reported with it. */
+/** How an attempt at a server ended. */
+export type AttemptOutcome =
+  /** The server answered; `inFlight` is the load that it reported. */
   | { readonly kind: "answer"; readonly inFlight?: number }
   | {
     readonly kind: "refusal";
@@ -33,71 +33,71 @@
     readonly kind: "failure";
     readonly cause: "not-connected" | "timeout" | "broken";
   }
-  /** Ended from our side; says nothing about the server. */
+  /** Ended by this process; says nothing about the server. */
   | { readonly kind: "abandoned" };
 
-/** A change worth a log line. */
-export type BoardEvent = "ejected" | "on-trial" | "returned" | undefined;
+/** A change of a server's ejection state that is to be logged. */
+export type EjectionEvent = "ejected" | "on-trial" | "returned" | undefined;
 
-interface Entry {
+interface TrackedServer {
   readonly firstSeenMs: number;
   readonly ejection: OutlierEjection;
-  /** Times at which the attempts in flight were sent, oldest first. */
+  /** Send times of the attempts in flight, oldest first. */
   readonly sentMs: number[];
-  /** When the first attempt since the last answer was sent. */
+  /** Send time of the first attempt since the last answer. */
   unansweredSinceMs: number | undefined;
   reportedInFlight: number | undefined;
   reportedMs: number;
-  /** No new request before this: the server refused. */
+  /** No new request until then, as the server refused or was not reachable. */
   pausedUntilMs: number;
-  /** Learned limit of requests in flight. */
+  /** Current limit of requests in flight, like a congestion window. */
   window: number;
-  windowCutMs: number;
-  /** Refusals as busy since the last answer. */
+  windowReducedMs: number;
+  /** Refusals with `busy` since the last answer. */
   busyRefusals: number;
 }
 
 /**
- * Part of a mean attempt for which a server gets nothing after `busy`; doubled
- * with each further refusal until it answers a request.
+ * Pause after a refusal with `busy`, as a fraction of the mean attempt time;
+ * doubled with each further refusal until the server answers a request.
  */
-const BUSY_PAUSE_PART = 1 / 8;
-/** Pauses after `busy` stay within these. */
-const SHORTEST_BUSY_PAUSE_MS = 1;
-const LONGEST_BUSY_PAUSE_MS = 200;
-/** A mean attempt before any was answered. */
-const ASSUMED_ATTEMPT_MS = 20;
-/** Weight of the newest attempt in their mean. */
-const ATTEMPT_WEIGHT = 0.05;
-/** Part of a request by which each answer widens the learned limit. */
+const BUSY_PAUSE_FRACTION = 1 / 8;
+/** Limits of the pause after `busy`. */
+const MIN_BUSY_PAUSE_MS = 1;
+const MAX_BUSY_PAUSE_MS = 200;
+/** Mean attempt time before the first answer. */
+const INITIAL_ATTEMPT_MS = 20;
+/** Weight of a new attempt in the moving average of attempt times. */
+const ATTEMPT_SAMPLE_WEIGHT = 0.05;
+/** Growth of the window by each answer, in requests at a window of 1. */
 const WINDOW_GROWTH = 0.1;
-/** Refusals within this time count as one. */
-const WINDOW_CUT_INTERVAL_MS = 10;
-/** After a connection could not be made, a server gets nothing for this long. */
+/** Refusals within this time reduce the window only once. */
+const WINDOW_REDUCTION_INTERVAL_MS = 10;
+/** Pause after a connection attempt failed. */
 const NOT_CONNECTED_PAUSE_MS = 100;
-/** A timeout after less time than this says nothing about a server. */
-const FAIR_ATTEMPT_MS = 1000;
-/** After `cold`, a server gets nothing for this long. */
+/** A timeout after less time than this says nothing about the server. */
+const MIN_CONCLUSIVE_ATTEMPT_MS = 1000;
+/** Pause after a refusal with `cold`. */
 const COLD_PAUSE_MS = 100;
 
-/** Load and health of a service's servers, from this process's own attempts. */
-export class ServerBoard {
-  readonly #entries = new Map<contracts.ServerId, Entry>();
-  readonly #startMs: number;
-  #options: ServerBoardOptions;
-  #attemptMs = ASSUMED_ATTEMPT_MS;
+/** Tracks a service's servers from the outcomes of this process's attempts. */
+export class ServerTracker {
+  readonly #entries = new Map<contracts.ServerId, TrackedServer>();
+  readonly #createdMs: number;
+  #options: ServerTrackerOptions;
+  #attemptMs = INITIAL_ATTEMPT_MS;
 
-  constructor(options: ServerBoardOptions, nowMs: number) {
+  constructor(options: ServerTrackerOptions, nowMs: number) {
     this.#options = options;
-    this.#startMs = nowMs;
+    this.#createdMs = nowMs;
   }
 
-  /** Takes over changed limits. */
-  configure(options: ServerBoardOptions): void {
+  /** Changes the limits. */
+  configure(options: ServerTrackerOptions): void {
     this.#options = options;
   }
 
-  /** Forgets servers that are gone and begins to watch new ones. */
+  /** Drops all servers but these and starts to track new ones. */
   keepOnly(servers: ReadonlySet<contracts.ServerId>, nowMs: number): void {
     for (const server of this.#entries.keys()) {
       if (!servers.has(server)) this.#entries.delete(server);
@@ -105,7 +105,7 @@
     for (const server of servers) this.#entry(server, nowMs);
   }
 
-  /** Servers among those given that may take one more request now. */
+  /** Returns those of the given servers that may take one more request now. */
   candidates(
     servers: Iterable<contracts.ServerId>,
     nowMs: number,
@@ -120,15 +120,15 @@
     return found;
   }
 
-  /** Time until the first paused server may be used again, if any is paused. */
+  /** Time until the first pause ends; undefined if no server is paused. */
   pauseLeftMs(nowMs: number): number | undefined {
-    let leastMs: number | undefined;
+    let shortestMs: number | undefined;
     for (const entry of this.#entries.values()) {
       const leftMs = entry.pausedUntilMs - nowMs;
       if (leftMs <= 0) continue;
-      if (leastMs === undefined || leftMs < leastMs) leastMs = leftMs;
+      if (shortestMs === undefined || leftMs < shortestMs) shortestMs = leftMs;
     }
-    return leastMs;
+    return shortestMs;
   }
 
   /** Requests of this process in flight at a server. */
@@ -136,31 +136,31 @@
     return this.#entries.get(server)?.sentMs.length ?? 0;
   }
 
-  /** Whether a server is out of use. */
+  /** Whether a server is ejected. */
   isEjected(server: contracts.ServerId): boolean {
     const state = this.#entries.get(server)?.ejection.state ?? "in-use";
     return state === "ejected" || state === "probing";
   }
 
-  /** Whether a probe of an ejected server is due; it counts as sent. */
+  /** Returns whether a probe of an ejected server is due; if so it counts as sent. */
   tryProbe(server: contracts.ServerId, nowMs: number): boolean {
     return this.#entries.get(server)?.ejection.tryProbe(nowMs) ?? false;
   }
 
-  /** A request was given to a server. */
-  noteSent(server: contracts.ServerId, nowMs: number): void {
+  /** Records that a request was sent to a server. */
+  recordSent(server: contracts.ServerId, nowMs: number): void {
     const entry = this.#entry(server, nowMs);
     entry.sentMs.push(nowMs);
     entry.unansweredSinceMs ??= nowMs;
     if (entry.reportedInFlight !== undefined) entry.reportedInFlight++;
   }
 
-  /** The attempt that was sent at `sentMs` ended. */
-  noteEnd(
+  /** Records the outcome of the attempt that was sent at `sentMs`. */
+  recordOutcome(
     server: contracts.ServerId,
     sentMs: number,
-    options: { readonly end: AttemptEnd; readonly nowMs: number },
-  ): BoardEvent {
+    options: { readonly end: AttemptOutcome; readonly nowMs: number },
+  ): EjectionEvent {
     const entry = this.#entry(server, options.nowMs);
     const index = entry.sentMs.indexOf(sentMs);
     if (index >= 0) entry.sentMs.splice(index, 1);
@@ -170,109 +170,111 @@
       return undefined;
     }
     if (end.kind === "failure") {
-      return this.#noteFailure(entry, { cause: end.cause, sentMs, nowMs });
+      return this.#recordFailure(entry, { cause: end.cause, sentMs, nowMs });
     }
     if (end.kind === "refusal") this.#pause(entry, end.refusal, nowMs);
     if (end.kind === "answer") {
-      this.#attemptMs += (nowMs - sentMs - this.#attemptMs) * ATTEMPT_WEIGHT;
-      this.#widen(entry);
+      this.#attemptMs += (nowMs - sentMs - this.#attemptMs) *
+        ATTEMPT_SAMPLE_WEIGHT;
+      this.#growWindow(entry);
     }
     entry.unansweredSinceMs = entry.sentMs[0];
     entry.reportedInFlight = end.inFlight;
     entry.reportedMs = nowMs;
-    const wasOut = entry.ejection.state !== "in-use";
-    entry.ejection.noteAnswer(nowMs);
-    return wasOut ? "returned" : undefined;
+    const wasEjected = entry.ejection.state !== "in-use";
+    entry.ejection.recordAnswer(nowMs);
+    return wasEjected ? "returned" : undefined;
   }
 
-  /** A probe of an ejected server ended. */
-  noteProbe(
+  /** Records the result of a probe of an ejected server. */
+  recordProbe(
     server: contracts.ServerId,
     isAnswered: boolean,
     nowMs: number,
-  ): BoardEvent {
+  ): EjectionEvent {
     const entry = this.#entry(server, nowMs);
-    entry.ejection.noteProbe(isAnswered, nowMs);
+    entry.ejection.recordProbe(isAnswered, nowMs);
     if (isAnswered) entry.unansweredSinceMs = entry.sentMs[0];
     const { state } = entry.ejection;
     if (state === "in-use") return "returned";
     return state === "on-trial" ? "on-trial" : undefined;
   }
 
-  /** Ejects servers that have gone silent; returns which. */
-  ejectSilent(nowMs: number): contracts.ServerId[] {
+  /** Ejects and returns servers that are unresponsive. */
+  ejectUnresponsive(nowMs: number): contracts.ServerId[] {
     const ejected: contracts.ServerId[] = [];
     if (!this.#options.mayEject) return ejected;
     for (const [server, entry] of this.#entries) {
       // Not the oldest attempt in flight: with short deadlines each one ends
-      // before it is old, and a frozen server would never be noticed.
+      // before it is old, and a frozen server would never be detected.
       const sinceMs = entry.unansweredSinceMs;
       if (sinceMs === undefined) continue;
-      if (entry.ejection.noteWaiting(sinceMs, nowMs)) ejected.push(server);
+      if (entry.ejection.detectFreeze(sinceMs, nowMs)) ejected.push(server);
     }
     return ejected;
   }
 
-  #noteFailure(
-    entry: Entry,
+  #recordFailure(
+    entry: TrackedServer,
     failure: {
       readonly cause: "not-connected" | "timeout" | "broken";
       readonly sentMs: number;
       readonly nowMs: number;
     },
-  ): BoardEvent {
+  ): EjectionEvent {
     const { cause, sentMs, nowMs } = failure;
     if (cause === "not-connected") {
       entry.pausedUntilMs = nowMs + NOT_CONNECTED_PAUSE_MS;
     }
-    // A caller's short deadline is no evidence against the server; without
-    // this one caller could have a server taken from all others.
-    const isUnfair = cause === "timeout" && nowMs - sentMs < FAIR_ATTEMPT_MS;
-    if (isUnfair || !this.#options.mayEject) return undefined;
-    return entry.ejection.noteFailure(nowMs) ? "ejected" : undefined;
+    // A caller's short deadline says nothing about the server; otherwise one
+    // caller could get a server ejected for all others.
+    const isInconclusive = cause === "timeout" &&
+      nowMs - sentMs < MIN_CONCLUSIVE_ATTEMPT_MS;
+    if (isInconclusive || !this.#options.mayEject) return undefined;
+    return entry.ejection.recordFailure(nowMs) ? "ejected" : undefined;
   }
 
   #pause(
-    entry: Entry,
+    entry: TrackedServer,
     refusal: contracts.ServerRefusal,
     nowMs: number,
   ): void {
     if (refusal === "cold") entry.pausedUntilMs = nowMs + COLD_PAUSE_MS;
     if (refusal !== "busy") return;
     entry.pausedUntilMs = nowMs + this.#busyPauseMs(entry.busyRefusals);
-    if (nowMs - entry.windowCutMs < WINDOW_CUT_INTERVAL_MS) return;
+    if (nowMs - entry.windowReducedMs < WINDOW_REDUCTION_INTERVAL_MS) return;
     entry.busyRefusals++;
     entry.window = Math.max(1, entry.window - 1);
-    entry.windowCutMs = nowMs;
+    entry.windowReducedMs = nowMs;
   }
 
   #busyPauseMs(refusals: number): number {
-    const pauseMs = this.#attemptMs * BUSY_PAUSE_PART * 2 ** refusals;
+    const pauseMs = this.#attemptMs * BUSY_PAUSE_FRACTION * 2 ** refusals;
     return Math.min(
-      LONGEST_BUSY_PAUSE_MS,
-      Math.max(SHORTEST_BUSY_PAUSE_MS, pauseMs),
+      MAX_BUSY_PAUSE_MS,
+      Math.max(MIN_BUSY_PAUSE_MS, pauseMs),
     );
   }
 
-  #widen(entry: Entry): void {
+  #growWindow(entry: TrackedServer): void {
     const grown = entry.window + WINDOW_GROWTH / entry.window;
-    entry.window = Math.min(this.#options.localLimit, grown);
+    entry.window = Math.min(this.#options.maxLocalInFlight, grown);
     entry.busyRefusals = 0;
   }
 
-  #mayTake(entry: Entry, nowMs: number): boolean {
+  #mayTake(entry: TrackedServer, nowMs: number): boolean {
     const state = entry.ejection.state;
     if (state === "ejected" || state === "probing") return false;
     if (entry.pausedUntilMs > nowMs) return false;
     if (state === "on-trial") return entry.sentMs.length === 0;
-    const share = slowStartWeight(nowMs - entry.firstSeenMs);
-    const limit = Math.max(1, Math.floor(entry.window * share));
+    const weight = slowStartWeight(nowMs - entry.firstSeenMs);
+    const limit = Math.max(1, Math.floor(entry.window * weight));
     return entry.sentMs.length < limit;
   }
 
   #candidate(
     server: contracts.ServerId,
-    entry: Entry,
+    entry: TrackedServer,
     nowMs: number,
   ): Candidate {
     return {
@@ -285,20 +287,20 @@
     };
   }
 
-  #entry(server: contracts.ServerId, nowMs: number): Entry {
+  #entry(server: contracts.ServerId, nowMs: number): TrackedServer {
     const found = this.#entries.get(server);
     if (found !== undefined) return found;
-    const isFirst = nowMs - this.#startMs < WARM_AT_START_MS;
-    const entry: Entry = {
-      firstSeenMs: isFirst ? -Infinity : nowMs,
+    const isWarm = nowMs - this.#createdMs < WARM_START_MS;
+    const entry: TrackedServer = {
+      firstSeenMs: isWarm ? -Infinity : nowMs,
       ejection: new OutlierEjection(),
       sentMs: [],
       unansweredSinceMs: undefined,
       reportedInFlight: undefined,
       reportedMs: -Infinity,
       pausedUntilMs: -Infinity,
-      window: this.#options.localLimit,
-      windowCutMs: -Infinity,
+      window: this.#options.maxLocalInFlight,
+      windowReducedMs: -Infinity,
       busyRefusals: 0,
     };
     this.#entries.set(server, entry);
--- a/packages/decisions/src/routing/slow_start.ts
+++ b/packages/decisions/src/routing/slow_start.ts
@@ -1,16 +1,15 @@
 /**
- * Gives a server that has just appeared a small share of load that grows. A
- * cold server is slow at first; with its full share at once it would hold up
- * every request it got.
+ * Slow start: ramps up the share of load of a server that has just appeared. A
+ * cold server is slow, so a full share at once would delay all its requests.
  */
 
-/** Share at the start. */
-const FIRST_WEIGHT = 0.1;
-/** Time until a new server gets its full share. */
+/** Weight of a server that has just appeared. */
+const MIN_WEIGHT = 0.1;
+/** Time until a new server has the full weight. */
 const WARM_UP_MS = 5000;
 
-/** Weight of a server that appeared `ageMs` ago, above 0, at most 1. */
+/** Weight of a server that appeared `ageMs` ago; above 0, at most 1. */
 export function slowStartWeight(ageMs: number): number {
-  const grown = FIRST_WEIGHT + (1 - FIRST_WEIGHT) * ageMs / WARM_UP_MS;
-  return Math.min(1, Math.max(FIRST_WEIGHT, grown));
+  const weight = MIN_WEIGHT + (1 - MIN_WEIGHT) * ageMs / WARM_UP_MS;
+  return Math.min(1, Math.max(MIN_WEIGHT, weight));
 }
--- a/packages/decisions/src/routing/token_bucket.ts
+++ b/packages/decisions/src/routing/token_bucket.ts
@@ -1,4 +1,4 @@
-/** A token bucket: a rate with a bounded burst. */
+/** Token bucket: limits a rate and its bursts. */
 
 /** Options of {@link TokenBucket}. */
 export interface TokenBucketOptions {
@@ -6,7 +6,7 @@
   readonly burstTokens: number;
 }
 
-/** Counts tokens that refill with time. */
+/** A token bucket that starts full. */
 export class TokenBucket {
   #options: TokenBucketOptions;
   #tokens: number;
@@ -18,13 +18,13 @@
     this.#updatedMs = nowMs;
   }
 
-  /** Changes the rate; tokens already gathered stay, up to the new burst. */
+  /** Changes the limits; existing tokens stay, up to the new burst. */
   configure(options: TokenBucketOptions): void {
     this.#options = options;
     this.#tokens = Math.min(this.#tokens, options.burstTokens);
   }
 
-  /** Takes a token if there is one. */
+  /** Takes one token; false if there is none. */
   tryTake(nowMs: number): boolean {
     this.#refill(nowMs);
     if (this.#tokens < 1) return false;
@@ -32,12 +32,12 @@
     return true;
   }
 
-  /** Gives back a token that was not used. */
-  giveBack(): void {
+  /** Returns an unused token. */
+  refund(): void {
     this.#tokens = Math.min(this.#options.burstTokens, this.#tokens + 1);
   }
 
-  /** Time until the next token, in milliseconds. */
+  /** Time until the next token, in milliseconds; 0 if there is one. */
   waitMs(nowMs: number): number {
     this.#refill(nowMs);
     if (this.#tokens >= 1) return 0;
--- a/packages/entry/src/requests/request_run.ts
+++ b/packages/entry/src/requests/request_run.ts
@@ -57,7 +57,7 @@
     return new Promise((resolve) => {
       this.#resolve = resolve;
       this.#request.signal.addEventListener("abort", this.#onCallerGone);
-      this.#parts.budget.noteRequest();
+      this.#parts.budget.recordRequest();
       this.#wait();
     });
   }
@@ -261,7 +261,7 @@
     setTimeout(() => mark.done(), this.#parts.unknownHoldMs).unref();
   }
 
-  #endOf(result: LinkResult): routing.AttemptEnd {
+  #endOf(result: LinkResult): routing.AttemptOutcome {
     switch (result.kind) {
       case "answer":
         return { kind: "answer", inFlight: result.inFlight };
