--- a/packages/decisions/src/placement/apply_changes.ts
+++ b/packages/decisions/src/placement/apply_changes.ts
@@ -1,10 +1,11 @@
-/** Foresees an assignment once all changes of a plan are through. */
+/** Computes the slices that result from a plan. */
 import * as contracts from "@guavatide/contracts";
 import type { ChangeRequest } from "../ownership/moves.ts";
 
 /**
- * The slices after the changes, in order of `fromHash`, as if every move were
- * over. A change that does not fit is passed over. `slices` stays as it is.
+ * Returns the slices after the changes, in order of `fromHash`, with all
+ * handovers finished. Changes that do not apply are skipped. Does not modify
+ * `slices`.
  */
 export function applyChanges(
   slices: readonly contracts.Slice[],
--- a/packages/decisions/src/placement/hot_keys.ts
+++ b/packages/decisions/src/placement/hot_keys.ts
@@ -1,27 +1,27 @@
 /**
- * The keys with the most requests, in bounded memory: the space-saving sketch
- * of Metwally, Agrawal and El Abbadi (2005), with counts that decay.
+ * Finds the keys with the most requests in bounded memory: the space-saving
+ * sketch of Metwally, Agrawal and El Abbadi (2005), with decaying counts.
  */
 
-/** A key and how often it was seen, decayed. */
+/** A key with its decayed request count. */
 export interface HotKey {
   readonly hash: number;
-  /** Lower bound: what the sketch can't tell apart is left out. */
+  /** Lower bound: the count less its possible error. */
   readonly count: number;
 }
 
-/** Counts below this are dropped when counts decay. */
-const SMALLEST_COUNT = 0.5;
+/** Keys with a lower count are dropped on decay. */
+const MIN_COUNT = 0.5;
 
-/** Holds up to `capacity` keys. */
-export class HotKeys {
+/** A sketch of up to `capacity` keys. */
+export class HotKeySketch {
   readonly #capacity: number;
   readonly #slots = new Map<number, number>();
   readonly #hashes: Float64Array;
   readonly #counts: Float64Array;
-  /** By how much each count may be too high. */
+  /** Maximum overestimation of each count. */
   readonly #errors: Float64Array;
-  /** No count is below this. */
+  /** Lower bound of all counts. */
   #floor = 0;
   #cursor = 0;
 
@@ -32,7 +32,7 @@
     this.#errors = new Float64Array(capacity);
   }
 
-  /** Counts one request. */
+  /** Counts one request for a key. */
   record(hash: number): void {
     const slot = this.#slots.get(hash);
     if (slot !== undefined) {
@@ -44,13 +44,13 @@
     else this.#replaceSmallest(hash);
   }
 
-  /** Multiplies all counts, so that keys which cooled down give way. */
+  /** Multiplies all counts by the factor, so that keys no longer hot drop out. */
   decay(factor: number): void {
     const kept: [hash: number, count: number, error: number][] = [];
     for (const [hash, slot] of this.#slots) {
       const count = this.#counts[slot]! * factor;
       const error = this.#errors[slot]! * factor;
-      if (count >= SMALLEST_COUNT) kept.push([hash, count, error]);
+      if (count >= MIN_COUNT) kept.push([hash, count, error]);
     }
     this.#slots.clear();
     this.#floor *= factor;
@@ -59,7 +59,7 @@
     );
   }
 
-  /** The hottest keys first. */
+  /** Returns up to `limit` keys, hottest first. */
   top(limit: number): HotKey[] {
     const keys: HotKey[] = [];
     for (const [hash, slot] of this.#slots) {
@@ -80,11 +80,10 @@
   }
 
   /**
-   * Gives the slot of a key with about the smallest count to another key. A
-   * scan for the very smallest at each request would cost more than all else
-   * on the request path that is ours; the cursor passes each slot once for
-   * each rise of the floor, so the work for a request stays the same however
-   * many keys are followed.
+   * Replaces a key with about the smallest count. Scanning for the smallest one
+   * at each request would cost more than the rest of this process's work on the
+   * request path. The cursor visits each slot once per increase of the floor, so
+   * the cost per request is independent of the number of tracked keys.
    */
   #replaceSmallest(hash: number): void {
     const slot = this.#findSmall();
--- a/packages/decisions/src/placement/load_book.ts
+++ b/packages/decisions/src/placement/load_book.ts
@@ -1,53 +1,52 @@
 /**
- * The load of one service put together from the reports of entry VMs. Held by
- * the VM with control duty; a new holder starts empty and learns it within one
- * round of reports.
+ * Aggregates the load of one service from the reports of entry VMs, on the
+ * leader. A new leader starts empty and has all reports after one interval.
  */
 import * as contracts from "@guavatide/contracts";
 
-/** Rates for each slice and the hottest keys. */
+/** Request rates of a service, its slices and its hottest keys. */
 export interface LoadEstimate {
   readonly requestsPerSecond: number;
-  /** One rate for each slice that was asked about, in the same order. */
+  /** Requests a second of each requested slice, in the same order. */
   readonly slices: Float64Array;
   /** Hottest first. */
   readonly keys: readonly { hash: number; requestsPerSecond: number }[];
 }
 
-type Ranges = readonly Pick<contracts.Slice, "fromHash" | "toHash">[];
+type HashRanges = readonly Pick<contracts.Slice, "fromHash" | "toHash">[];
 
-interface KeptReport {
+interface ReceivedReport {
   readonly load: contracts.ServiceLoad;
-  readonly atMs: number;
+  readonly receivedMs: number;
 }
 
-/** Keeps the latest report of each entry VM. */
-export class LoadBook {
+/** Holds the latest report of each entry VM. */
+export class LoadAggregator {
   readonly #staleAfterMs: number;
-  readonly #reports = new Map<contracts.VmId, KeptReport>();
+  readonly #reports = new Map<contracts.VmId, ReceivedReport>();
 
-  /** Reports older than `staleAfterMs` no longer count. */
+  /** Reports older than `staleAfterMs` are dropped. */
   constructor(staleAfterMs: number) {
     this.#staleAfterMs = staleAfterMs;
   }
 
-  /** Takes in a report. */
-  note(load: contracts.ServiceLoad, nowMs: number): void {
-    this.#reports.set(load.vm, { load, atMs: nowMs });
+  /** Replaces the VM's report. */
+  record(load: contracts.ServiceLoad, nowMs: number): void {
+    this.#reports.set(load.vm, { load, receivedMs: nowMs });
   }
 
-  /** How many VMs' reports count at present. */
-  reporters(nowMs: number): number {
+  /** Number of VMs with a current report. */
+  reporterCount(nowMs: number): number {
     this.#dropStale(nowMs);
     return this.#reports.size;
   }
 
   /**
-   * Rates for the slices as they are now, in order of `fromHash`. Reports may
-   * speak of slices that have been split or merged since: a range's rate is
-   * then shared out by width, while keys always count where they lie.
+   * Estimates the rates of the current slices, given in order of `fromHash`.
+   * Reports may name slices that were split or merged since: a range's rate is
+   * then distributed by width, while each key counts for the slice it is in.
    */
-  estimate(slices: Ranges, nowMs: number): LoadEstimate {
+  estimate(slices: HashRanges, nowMs: number): LoadEstimate {
     this.#dropStale(nowMs);
     const rates = new Float64Array(slices.length);
     const keys = new Map<number, number>();
@@ -67,8 +66,8 @@
   }
 
   /**
-   * Speed of each server against the median, 1 for the median. Undefined for
-   * a server that no report names.
+   * Speed of each server relative to the median, which is 1. Servers that no
+   * report names are absent.
    */
   speeds(nowMs: number): ReadonlyMap<contracts.ServerId, number> {
     this.#dropStale(nowMs);
@@ -80,36 +79,36 @@
         else list.push(workMs);
       }
     }
-    const means = [...samples].map(([server, list]) =>
+    const medians = [...samples].map(([server, list]) =>
       [server, median(list)] as const
     );
-    const middle = median(means.map(([, workMs]) => workMs));
+    const medianMs = median(medians.map(([, workMs]) => workMs));
     return new Map(
-      means.map(([server, workMs]) =>
-        [server, workMs > 0 ? middle / workMs : 1] as const
+      medians.map(([server, workMs]) =>
+        [server, workMs > 0 ? medianMs / workMs : 1] as const
       ),
     );
   }
 
   #dropStale(nowMs: number): void {
-    for (const [vm, { atMs }] of this.#reports) {
-      if (nowMs - atMs > this.#staleAfterMs) this.#reports.delete(vm);
+    for (const [vm, { receivedMs }] of this.#reports) {
+      if (nowMs - receivedMs > this.#staleAfterMs) this.#reports.delete(vm);
     }
   }
 }
 
-interface Sums {
-  readonly slices: Ranges;
+interface LoadSums {
+  readonly slices: HashRanges;
   readonly rates: Float64Array;
   readonly keys: Map<number, number>;
 }
 
 /**
- * Adds what the report names and returns the density of the rest, in requests
- * per second and hash. Named ranges get the density taken off here because
- * the caller adds it to all.
+ * Adds the rates of the report's keys and ranges, and returns the density of
+ * the remaining load in requests per second and hash. The density is subtracted
+ * from the named ranges here, as the caller adds it to all slices.
  */
-function addReport(load: contracts.ServiceLoad, sums: Sums): number {
+function addReport(load: contracts.ServiceLoad, sums: LoadSums): number {
   let named = 0;
   let namedWidth = 0;
   for (const key of load.keys) {
@@ -132,7 +131,11 @@
   return density;
 }
 
-function addRange(range: Ranges[number], rate: number, sums: Sums): void {
+function addRange(
+  range: HashRanges[number],
+  rate: number,
+  sums: LoadSums,
+): void {
   const { slices, rates } = sums;
   let index = findSlice(slices, range.fromHash);
   while (index < slices.length && slices[index]!.fromHash < range.toHash) {
@@ -144,8 +147,8 @@
   }
 }
 
-/** Index of the slice that holds a hash. */
-export function findSlice(slices: Ranges, hash: number): number {
+/** Returns the index of the slice that contains a hash, by binary search. */
+export function findSlice(slices: HashRanges, hash: number): number {
   let low = 0;
   let high = slices.length - 1;
   while (low < high) {
@@ -156,7 +159,7 @@
   return low;
 }
 
-function widthOf(range: Ranges[number]): number {
+function widthOf(range: HashRanges[number]): number {
   return range.toHash - range.fromHash;
 }
 
--- a/packages/decisions/src/placement/load_test.ts
+++ b/packages/decisions/src/placement/load_test.ts
@@ -18,8 +18,8 @@
   };
 }
 
-/** A tracker that saw 10 requests a second for a minute, 4 of them one key. */
-function trackAMinute(): { load: contracts.ServiceLoad; nowMs: number } {
+/** Tracks 10 requests a second for a minute, 4 of them for one key. */
+function trackOneMinute(): { load: contracts.ServiceLoad; nowMs: number } {
   const tracker = new placement.LoadTracker(placement.DEFAULT_LOAD_TRACKER);
   let nowMs = 0;
   let draw = 1;
@@ -38,41 +38,43 @@
   return { load, nowMs };
 }
 
-test("should report rates and the hottest key within its bounds", () => {
-  const { load } = trackAMinute();
+test("should report rates and the hottest key within the schema's limits", () => {
+  const { load } = trackOneMinute();
   values.serviceLoadSchema.parse(load);
   expect(Math.abs(load.requestsPerSecond - 10) < 1).toEqual(true);
   expect(load.keys[0]?.hash).toEqual(7);
   expect(Math.abs(load.keys[0]!.requestsPerSecond - 4) < 0.5).toEqual(true);
 });
 
-test("should add reports up, also over slices that were split since", () => {
-  const { load, nowMs } = trackAMinute();
-  const book = new placement.LoadBook(60_000);
-  book.note(load, nowMs);
-  book.note({ ...load, ...sender("b") }, nowMs);
+test("should sum up reports, also over slices that were split since", () => {
+  const { load, nowMs } = trackOneMinute();
+  const aggregator = new placement.LoadAggregator(60_000);
+  aggregator.record(load, nowMs);
+  aggregator.record({ ...load, ...sender("b") }, nowMs);
   const split = [
     { fromHash: 0, toHash: 7 },
     { fromHash: 7, toHash: 8 },
     { fromHash: 8, toHash: QUARTER },
     ...SLICES.slice(1),
   ];
-  const estimate = book.estimate(split, nowMs);
+  const estimate = aggregator.estimate(split, nowMs);
   const sum = estimate.slices.reduce((a, b) => a + b, 0);
   expect(Math.abs(sum - estimate.requestsPerSecond) < 1e-6).toEqual(true);
   expect(Math.abs(estimate.slices[1]! - 8) < 1).toEqual(true);
   expect(estimate.keys[0]?.hash).toEqual(7);
 });
 
-test("should drop the report of a VM that has gone", () => {
-  const { load, nowMs } = trackAMinute();
-  const book = new placement.LoadBook(60_000);
-  book.note(load, nowMs);
-  expect(book.estimate(SLICES, nowMs + 61_000).requestsPerSecond).toEqual(0);
+test("should drop the report of a failed VM", () => {
+  const { load, nowMs } = trackOneMinute();
+  const aggregator = new placement.LoadAggregator(60_000);
+  aggregator.record(load, nowMs);
+  expect(aggregator.estimate(SLICES, nowMs + 61_000).requestsPerSecond).toEqual(
+    0,
+  );
 });
 
-test("should tell a slow server by its work time", () => {
-  const book = new placement.LoadBook(60_000);
+test("should detect a slow server by its service time", () => {
+  const aggregator = new placement.LoadAggregator(60_000);
   const servers = ["s0", "s1", "s2"].map((server, index) => ({
     server: server as contracts.ServerId,
     workMs: index === 2 ? 50 : 20,
@@ -84,12 +86,12 @@
     keys: [],
     servers,
   };
-  book.note(load, 0);
-  expect(book.speeds(0).get("s2" as contracts.ServerId)).toEqual(0.4);
+  aggregator.record(load, 0);
+  expect(aggregator.speeds(0).get("s2" as contracts.ServerId)).toEqual(0.4);
 });
 
-test("should keep heavy keys in a sketch much smaller than the key set", () => {
-  const sketch = new placement.HotKeys(64);
+test("should find hot keys with a sketch much smaller than the key set", () => {
+  const sketch = new placement.HotKeySketch(64);
   let draw = 1;
   for (let i = 0; i < 50_000; i++) {
     draw = (draw * 48_271) % 2_147_483_647;
--- a/packages/decisions/src/placement/load_tracker.ts
+++ b/packages/decisions/src/placement/load_tracker.ts
@@ -1,14 +1,14 @@
-/** Load of one keyed service as an entry VM sees it on its request path. */
+/** Measures the load of one keyed service on an entry VM's request path. */
 import * as contracts from "@guavatide/contracts";
-import { HotKeys } from "./hot_keys.ts";
+import { HotKeySketch } from "./hot_keys.ts";
 
 /** Options of {@link LoadTracker}. */
 export interface LoadTrackerOptions {
-  /** Time after which a request counts half. */
+  /** Half-life of the request counts. */
   readonly halfLifeMs: number;
-  /** Keys followed by the sketch; more tell smaller keys apart. */
+  /** Keys tracked by the sketch; with more, less frequent keys are found. */
   readonly trackedKeys: number;
-  /** Slices counted one by one; further ones only count in the sum. */
+  /** Slices counted individually; further ones only count in the total. */
   readonly trackedSlices: number;
 }
 
@@ -19,7 +19,7 @@
   trackedSlices: 4096,
 };
 
-/** Where a forwarded request went. */
+/** Slice and key of a forwarded request. */
 export interface TrackedRequest {
   readonly fromHash: number;
   readonly toHash: number;
@@ -31,15 +31,15 @@
   count: number;
 }
 
-/** Decayed counts below this are dropped. */
-const SMALLEST_COUNT = 0.01;
-/** Weight of one more measured request in a server's mean. */
-const WORK_SMOOTHING = 0.05;
+/** Slices with a lower decayed count are dropped. */
+const MIN_COUNT = 0.01;
+/** Weight of a new sample in a server's mean service time. */
+const SERVICE_TIME_SAMPLE_WEIGHT = 0.05;
 
-/** Counts requests by slice and key; bounded in memory. */
+/** Counts requests by slice and key, in bounded memory. */
 export class LoadTracker {
   readonly #options: LoadTrackerOptions;
-  readonly #keys: HotKeys;
+  readonly #keys: HotKeySketch;
   readonly #slices = new Map<number, SliceCount>();
   readonly #workMs = new Map<contracts.ServerId, number>();
   #total = 0;
@@ -48,7 +48,7 @@
 
   constructor(options: LoadTrackerOptions) {
     this.#options = options;
-    this.#keys = new HotKeys(options.trackedKeys);
+    this.#keys = new HotKeySketch(options.trackedKeys);
   }
 
   /** Counts a request when it is forwarded. */
@@ -66,23 +66,26 @@
   }
 
   /**
-   * Notes how long a server took. Call only for a request that found a slot
-   * free: time in a queue would make a busy server look slow, and its slices
-   * would be moved for both reasons.
+   * Records a server's service time. Call this only for a request that found a
+   * free slot: queueing time would make a busy server look slow, and its slices
+   * would be moved away for both reasons.
    */
-  recordWork(server: contracts.ServerId, workMs: number): void {
+  recordServiceTime(server: contracts.ServerId, workMs: number): void {
     const mean = this.#workMs.get(server) ?? workMs;
-    this.#workMs.set(server, mean + (workMs - mean) * WORK_SMOOTHING);
+    this.#workMs.set(
+      server,
+      mean + (workMs - mean) * SERVICE_TIME_SAMPLE_WEIGHT,
+    );
   }
 
-  /** Forgets servers that are gone. */
-  keepServers(servers: ReadonlySet<contracts.ServerId>): void {
+  /** Drops all servers but these. */
+  keepOnly(servers: ReadonlySet<contracts.ServerId>): void {
     for (const server of this.#workMs.keys()) {
       if (!servers.has(server)) this.#workMs.delete(server);
     }
   }
 
-  /** Decays the counts to `nowMs` and makes a report of bounded size. */
+  /** Decays the counts to `nowMs` and returns a report of bounded size. */
   report(
     sender: Pick<contracts.ServiceLoad, "vm" | "incarnation" | "service">,
     nowMs: number,
@@ -118,14 +121,14 @@
     this.#keys.decay(factor);
     for (const [fromHash, slice] of this.#slices) {
       slice.count *= factor;
-      if (slice.count < SMALLEST_COUNT) this.#slices.delete(fromHash);
+      if (slice.count < MIN_COUNT) this.#slices.delete(fromHash);
     }
   }
 
   /**
-   * Counts stand for a window of `halfLifeMs / ln 2` once that much time has
-   * passed, and for less before; without this a restarted VM would report too
-   * little for a minute.
+   * Requests per second for a decayed count of 1. Counts cover a window of
+   * `halfLifeMs / ln 2`, and less until that much time has passed; without this
+   * correction a restarted VM would report too little for a minute.
    */
   #ratePerCount(nowMs: number): number {
     const { halfLifeMs } = this.#options;
@@ -135,7 +138,10 @@
     return 1000 / (windowMs * filled);
   }
 
-  /** Each named key can take at most one slice off the top. */
+  /**
+   * The slices with the highest rates without the named keys. Each named key can
+   * drop at most one slice out of these, so that many more are considered.
+   */
   #topSlices(
     perSecond: number,
     keys: contracts.ServiceLoad["keys"],
@@ -155,7 +161,7 @@
       .slice(0, limit);
   }
 
-  /** The slowest are named when there are too many. */
+  /** Mean service times; only of the slowest servers if there are too many. */
   #workTimes(): contracts.ServiceLoad["servers"] {
     return [...this.#workMs]
       .map(([server, workMs]) => ({ server, workMs }))
--- a/packages/decisions/src/placement/merge_rule.ts
+++ b/packages/decisions/src/placement/merge_rule.ts
@@ -1,6 +1,6 @@
 /**
- * Merges cold neighbours of one owner, so that the number of slices stays
- * bounded while hot spots come and go.
+ * Merges adjacent cold slices of one owner, so that the number of slices stays
+ * limited while hot spots come and go.
  */
 import * as contracts from "@guavatide/contracts";
 import type { ChangeRequest } from "../ownership/moves.ts";
@@ -8,14 +8,15 @@
 
 /** Options of {@link mergeColdSlices}. */
 export interface MergeOptions {
+  /** See {@link PlacementSettings}. */
   readonly mergeShare: number;
   readonly maxMerges: number;
   readonly minSlices: number;
-  /** Narrower slices are brought back to a neighbour's owner. */
-  readonly narrowHashes: number;
+  /** Slices of at most this many hashes move to the owner of a neighbour. */
+  readonly narrowWidth: number;
 }
 
-/** Merges in order of hashes; returns the changes. */
+/** Merges slices in hash order and returns the changes. */
 export function mergeColdSlices(
   set: WorkingSet,
   options: MergeOptions,
@@ -29,7 +30,7 @@
     if (!mayMerge(set, [first, second], options)) continue;
     const change = first.server === second.server
       ? merge(set, first, second)
-      : reunite(set, [first, second], options);
+      : moveToNeighbour(set, [first, second], options);
     if (change !== undefined) changes.push(change);
   }
   return changes;
@@ -40,14 +41,14 @@
   [first, second]: readonly [WorkingSlice, WorkingSlice],
   { mergeShare, minSlices }: MergeOptions,
 ): boolean {
-  if (first.isCooling || second.isCooling) return false;
+  if (first.isCoolingDown || second.isCoolingDown) return false;
   if (first.state !== "owned" || second.state !== "owned") return false;
   const isLive = first.server.state === "live" &&
     second.server.state === "live";
-  const together = set.relativeWeight(first) + set.relativeWeight(second);
-  // Slices that grew wide would be too coarse to spread keys again.
-  const isFine = first.keyShare + second.keyShare <= 1 / minSlices;
-  return isLive && isFine && together < mergeShare;
+  const weight = set.relativeWeight(first) + set.relativeWeight(second);
+  // Wider slices would be too coarse to balance load again.
+  const isNarrowEnough = first.keyShare + second.keyShare <= 1 / minSlices;
+  return isLive && isNarrowEnough && weight < mergeShare;
 }
 
 function merge(
@@ -60,11 +61,11 @@
     toHash: second.toHash,
     weight: first.weight + second.weight,
     keyShare: first.keyShare + second.keyShare,
-    isCooling: true,
+    isCoolingDown: true,
   };
   set.replace([first, second], [joined]);
-  first.isCooling = true;
-  second.isCooling = true;
+  first.isCoolingDown = true;
+  second.isCoolingDown = true;
   return {
     kind: "merge",
     slice: contracts.sliceIdOf(first),
@@ -74,16 +75,17 @@
 }
 
 /**
- * A key that was cut out while hot lies between slices of another owner and
- * could never merge. Moving it back costs one key.
+ * Moves a narrow slice to the owner of its neighbour. A key that was split off
+ * while hot is between slices of another owner and could never be merged;
+ * moving it back costs only one key.
  */
-function reunite(
+function moveToNeighbour(
   set: WorkingSet,
   [first, second]: readonly [WorkingSlice, WorkingSlice],
-  { narrowHashes }: MergeOptions,
+  { narrowWidth }: MergeOptions,
 ): ChangeRequest | undefined {
   const isNarrow = (slice: WorkingSlice) =>
-    slice.toHash - slice.fromHash <= narrowHashes;
+    slice.toHash - slice.fromHash <= narrowWidth;
   if (!isNarrow(first) && !isNarrow(second)) return undefined;
   const [moving, staying] = isNarrow(second)
     ? [second, first]
--- a/packages/decisions/src/placement/mod.ts
+++ b/packages/decisions/src/placement/mod.ts
@@ -1,4 +1,4 @@
-/** Which server should own which slice of a keyed service. */
+/** Placement: which server owns which slice of a keyed service. */
 export * from "./apply_changes.ts";
 export * from "./hot_keys.ts";
 export * from "./load_book.ts";
--- a/packages/decisions/src/placement/move_rule.ts
+++ b/packages/decisions/src/placement/move_rule.ts
@@ -1,100 +1,112 @@
-/** Moves of slices: off servers that go, and from full to empty servers. */
+/** Moves slices off lost and leaving servers, and rebalances live ones. */
 import * as contracts from "@guavatide/contracts";
 import type { ChangeRequest } from "../ownership/moves.ts";
 import type { PlacementSettings } from "./placement_settings.ts";
-import { ServerQueue } from "./server_queue.ts";
+import { ServerHeap } from "./server_queue.ts";
 import { percent } from "./split_rule.ts";
 import type { WorkingServer, WorkingSet, WorkingSlice } from "./working_set.ts";
 
-/** Takes every slice off servers that are lost or leaving. Unlimited. */
-export function clearServers(set: WorkingSet): ChangeRequest[] {
+/** Moves every slice off servers that are lost or leaving, without a limit. */
+export function evacuateServers(set: WorkingSet): ChangeRequest[] {
   if (set.live.length === 0) return [];
-  const homeless = [...set.servers.values()]
+  const evacuated = [...set.servers.values()]
     .filter((server) => server.state !== "live")
     .flatMap((server) => [...server.slices])
     .sort((a, b) => b.weight - a.weight);
-  const emptiest = new ServerQueue(set.live, (server) => set.fullness(server));
-  return homeless.map((slice) => {
+  const leastLoaded = new ServerHeap(
+    set.live,
+    (server) => set.zoneAwareLoad(server),
+  );
+  return evacuated.map((slice) => {
     const from = slice.server;
-    const to = emptiest.pop()!;
+    const to = leastLoaded.pop()!;
     set.move(slice, to);
-    emptiest.push(to);
+    leastLoaded.push(to);
     return describeMove(slice, to, `server ${from.id} is ${from.state}`);
   });
 }
 
-/** Options of {@link evenOut}. */
-export interface EvenOutOptions {
+/** Options of {@link rebalance}. */
+export interface RebalanceOptions {
   readonly settings: PlacementSettings;
   readonly maxMoves: number;
-  /** Gap between two servers' loads that chance alone may show. */
+  /** Difference between two servers' relative loads that may be due to chance. */
   readonly noise: number;
 }
 
 /**
- * Moves slices from the fullest to the emptiest server for as long as that is
- * worth its price. Gain and price of a move of relative weight `d` from a
- * server at `a` to one at `b`:
+ * Moves slices from the most to the least loaded server while the gain exceeds
+ * the cost. For a move of relative weight `d` from a server with relative load
+ * `a` to one with `b`:
  *
- *     gain  = imbalanceWeight * d * (a - b - d)
- *     price = churnWeight * keyPrice * keys + imbalanceWeight * gapPrice * d
+ *     gain = imbalanceWeight * d * (a - b - d)
+ *     cost = churnWeight * keyMoveCost * keys + imbalanceWeight * gapCost * d
  *
- * The gain is what the move takes off the sum of squared loads, halved. Keys
- * are counted in those of an average server, so that a hot key, which is one
- * key with much load, is cheap to move and a broad slice is dear. `a - b` is
- * taken less the noise: without that, a high weight of imbalance moves keys
- * after chance, and operators see churn that evens out nothing.
+ * The gain is half the decrease of the sum of squared loads. Keys are counted in
+ * units of an average server's keys, so that a hot key, which is one key with
+ * much load, is cheap to move and a wide slice is expensive. The noise is
+ * subtracted from `a - b`; otherwise a high weight of imbalance would move keys
+ * for random differences, which is churn without any gain.
  */
-export function evenOut(
+export function rebalance(
   set: WorkingSet,
-  { settings, maxMoves, noise }: EvenOutOptions,
+  { settings, maxMoves, noise }: RebalanceOptions,
 ): ChangeRequest[] {
   const changes: ChangeRequest[] = [];
-  const fullest = new ServerQueue(set.live, (server) => -set.relative(server));
-  const emptiest = new ServerQueue(set.live, (server) => set.fullness(server));
+  const mostLoaded = new ServerHeap(
+    set.live,
+    (server) => -set.relativeLoad(server),
+  );
+  const leastLoaded = new ServerHeap(
+    set.live,
+    (server) => set.zoneAwareLoad(server),
+  );
   while (changes.length < maxMoves) {
-    const from = fullest.pop();
-    const to = emptiest.pop();
+    const from = mostLoaded.pop();
+    const to = leastLoaded.pop();
     if (from === undefined || to === undefined || from === to) break;
-    const best = bestSlice(set, { from, to, settings, noise });
+    const best = bestSliceToMove(set, { from, to, settings, noise });
     if (best === undefined) {
-      emptiest.push(to);
-      if (isEven(set, from, to)) break;
+      leastLoaded.push(to);
+      if (isBalanced(set, from, to)) break;
       continue;
     }
-    const reason = `load ${percent(set.relative(from))} of fair, ` +
-      `target ${percent(set.relative(to))}`;
+    const reason = `load ${percent(set.relativeLoad(from))} of fair, ` +
+      `target ${percent(set.relativeLoad(to))}`;
     set.move(best, to);
     changes.push(describeMove(best, to, reason));
-    fullest.push(from);
-    fullest.push(to);
-    emptiest.push(to);
-    emptiest.push(from);
+    mostLoaded.push(from);
+    mostLoaded.push(to);
+    leastLoaded.push(to);
+    leastLoaded.push(from);
   }
   return changes;
 }
 
-/** Nothing further down the queue can be worth a move either. */
-function isEven(
+/** Whether the loads are so even that no further move can be worth its cost. */
+function isBalanced(
   set: WorkingSet,
   from: WorkingServer,
   to: WorkingServer,
 ): boolean {
-  return set.relative(from) <= set.relative(to) + 0.01;
+  return set.relativeLoad(from) <= set.relativeLoad(to) + 0.01;
 }
 
-interface Pair {
+interface ServerPair {
   readonly from: WorkingServer;
   readonly to: WorkingServer;
   readonly settings: PlacementSettings;
   readonly noise: number;
 }
 
-function bestSlice(set: WorkingSet, pair: Pair): WorkingSlice | undefined {
+function bestSliceToMove(
+  set: WorkingSet,
+  pair: ServerPair,
+): WorkingSlice | undefined {
   let best: WorkingSlice | undefined;
   let bestScore = 0;
   for (const slice of pair.from.slices) {
-    if (slice.isCooling) continue;
+    if (slice.isCoolingDown) continue;
     const score = scoreOf(set, slice, pair);
     if (score <= bestScore) continue;
     best = slice;
@@ -106,17 +118,22 @@
 function scoreOf(
   set: WorkingSet,
   slice: WorkingSlice,
-  { from, to, settings, noise }: Pair,
+  { from, to, settings, noise }: ServerPair,
 ): number {
-  const { imbalanceWeight, churnWeight, keyPrice, gapPrice } = settings;
-  const gap = set.relative(from) - set.relative(to) - noise;
-  const lessAtFrom = slice.weight / from.capacityShare;
-  const moreAtTo = slice.weight / to.capacityShare;
+  const {
+    imbalanceWeight,
+    churnWeight,
+    keyMoveCost,
+    gapCost,
+  } = settings;
+  const gap = set.relativeLoad(from) - set.relativeLoad(to) - noise;
+  const decrease = slice.weight / from.capacityShare;
+  const increase = slice.weight / to.capacityShare;
   const load = set.relativeWeight(slice);
   const keys = slice.keyShare * set.live.length;
-  const gain = load * (gap - (lessAtFrom + moreAtTo) / 2);
-  const price = churnWeight * keyPrice * keys;
-  return imbalanceWeight * (gain - gapPrice * load) - price;
+  const gain = load * (gap - (decrease + increase) / 2);
+  const cost = churnWeight * keyMoveCost * keys;
+  return imbalanceWeight * (gain - gapCost * load) - cost;
 }
 
 function describeMove(
--- a/packages/decisions/src/placement/placement_settings.ts
+++ b/packages/decisions/src/placement/placement_settings.ts
@@ -1,46 +1,46 @@
-/** Settings of the planner. */
+/** Settings of the placement planner. */
 
-/** Weights of one service and bounds of the planner. */
+/** Weights of one service, and limits of the planner. */
 export interface PlacementSettings {
-  /** Worth of evening out load; from the service's configuration. */
+  /** Weight of load imbalance; from the service's configuration. */
   readonly imbalanceWeight: number;
-  /** Cost of a moved key; from the service's configuration. */
+  /** Weight of moved keys; from the service's configuration. */
   readonly churnWeight: number;
-  /** Slices of each server at the start. */
+  /** Slices per server in the initial assignment. */
   readonly slicesPerServer: number;
-  /** Cold slices are merged down to this many for each server. */
+  /** Cold slices are merged down to this many per server. */
   readonly minSlicesPerServer: number;
-  /** Hot slices are split up to this many for each server. */
+  /** Hot slices are split up to this many per server. */
   readonly maxSlicesPerServer: number;
   /**
-   * Price of moving one average server's keys, against the gain of evening
-   * out one average server's load. With equal weights it is about the gap
-   * between two servers' loads that is left alone.
+   * Cost of moving all keys of an average server, relative to the gain of
+   * balancing an average server's load. With equal weights it is about the
+   * difference between two servers' loads that is tolerated.
    */
-  readonly keyPrice: number;
-  /** The same for the requests that meet the gap of a move. */
-  readonly gapPrice: number;
-  /** A slice hotter than this part of an average server's load is split. */
+  readonly keyMoveCost: number;
+  /** The same for requests that arrive while a moved key has no owner. */
+  readonly gapCost: number;
+  /** A slice with more than this fraction of an average server's load is split. */
   readonly splitShare: number;
-  /** Two neighbours colder than this together are merged. */
+  /** Two adjacent slices with less than this together are merged. */
   readonly mergeShare: number;
-  /** Part of a slice's weight that comes from its width, not its load. */
+  /** Fraction of a slice's weight that comes from its width instead of its load. */
   readonly widthWeight: number;
-  /** Planned moves in one plan, for each server; at least two in all. */
+  /** Rebalancing moves in one plan, per server; at least 2 in all. */
   readonly movesPerServer: number;
-  /** Splits and merges in one plan, for each server; at least eight each. */
-  readonly editsPerServer: number;
-  /** A slice that was changed is left alone for this long. */
-  readonly coolingMs: number;
-  /** A new server gets its full share after this long. */
+  /** Splits in one plan, per server, and as many merges; at least 8 of each. */
+  readonly reshardsPerServer: number;
+  /** A slice is not changed again for this long. */
+  readonly cooldownMs: number;
+  /** A new server has its full capacity after this long. */
   readonly warmUpMs: number;
-  /** Below this rate, load is left as it lies and width alone counts. */
+  /** Below this rate nothing is rebalanced, and only the width of a slice counts. */
   readonly minRequestsPerSecond: number;
-  /** Time that measured rates stand for: half-life by ln 2. */
+  /** Window of the measured rates: half-life divided by ln 2. */
   readonly loadWindowMs: number;
-  /** A planner that has just started only plans losses for this long. */
-  readonly settleMs: number;
-  /** A server's speed counts only beyond this difference from the median. */
+  /** For this long after its start a planner only plans evacuations. */
+  readonly startupDelayMs: number;
+  /** Smaller differences of a server's speed from the median are ignored. */
   readonly speedTolerance: number;
 }
 
@@ -51,17 +51,17 @@
   slicesPerServer: 16,
   minSlicesPerServer: 12,
   maxSlicesPerServer: 48,
-  keyPrice: 0.15,
-  gapPrice: 0.02,
+  keyMoveCost: 0.15,
+  gapCost: 0.02,
   splitShare: 0.15,
   mergeShare: 0.06,
   widthWeight: 0.1,
   movesPerServer: 0.05,
-  editsPerServer: 0.1,
-  coolingMs: 60_000,
+  reshardsPerServer: 0.1,
+  cooldownMs: 60_000,
   warmUpMs: 30_000,
   minRequestsPerSecond: 5,
   loadWindowMs: 21_600,
-  settleMs: 10_000,
+  startupDelayMs: 10_000,
   speedTolerance: 0.25,
 };
--- a/packages/decisions/src/placement/planner.ts
+++ b/packages/decisions/src/placement/planner.ts
@@ -1,9 +1,9 @@
 /**
- * Plans which server should own which slice of one keyed service. It weighs
- * the gain of evening out load against the price of moved keys and of the gap
- * of a move, by the service's own weights. Called at a fixed interval and when
- * a server goes, by the VM with control duty. Two planners at once do no harm:
- * changes take effect by conditional updates.
+ * Plans which server owns which slice of one keyed service. Weighs the gain of
+ * balanced load against the cost of moved keys and of the time without an owner
+ * during a move, by the service's own weights. The leader runs it at a fixed
+ * interval and when a server is lost or leaves. Two planners at once are safe, as
+ * changes are applied by conditional updates.
  */
 import * as contracts from "@guavatide/contracts";
 import type { ChangeRequest } from "../ownership/moves.ts";
@@ -14,60 +14,60 @@
 import * as splitRule from "./split_rule.ts";
 import { type PlacementInput, WorkingSet } from "./working_set.ts";
 
-/** What to change, and the figures that led to it. */
+/** Changes to apply, and the imbalance before and after. */
 export interface Plan {
-  /** In this order; each builds on those before. */
+  /** To be applied in this order; each depends on those before it. */
   readonly changes: readonly ChangeRequest[];
-  /** Fullest server's load against the fair one, before the plan. */
+  /** Highest relative load of a server before the plan; 1 is balanced. */
   readonly imbalance: number;
-  /** The same as expected after the plan. */
+  /** The same expected after the plan. */
   readonly plannedImbalance: number;
   readonly sliceCount: number;
 }
 
-/** Splits in one plan, at least; so with merges. */
-const MIN_EDITS = 8;
-/** Moves to even out load in one plan, at least. */
+/** Lower limit of the splits in one plan, and of the merges. */
+const MIN_RESHARDS = 8;
+/** Lower limit of the rebalancing moves in one plan. */
 const MIN_MOVES = 2;
-/** Standard deviations of a server's counted load that count as noise. */
+/** Standard deviations of a server's measured load that count as noise. */
 const NOISE_DEVIATIONS = 2;
-/** Slices up to this width are brought back when cold. */
-const NARROW_HASHES = 16;
+/** Cold slices of at most this many hashes move to the owner of a neighbour. */
+const NARROW_WIDTH = 16;
 
-/** Plans one service. */
+/** Planner of one service. */
 export class Planner {
   readonly #settings: PlacementSettings;
-  /** When the slice that begins at a hash was last changed. */
+  /** When a slice was last changed, by first hash. */
   readonly #changedAtMs = new Map<number, number>();
-  /** Owners of slices taken from a lost server, by first hash. */
-  readonly #homes = new Map<number, contracts.ServerId>();
+  /** Previous owners of slices moved off a lost server, by first hash. */
+  readonly #oldOwners = new Map<number, contracts.ServerId>();
   #firstPlanMs: number | undefined;
 
   constructor(settings: PlacementSettings) {
     this.#settings = settings;
   }
 
-  /** Slices for a service that has no assignment yet. */
+  /** Number of slices in the initial assignment. */
   initialSliceCount(servers: number): number {
     return Math.max(1, servers) * this.#settings.slicesPerServer;
   }
 
   /**
-   * Only what cannot wait: slices of servers that are lost or leaving, and
-   * slices still on their way that a server which is back may keep.
+   * Plans only urgent changes: moves slices off lost and leaving servers, and
+   * returns slices in handover to a server that is back.
    */
-  planLosses(input: PlacementInput): Plan {
+  planEvacuations(input: PlacementInput): Plan {
     const set = this.#workingSet(input);
     const before = imbalanceOf(set);
-    const changes = this.#planLosses(input, set);
+    const changes = this.#evacuate(input, set);
     return this.#finish(input.nowMs, { set, before, changes });
   }
 
-  /** The whole plan: losses first, then merges, splits and moves. */
+  /** Plans all changes: evacuations first, then merges, splits and moves. */
   plan(input: PlacementInput): Plan {
     const set = this.#workingSet(input);
     const before = imbalanceOf(set);
-    const changes = this.#planLosses(input, set);
+    const changes = this.#evacuate(input, set);
     if (set.live.length > 0 && this.#knowsLoad(input)) {
       changes.push(...this.#planMerges(set));
       changes.push(...this.#planSplits(set, input));
@@ -77,22 +77,22 @@
   }
 
   /**
-   * A planner that has just started has few reports, and an idle service has
-   * no load to speak of. Evening out by such figures would move keys to and
-   * fro at each change of duty and each quiet night; operators would see
-   * churn without any gain. Both wait.
+   * Whether the load is known well enough to rebalance. A planner that has just
+   * started has few reports, and an idle service has almost no load. Rebalancing
+   * by such figures would move keys back and forth at each change of leadership
+   * and in each quiet period, which is churn without any gain.
    */
   #knowsLoad({ nowMs, load }: PlacementInput): boolean {
-    const { settleMs, minRequestsPerSecond } = this.#settings;
+    const { startupDelayMs, minRequestsPerSecond } = this.#settings;
     this.#firstPlanMs ??= nowMs;
-    const hasSettled = nowMs - this.#firstPlanMs >= settleMs;
-    return hasSettled && load.requestsPerSecond >= minRequestsPerSecond;
+    const isReady = nowMs - this.#firstPlanMs >= startupDelayMs;
+    return isReady && load.requestsPerSecond >= minRequestsPerSecond;
   }
 
   #workingSet(input: PlacementInput): WorkingSet {
-    const { coolingMs } = this.#settings;
+    const { cooldownMs } = this.#settings;
     for (const [fromHash, atMs] of this.#changedAtMs) {
-      if (input.nowMs - atMs >= coolingMs) this.#changedAtMs.delete(fromHash);
+      if (input.nowMs - atMs >= cooldownMs) this.#changedAtMs.delete(fromHash);
     }
     return new WorkingSet(
       input,
@@ -101,28 +101,28 @@
     );
   }
 
-  #planLosses(input: PlacementInput, set: WorkingSet): ChangeRequest[] {
+  #evacuate(input: PlacementInput, set: WorkingSet): ChangeRequest[] {
     const changes = this.#planReturns(set);
-    this.#rememberHomes(input, set);
-    changes.push(...moveRule.clearServers(set));
+    this.#rememberOldOwners(input, set);
+    changes.push(...moveRule.evacuateServers(set));
     return changes;
   }
 
   /**
-   * A server that restarted and is back before its slices were given on keeps
-   * them: the wait goes on as before, and no key changes owner for it.
+   * Returns slices to a server that restarted and is back before their handover
+   * has finished: the lease must expire in any case, and no key changes owner.
    */
   #planReturns(set: WorkingSet): ChangeRequest[] {
     const changes: ChangeRequest[] = [];
-    if (this.#homes.size === 0) return changes;
+    if (this.#oldOwners.size === 0) return changes;
     for (const slice of set.slices) {
-      const home = this.#homes.get(slice.fromHash);
-      if (home === undefined) continue;
-      const server = set.servers.get(home);
-      if (slice.state !== "vacating") this.#homes.delete(slice.fromHash);
+      const oldOwner = this.#oldOwners.get(slice.fromHash);
+      if (oldOwner === undefined) continue;
+      const server = set.servers.get(oldOwner);
+      if (slice.state !== "vacating") this.#oldOwners.delete(slice.fromHash);
       const isBack = server?.state === "live" && slice.server !== server;
       if (slice.state !== "vacating" || !isBack) continue;
-      this.#homes.delete(slice.fromHash);
+      this.#oldOwners.delete(slice.fromHash);
       set.move(slice, server);
       changes.push({
         kind: "move",
@@ -134,22 +134,23 @@
     return changes;
   }
 
-  #rememberHomes(input: PlacementInput, set: WorkingSet): void {
+  #rememberOldOwners(input: PlacementInput, set: WorkingSet): void {
     for (const slice of set.slices) {
       if (slice.server.state !== "lost" || slice.state !== "owned") continue;
-      this.#homes.set(slice.fromHash, slice.server.id);
+      this.#oldOwners.set(slice.fromHash, slice.server.id);
     }
-    // The update that marks a slice as vacating may not be seen yet.
-    if (this.#homes.size > 2 * input.slices.length) this.#homes.clear();
+    // Not dropped one by one: the update that marks a slice as vacating may not
+    // be visible yet.
+    if (this.#oldOwners.size > 2 * input.slices.length) this.#oldOwners.clear();
   }
 
   #planMerges(set: WorkingSet): ChangeRequest[] {
     const { mergeShare, minSlicesPerServer } = this.#settings;
     return mergeRule.mergeColdSlices(set, {
       mergeShare,
-      maxMerges: this.#edits(set),
+      maxMerges: this.#maxReshards(set),
       minSlices: minSlicesPerServer * set.live.length,
-      narrowHashes: NARROW_HASHES,
+      narrowWidth: NARROW_WIDTH,
     });
   }
 
@@ -157,7 +158,7 @@
     const { splitShare, maxSlicesPerServer } = this.#settings;
     return splitRule.splitHotSlices(set, {
       splitShare,
-      maxSplits: this.#edits(set),
+      maxSplits: this.#maxReshards(set),
       maxSlices: maxSlicesPerServer * set.live.length,
       keys: this.#keyWeights(set, input),
     });
@@ -168,14 +169,14 @@
     const windowS = loadWindowMs / 1000;
     const counted = load.requestsPerSecond * windowS / set.live.length;
     const maxMoves = Math.ceil(movesPerServer * set.live.length);
-    return moveRule.evenOut(set, {
+    return moveRule.rebalance(set, {
       settings: this.#settings,
       maxMoves: Math.max(MIN_MOVES, maxMoves),
       noise: NOISE_DEVIATIONS / Math.sqrt(Math.max(1, counted)),
     });
   }
 
-  /** Keys hot enough to matter, as parts of the service's weight. */
+  /** Keys hot enough to affect splits, with their fraction of the total weight. */
   #keyWeights(
     set: WorkingSet,
     { load }: PlacementInput,
@@ -192,16 +193,19 @@
       .filter(({ weight }) => weight >= smallest);
   }
 
-  #edits(set: WorkingSet): number {
-    const { editsPerServer } = this.#settings;
-    return Math.max(MIN_EDITS, Math.ceil(editsPerServer * set.live.length));
+  #maxReshards(set: WorkingSet): number {
+    const { reshardsPerServer } = this.#settings;
+    return Math.max(
+      MIN_RESHARDS,
+      Math.ceil(reshardsPerServer * set.live.length),
+    );
   }
 
   #finish(
     nowMs: number,
     made: { set: WorkingSet; before: number; changes: ChangeRequest[] },
   ): Plan {
-    for (const change of made.changes) this.#noteChanged(change, nowMs);
+    for (const change of made.changes) this.#recordChange(change, nowMs);
     return {
       changes: made.changes,
       imbalance: made.before,
@@ -210,22 +214,22 @@
     };
   }
 
-  #noteChanged(change: ChangeRequest, nowMs: number): void {
+  #recordChange(change: ChangeRequest, nowMs: number): void {
     const fromHash = Number.parseInt(change.slice, 16);
-    // A split part may be moved at once: that is what it was split for.
+    // A split has no cooldown: its parts are split off to be moved at once.
     if (change.kind !== "split") this.#changedAtMs.set(fromHash, nowMs);
   }
 }
 
 function imbalanceOf(set: WorkingSet): number {
   return set.live.reduce(
-    (highest, server) => Math.max(highest, set.relative(server)),
+    (highest, server) => Math.max(highest, set.relativeLoad(server)),
     0,
   );
 }
 
-/** Rates of nothing, for a service whose load is not known yet. */
-export function unknownLoad(slices: number): LoadEstimate {
+/** Zero rates, for a service whose load is not known yet. */
+export function emptyLoadEstimate(slices: number): LoadEstimate {
   return {
     requestsPerSecond: 0,
     slices: new Float64Array(slices),
--- a/packages/decisions/src/placement/planner_test.ts
+++ b/packages/decisions/src/placement/planner_test.ts
@@ -11,12 +11,12 @@
   return `s${index}` as contracts.ServerId;
 }
 
-/** A service whose load and servers the test decides; plans take effect. */
+/** A service with the load and servers of the test; plans are applied at once. */
 class Fixture {
   readonly planner: placement.Planner;
   readonly states: ServerState[];
   readonly speeds = new Map<number, number>();
-  /** Requests a second of single hashes, besides an even rest. */
+  /** Requests a second of single hashes, in addition to the even load. */
   readonly hot = new Map<number, number>();
   readonly evenRequestsPerSecond: number;
   slices: contracts.Slice[] = [];
@@ -29,7 +29,7 @@
   ) {
     this.planner = new placement.Planner({
       ...placement.DEFAULT_PLACEMENT,
-      settleMs: 0,
+      startupDelayMs: 0,
       ...settings,
     });
     this.states = new Array(servers).fill("live");
@@ -76,7 +76,7 @@
     return changes;
   }
 
-  ownersOf(state: ServerState): number {
+  slicesOwnedBy(state: ServerState): number {
     return this.slices.filter((slice) =>
       this.states[Number(slice.server.slice(1))] === state
     ).length;
@@ -105,25 +105,25 @@
   return changes.filter((change) => change.kind === "move");
 }
 
-/** Hashes that change owner. */
-function keysOf(changes: readonly ChangeRequest[]): number {
+/** Number of hashes that change owner. */
+function movedHashes(changes: readonly ChangeRequest[]): number {
   return movesOf(changes)
     .map(({ slice }) => slice.split("-").map((part) => parseInt(part, 16)))
     .reduce((sum, [from, to]) => sum + to! - from!, 0);
 }
 
-test("should leave an even load alone", () => {
+test("should change nothing while the load is even", () => {
   const fixture = new Fixture(10);
   expect(fixture.run(50)).toEqual([]);
 });
 
-// A server is lost. Callers of its keys wait until others own them; callers
-// of any other key must notice nothing.
+// Requests for a lost server's keys wait until other servers own them; requests
+// for any other key must not be affected.
 test("should move only a lost server's slices, spread over the others", () => {
   const fixture = new Fixture(10);
   fixture.states[3] = "lost";
   const before = fixture.slices;
-  const plan = fixture.planner.planLosses(fixture.input());
+  const plan = fixture.planner.planEvacuations(fixture.input());
   const moved = new Set(plan.changes.map((change) => change.slice));
   const lost = before.filter((slice) => slice.server === serverId(3));
   expect(moved).toEqual(new Set(lost.map(contracts.sliceIdOf)));
@@ -131,11 +131,11 @@
 });
 
 // A server restarts and is back while its slices still wait for its old lease
-// to end. Moving them would cost callers a cold server for nothing.
-test("should give slices back to a server that returns in time", () => {
+// to expire. Moving them would only send requests to a cold server.
+test("should return slices to a server that is back before their handover", () => {
   const fixture = new Fixture(4);
   fixture.states[1] = "lost";
-  const plan = fixture.planner.planLosses(fixture.input());
+  const plan = fixture.planner.planEvacuations(fixture.input());
   const targets = new Map(
     movesOf(plan.changes).map((change) => [change.slice, change.toServer]),
   );
@@ -150,14 +150,14 @@
     .toEqual(16);
 });
 
-test("should take all slices off a leaving server in one plan", () => {
+test("should move all slices off a leaving server in one plan", () => {
   const fixture = new Fixture(10);
   fixture.states[2] = "leaving";
   fixture.tick();
-  expect(fixture.ownersOf("leaving")).toEqual(0);
+  expect(fixture.slicesOwnedBy("leaving")).toEqual(0);
 });
 
-test("should give a new server its share bit by bit", () => {
+test("should give a new server its share gradually", () => {
   const fixture = new Fixture(10);
   fixture.states.push("live");
   const first = movesOf(fixture.tick().changes).length;
@@ -167,11 +167,11 @@
   expect(share >= 10).toEqual(true);
 });
 
-// Control duty changes hands. The new holder has no reports yet and must not
-// undo what the old one did by load.
-test("should not even out load before it has settled or without load", () => {
-  for (const [settleMs, rate] of [[3_600_000, 1000], [0, 1]] as const) {
-    const fixture = new Fixture(10, { settleMs }, rate);
+// After a change of leadership the new leader has no reports yet and must not
+// undo the previous one's rebalancing.
+test("should not rebalance during the startup delay or without load", () => {
+  for (const [startupDelayMs, rate] of [[3_600_000, 1000], [0, 1]] as const) {
+    const fixture = new Fixture(10, { startupDelayMs }, rate);
     fixture.states.push("live");
     expect(fixture.run(20)).toEqual([]);
     fixture.states[2] = "lost";
@@ -179,7 +179,7 @@
   }
 });
 
-test("should take load off a server that has become slow", () => {
+test("should move load off a server that has become slow", () => {
   const fixture = new Fixture(10);
   fixture.speeds.set(4, 0.4);
   fixture.run(40);
@@ -187,7 +187,7 @@
   expect(left <= 10).toEqual(true);
 });
 
-test("should cut a hot key out and leave it alone on its server's slice", () => {
+test("should split off a hot key into a slice of its own", () => {
   const fixture = new Fixture(10);
   fixture.hot.set(123_456_789, 400);
   fixture.run(60);
@@ -196,7 +196,7 @@
   expect(fixture.tick().imbalance < 3.2).toEqual(true);
 });
 
-test("should merge cold slices again once a hot spot is gone", () => {
+test("should merge cold slices again after a hot spot", () => {
   const fixture = new Fixture(10);
   fixture.hot.set(123_456_789, 400).set(123_556_789, 300);
   fixture.run(60);
@@ -209,18 +209,18 @@
   expect(ids.filter((width) => width === 1)).toEqual([]);
 });
 
-test("should move fewer keys the more churn weighs", () => {
+test("should move fewer keys with a higher churn weight", () => {
   const moved = [0.25, 1, 4, 16].map((churnWeight) => {
     const fixture = new Fixture(10, { churnWeight }, 100_000);
     for (let i = 0; i < 40; i++) fixture.hot.set(i * 3_000_000, 1500);
-    return keysOf(fixture.run(60));
+    return movedHashes(fixture.run(60));
   });
   const sorted = [...moved].sort((a, b) => b - a);
   expect(moved).toEqual(sorted);
   expect(moved[0]! > moved[3]!).toEqual(true);
 });
 
-test("should keep planned moves within the limit of one plan", () => {
+test("should keep rebalancing moves within the limit of one plan", () => {
   const fixture = new Fixture(40);
   for (let i = 0; i < 40; i++) fixture.hot.set(i * 3_000_000, 60);
   for (let i = 0; i < 30; i++) {
@@ -229,7 +229,7 @@
   }
 });
 
-test("should keep the hash space covered whatever happens", () => {
+test("should keep the hash space covered under any changes", () => {
   const step = fc.oneof(
     fc.record({
       server: fc.nat(5),
@@ -239,7 +239,7 @@
   );
   fc.assert(
     fc.property(fc.array(step, { maxLength: 25 }), (steps) => {
-      const fixture = new Fixture(6, { coolingMs: 10_000 });
+      const fixture = new Fixture(6, { cooldownMs: 10_000 });
       for (const change of steps) {
         if ("hash" in change) fixture.hot.set(change.hash, change.rate);
         else fixture.states[change.server] = change.state;
@@ -252,7 +252,9 @@
         }
         expect(next).toEqual(contracts.HASH_SPACE);
         if (fixture.states.includes("live")) {
-          expect(fixture.ownersOf("lost") + fixture.ownersOf("leaving"))
+          expect(
+            fixture.slicesOwnedBy("lost") + fixture.slicesOwnedBy("leaving"),
+          )
             .toEqual(0);
         }
       }
--- a/packages/decisions/src/placement/split_rule.ts
+++ b/packages/decisions/src/placement/split_rule.ts
@@ -1,12 +1,12 @@
 /**
- * Splits hot slices, down to one hash, so that their load can be spread. A
- * split moves nothing by itself.
+ * Splits hot slices, down to a single hash, so that their load can be spread. A
+ * split by itself moves no key.
  */
 import * as contracts from "@guavatide/contracts";
 import type { ChangeRequest } from "../ownership/moves.ts";
 import type { WorkingSet, WorkingSlice } from "./working_set.ts";
 
-/** A key and its part of the service's load. */
+/** A key with its fraction of the service's load. */
 export interface KeyWeight {
   readonly hash: number;
   readonly weight: number;
@@ -14,6 +14,7 @@
 
 /** Options of {@link splitHotSlices}. */
 export interface SplitOptions {
+  /** See {@link PlacementSettings}. */
   readonly splitShare: number;
   readonly maxSplits: number;
   readonly maxSlices: number;
@@ -21,7 +22,7 @@
   readonly keys: readonly KeyWeight[];
 }
 
-/** Splits the hottest slices first; returns the changes. */
+/** Splits the hottest slices first and returns the changes. */
 export function splitHotSlices(
   set: WorkingSet,
   options: SplitOptions,
@@ -34,7 +35,7 @@
   while (hot.length > 0 && changes.length < options.maxSplits) {
     if (set.sliceCount >= options.maxSlices) break;
     const slice = hot.pop()!;
-    const parts = splitOnce(slice, keysIn(keys, slice));
+    const parts = splitSlice(slice, keysIn(keys, slice));
     set.replace([slice], parts);
     changes.push({
       kind: "split",
@@ -60,15 +61,15 @@
 }
 
 /**
- * Cuts beside a key that carries half of the slice or more, otherwise where
- * the load on both sides is about even.
+ * Splits next to a key that has at least half of the slice's load, otherwise
+ * where both parts have about the same load.
  */
-function splitOnce(
+function splitSlice(
   slice: WorkingSlice,
   keys: readonly KeyWeight[],
 ): [WorkingSlice, WorkingSlice] {
-  const at = cutOf(slice, keys);
-  const rest = restWeight(slice, keys);
+  const at = splitPointOf(slice, keys);
+  const rest = unnamedWeight(slice, keys);
   const leftShare = (at - slice.fromHash) / (slice.toHash - slice.fromHash);
   const leftKeys = keys
     .filter(({ hash }) => hash < at)
@@ -89,15 +90,18 @@
   return [left, right];
 }
 
-function cutOf(slice: WorkingSlice, keys: readonly KeyWeight[]): number {
-  const heavy = keys.find(({ weight }) => weight >= slice.weight / 2);
-  if (heavy === undefined) return evenCut(slice, keys);
-  return heavy.hash > slice.fromHash ? heavy.hash : heavy.hash + 1;
+function splitPointOf(slice: WorkingSlice, keys: readonly KeyWeight[]): number {
+  const dominant = keys.find(({ weight }) => weight >= slice.weight / 2);
+  if (dominant === undefined) return evenSplitPoint(slice, keys);
+  return dominant.hash > slice.fromHash ? dominant.hash : dominant.hash + 1;
 }
 
-function evenCut(slice: WorkingSlice, keys: readonly KeyWeight[]): number {
+function evenSplitPoint(
+  slice: WorkingSlice,
+  keys: readonly KeyWeight[],
+): number {
   const width = slice.toHash - slice.fromHash;
-  const density = restWeight(slice, keys) / width;
+  const density = unnamedWeight(slice, keys) / width;
   let sum = 0;
   let from = slice.fromHash;
   for (const { hash, weight } of keys) {
@@ -105,21 +109,24 @@
     if (before >= slice.weight / 2) break;
     sum = before + weight;
     from = hash;
-    if (sum >= slice.weight / 2) return clampCut(slice, hash + 1);
+    if (sum >= slice.weight / 2) return clampSplitPoint(slice, hash + 1);
   }
   const missing = slice.weight / 2 - sum;
-  const cut = density > 0
+  const point = density > 0
     ? from + missing / density
     : slice.fromHash + width / 2;
-  return clampCut(slice, Math.round(cut));
+  return clampSplitPoint(slice, Math.round(point));
 }
 
-function clampCut(slice: WorkingSlice, cut: number): number {
-  return Math.min(slice.toHash - 1, Math.max(slice.fromHash + 1, cut));
+function clampSplitPoint(slice: WorkingSlice, point: number): number {
+  return Math.min(slice.toHash - 1, Math.max(slice.fromHash + 1, point));
 }
 
-/** Weight of the slice that no named key carries. */
-function restWeight(slice: WorkingSlice, keys: readonly KeyWeight[]): number {
+/** Weight of the slice without its named keys. */
+function unnamedWeight(
+  slice: WorkingSlice,
+  keys: readonly KeyWeight[],
+): number {
   const named = keys.reduce((sum, key) => sum + key.weight, 0);
   return Math.max(0, slice.weight - named);
 }
@@ -141,7 +148,7 @@
   hot.splice(index, 0, slice);
 }
 
-/** A share as text for reasons. */
+/** Formats a fraction as a percentage, for the reasons of changes. */
 export function percent(share: number): string {
   return `${Math.round(share * 100)}%`;
 }
--- a/packages/decisions/src/placement/working_set.ts
+++ b/packages/decisions/src/placement/working_set.ts
@@ -1,4 +1,4 @@
-/** Servers and slices while a plan is being made. */
+/** Servers and slices while a plan is computed. */
 import * as contracts from "@guavatide/contracts";
 import type { LoadEstimate } from "./load_book.ts";
 import type { PlacementSettings } from "./placement_settings.ts";
@@ -8,53 +8,53 @@
   readonly server: contracts.ServerId;
   readonly zone: contracts.ZoneId;
   /**
-   * `leaving`: it takes no new work and gives its slices up in order.
-   * `lost`: its slices are taken from it.
+   * `leaving`: it takes no new slices and hands its own over. `lost`: its slices
+   * are moved without it.
    */
   readonly state: "live" | "leaving" | "lost";
-  /** Relative size; 1 for an ordinary server. */
+  /** Relative size; 1 for a normal server. */
   readonly capacity: number;
-  /** Speed against the median, see `LoadBook.speeds`. */
+  /** Speed relative to the median, see `LoadAggregator.speeds`. */
   readonly speed?: number;
   /** How long it has been live; absent when that is unknown. */
   readonly liveForMs?: number;
 }
 
-/** A slice with its part of the service's load. */
+/** A slice with its fraction of the service's load. */
 export interface WorkingSlice {
   readonly fromHash: number;
   readonly toHash: number;
   readonly state: contracts.Slice["state"];
   server: WorkingServer;
-  /** Part of the whole service's weight; all slices add up to 1. */
+  /** Fraction of the service's weight; all slices add up to 1. */
   readonly weight: number;
-  /** Part of the whole hash space. */
+  /** Fraction of the hash space. */
   readonly keyShare: number;
-  /** Changed in this plan or not long ago. */
-  isCooling: boolean;
-  /** Place in its server's list. */
+  /** Changed in this plan or within the cooldown. */
+  isCoolingDown: boolean;
+  /** Index in its server's list. */
   position: number;
 }
 
-/** A zone's sums. */
+/** Sums over a zone's servers. */
 export interface WorkingZone {
   capacityShare: number;
   weight: number;
 }
 
-/** A server with what it owns. */
+/** A server with its slices. */
 export interface WorkingServer {
   readonly id: contracts.ServerId;
   readonly state: PlacementServer["state"];
   readonly zone: WorkingZone;
-  /** Part of all live servers' capacity; 0 when it must own nothing. */
+  /** Fraction of all live servers' capacity; 0 when it must own nothing. */
   readonly capacityShare: number;
-  /** In no order; a list, since plans at large sizes fill it each time. */
+  /** Unordered. An array, as each plan fills it anew and may have many slices. */
   readonly slices: WorkingSlice[];
   weight: number;
 }
 
-/** What a plan is made from. */
+/** Input of the planner. */
 export interface PlacementInput {
   readonly nowMs: number;
   /** In order of `fromHash`, as in the assignment. */
@@ -63,65 +63,66 @@
   readonly load: LoadEstimate;
 }
 
-/** Least part of its capacity that a server counts with while it warms up. */
-const COLD_CAPACITY = 0.25;
-/** How much a zone's load counts beside the server's own. */
+/** Lowest fraction of its capacity that a server has during warm-up. */
+const MIN_WARM_UP_CAPACITY = 0.25;
+/** Weight of the zone's load relative to the server's own. */
 const ZONE_WEIGHT = 0.1;
 
-/** The sums that the rules work on. */
+/** Servers and slices that the rules modify, with sums of their loads. */
 export class WorkingSet {
   readonly servers = new Map<contracts.ServerId, WorkingServer>();
   readonly live: WorkingServer[] = [];
-  /** In order of `fromHash`; parts made by a split are not added. */
+  /** In order of `fromHash`, without the parts of a split. */
   readonly slices: WorkingSlice[] = [];
   sliceCount = 0;
 
   constructor(
     input: PlacementInput,
     settings: PlacementSettings,
-    isCooling: (fromHash: number) => boolean,
+    isCoolingDown: (fromHash: number) => boolean,
   ) {
     this.#addServers(input.servers, settings);
-    this.#addSlices(input, settings, isCooling);
+    this.#addSlices(input, settings, isCoolingDown);
   }
 
-  /** Load against what the server's capacity makes fair; 1 is even. */
-  relative(server: WorkingServer): number {
+  /** Load relative to the server's fair share by capacity; 1 is balanced. */
+  relativeLoad(server: WorkingServer): number {
     return server.capacityShare === 0
       ? Number.POSITIVE_INFINITY
       : server.weight / server.capacityShare;
   }
 
   /**
-   * How full a server is as a target. Between servers about as full, the one
-   * in the zone with less load comes first, so that the loss of any zone
-   * takes about the same part of the load with it.
+   * Load of a server for choosing the target of a move. Of servers with about
+   * the same load, the one in the less loaded zone is preferred, so that the
+   * loss of any zone affects about the same fraction of the load.
    */
-  fullness(server: WorkingServer): number {
+  zoneAwareLoad(server: WorkingServer): number {
     const zone = server.zone.weight / server.zone.capacityShare;
-    return this.relative(server) + ZONE_WEIGHT * (zone - 1);
+    return this.relativeLoad(server) + ZONE_WEIGHT * (zone - 1);
   }
 
-  /** A slice's weight against an average server's. */
+  /** A slice's weight relative to an average server's. */
   relativeWeight(slice: WorkingSlice): number {
     return slice.weight * this.live.length;
   }
 
+  /** Moves a slice to another server and starts its cooldown. */
   move(slice: WorkingSlice, to: WorkingServer): void {
-    this.#take(slice);
+    this.#detach(slice);
     slice.server = to;
-    slice.isCooling = true;
-    this.#give(slice);
+    slice.isCoolingDown = true;
+    this.#attach(slice);
   }
 
-  /** Replaces a slice by others of the same owner. */
+  /** Replaces slices by others of the same owner. */
   replace(old: readonly WorkingSlice[], parts: readonly WorkingSlice[]): void {
-    for (const slice of old) this.#take(slice);
-    for (const slice of parts) this.#give(slice);
+    for (const slice of old) this.#detach(slice);
+    for (const slice of parts) this.#attach(slice);
     this.sliceCount += parts.length - old.length;
   }
 
-  #take(slice: WorkingSlice): void {
+  #detach(slice: WorkingSlice): void {
     const { slices } = slice.server;
     const last = slices.pop()!;
     if (last !== slice) {
@@ -132,7 +133,7 @@
     slice.server.zone.weight -= slice.weight;
   }
 
-  #give(slice: WorkingSlice): void {
+  #attach(slice: WorkingSlice): void {
     slice.position = slice.server.slices.length;
     slice.server.slices.push(slice);
     slice.server.weight += slice.weight;
@@ -144,7 +145,9 @@
     settings: PlacementSettings,
   ): void {
     const zones = new Map<contracts.ZoneId, WorkingZone>();
-    const capacities = servers.map((server) => effective(server, settings));
+    const capacities = servers.map((server) =>
+      effectiveCapacity(server, settings)
+    );
     const total = capacities.reduce((sum, capacity) => sum + capacity, 0);
     servers.forEach((server, index) => {
       const zone = zones.get(server.zone) ?? { capacityShare: 0, weight: 0 };
@@ -172,7 +175,7 @@
   #addSlices(
     { slices, load }: PlacementInput,
     settings: PlacementSettings,
-    isCooling: (fromHash: number) => boolean,
+    isCoolingDown: (fromHash: number) => boolean,
   ): void {
     const rates = load.slices;
     const sum = rates.reduce((total, rate) => total + rate, 0);
@@ -189,16 +192,16 @@
         server: this.#serverOf(slice.server),
         weight: widthWeight * keyShare + (1 - widthWeight) * loadShare,
         keyShare,
-        isCooling: state === "vacating" || isCooling(fromHash),
+        isCoolingDown: state === "vacating" || isCoolingDown(fromHash),
         position: 0,
       };
       this.slices.push(working);
-      this.#give(working);
+      this.#attach(working);
     });
     this.sliceCount = slices.length;
   }
 
-  /** An owner that no list names any more counts as lost. */
+  /** An owner that is not among the given servers counts as lost. */
   #serverOf(id: contracts.ServerId): WorkingServer {
     return this.servers.get(id) ?? this.#addServer(id, {
       state: "lost",
@@ -209,17 +212,17 @@
 }
 
 /**
- * Capacity that counts: none unless live, less while warming up or slow. A
- * small difference in speed is noise and must not move keys.
+ * Effective capacity: 0 unless live, less during warm-up, and in proportion to
+ * the speed. A small difference in speed is noise and must not move keys.
  */
-function effective(
+function effectiveCapacity(
   server: PlacementServer,
   settings: PlacementSettings,
 ): number {
   if (server.state !== "live") return 0;
-  const warmth = (server.liveForMs ?? settings.warmUpMs) / settings.warmUpMs;
-  const warm = Math.min(1, Math.max(COLD_CAPACITY, warmth));
+  const progress = (server.liveForMs ?? settings.warmUpMs) / settings.warmUpMs;
+  const warm = Math.min(1, Math.max(MIN_WARM_UP_CAPACITY, progress));
   const speed = server.speed ?? 1;
-  const isOrdinary = Math.abs(speed - 1) <= settings.speedTolerance;
-  return server.capacity * warm * (isOrdinary ? 1 : Math.min(2, speed));
+  const isNormal = Math.abs(speed - 1) <= settings.speedTolerance;
+  return server.capacity * warm * (isNormal ? 1 : Math.min(2, speed));
 }
