--- a/packages/decisions/src/admission/late_loop_rule_test.ts
+++ b/packages/decisions/src/admission/lag_shedding_test.ts
@@ -1,6 +1,6 @@
 import { expect } from "earl";
 import { test } from "node:test";
-import { shouldShedForLag } from "./late_loop_rule.ts";
+import { shouldShedForLag } from "./lag_shedding.ts";
 
 const SERVICE_MS = 100;
 const TARGET_MS = 300;
--- a/packages/decisions/src/admission/service_queue.ts
+++ b/packages/decisions/src/admission/service_queue.ts
@@ -4,11 +4,11 @@
  */
 import type * as contracts from "@guavatide/contracts";
 import type { ColdStartLimit } from "./cold_start_limit.ts";
-import { PriorityOrder } from "./rank_order.ts";
+import { PriorityOrder } from "./priority_order.ts";
 import { ServerLoad } from "./server_load.ts";
 import * as ranking from "./server_ranking.ts";
 import type { ServiceTimes } from "./service_times.ts";
-import type { ShortRequestReserve } from "./short_work_reserve.ts";
+import type { ShortRequestReserve } from "./short_request_reserve.ts";
 import type {
   Refusal,
   RefusalReason,
--- a/packages/decisions/src/admission/slot_coordinator.ts
+++ b/packages/decisions/src/admission/slot_coordinator.ts
@@ -9,7 +9,7 @@
 import type { ColdStartLimit } from "./cold_start_limit.ts";
 import { ServiceQueue } from "./service_queue.ts";
 import { ServiceTimes } from "./service_times.ts";
-import { ShortRequestReserve } from "./short_work_reserve.ts";
+import { ShortRequestReserve } from "./short_request_reserve.ts";
 import type {
   PrioritizedRoute,
   Refusal,
--- a/packages/decisions/src/placement/load_tracker.ts
+++ b/packages/decisions/src/placement/load_tracker.ts
@@ -1,6 +1,6 @@
 /** Measures the load of one keyed service on an entry VM's request path. */
 import * as contracts from "@guavatide/contracts";
-import { HotKeySketch } from "./hot_keys.ts";
+import { HotKeySketch } from "./hot_key_sketch.ts";
 
 /** Options of {@link LoadTracker}. */
 export interface LoadTrackerOptions {
--- a/packages/decisions/src/placement/move_rule.ts
+++ b/packages/decisions/src/placement/move_rule.ts
@@ -2,7 +2,7 @@
 import * as contracts from "@guavatide/contracts";
 import type { ChangeRequest } from "../ownership/moves.ts";
 import type { PlacementSettings } from "./placement_settings.ts";
-import { ServerHeap } from "./server_queue.ts";
+import { ServerHeap } from "./server_heap.ts";
 import { percent } from "./split_rule.ts";
 import type { WorkingServer, WorkingSet, WorkingSlice } from "./working_set.ts";
 
--- a/packages/decisions/src/placement/planner.ts
+++ b/packages/decisions/src/placement/planner.ts
@@ -7,7 +7,7 @@
  */
 import * as contracts from "@guavatide/contracts";
 import type { ChangeRequest } from "../ownership/moves.ts";
-import type { LoadEstimate } from "./load_book.ts";
+import type { LoadEstimate } from "./load_aggregator.ts";
 import * as mergeRule from "./merge_rule.ts";
 import * as moveRule from "./move_rule.ts";
 import type { PlacementSettings } from "./placement_settings.ts";
--- a/packages/decisions/src/placement/working_set.ts
+++ b/packages/decisions/src/placement/working_set.ts
@@ -1,6 +1,6 @@
 /** Servers and slices while a plan is computed. */
 import * as contracts from "@guavatide/contracts";
-import type { LoadEstimate } from "./load_book.ts";
+import type { LoadEstimate } from "./load_aggregator.ts";
 import type { PlacementSettings } from "./placement_settings.ts";
 
 /** A server that may own slices. */
--- a/packages/decisions/src/routing/least_outstanding_choice.ts
+++ b/packages/decisions/src/routing/least_outstanding_balancer.ts
@@ -1,6 +1,6 @@
 /** Load balancing to the server with the fewest requests in flight. */
 import type * as contracts from "@guavatide/contracts";
-import type { Candidate, LoadBalancer } from "./server_choice.ts";
+import type { Candidate, LoadBalancer } from "./load_balancer.ts";
 
 /** Least requests in flight from this process, by weight; ties break randomly. */
 export class LeastOutstandingBalancer implements LoadBalancer {
--- a/packages/decisions/src/routing/policies.ts
+++ b/packages/decisions/src/routing/load_balancing_policies.ts
@@ -1,8 +1,8 @@
 /** Names of the load balancing policies in the configuration of a service. */
-import { LeastOutstandingBalancer } from "./least_outstanding_choice.ts";
-import { PowerOfTwoBalancer } from "./power_of_two_choice.ts";
-import { RoundRobinBalancer } from "./round_robin_choice.ts";
-import type { LoadBalancer } from "./server_choice.ts";
+import { LeastOutstandingBalancer } from "./least_outstanding_balancer.ts";
+import { PowerOfTwoBalancer } from "./power_of_two_balancer.ts";
+import { RoundRobinBalancer } from "./round_robin_balancer.ts";
+import type { LoadBalancer } from "./load_balancer.ts";
 
 /** Policies that need only the local state of one entry VM. */
 export const LOCAL_POLICIES = [
--- a/packages/decisions/src/routing/power_of_two_choice.ts
+++ b/packages/decisions/src/routing/power_of_two_balancer.ts
@@ -3,7 +3,7 @@
  * servers, by the load that they reported in recent answers.
  */
 import type * as contracts from "@guavatide/contracts";
-import type { Candidate, LoadBalancer } from "./server_choice.ts";
+import type { Candidate, LoadBalancer } from "./load_balancer.ts";
 
 /** Older reports say nothing about the load of servers with only a few slots. */
 const REPORT_TTL_MS = 200;
--- a/packages/decisions/src/routing/round_robin_choice.ts
+++ b/packages/decisions/src/routing/round_robin_balancer.ts
@@ -1,6 +1,6 @@
 /** Load balancing to servers in turn, whatever their load. */
 import type * as contracts from "@guavatide/contracts";
-import type { Candidate, LoadBalancer } from "./server_choice.ts";
+import type { Candidate, LoadBalancer } from "./load_balancer.ts";
 
 /** Round robin in order of the server ids. */
 export class RoundRobinBalancer implements LoadBalancer {
--- a/packages/decisions/src/routing/server_board.ts
+++ b/packages/decisions/src/routing/server_tracker.ts
@@ -1,7 +1,7 @@
 /** Load and health of one service's servers, as seen by one entry VM. */
 import type * as contracts from "@guavatide/contracts";
 import { OutlierEjection } from "./outlier_ejection.ts";
-import type { Candidate } from "./server_choice.ts";
+import type { Candidate } from "./load_balancer.ts";
 import { slowStartWeight } from "./slow_start.ts";
 
 /** Servers seen within this time after the tracker's creation count as warm. */
--- a/packages/decisions/src/routing/server_board_test.ts
+++ b/packages/decisions/src/routing/server_tracker_test.ts
@@ -1,7 +1,7 @@
 import type * as contracts from "@guavatide/contracts";
 import { expect } from "earl";
 import { test } from "node:test";
-import { ServerTracker } from "./server_board.ts";
+import { ServerTracker } from "./server_tracker.ts";
 
 const A = "a" as contracts.ServerId;
 const B = "b" as contracts.ServerId;
