--- a/packages/decisions/src/admission/lag_shedding_test.ts
+++ b/packages/decisions/src/admission/lag_shedding_test.ts
@@ -10,7 +10,9 @@
 /** Time between arrivals: a third more requests than the VM can forward. */
 const ARRIVAL_MS = 4.5;
 
-/** Counts the requests of 10 s that one VM answers within the target latency. */
+/**
+ * Counts the requests of 10 s that one VM answers within the target latency.
+ */
 function countAnsweredInTarget(
   shouldShed: (lagMs: number, nowMs: number, arrivedMs: number) => boolean,
 ): number {
--- a/packages/decisions/src/admission/mod.ts
+++ b/packages/decisions/src/admission/mod.ts
@@ -1,4 +1,6 @@
-/** Admission control: which request is sent to which backend server, and when. */
+/**
+ * Admission control: which request is sent to which backend server, and when.
+ */
 export * from "./cold_start_limit.ts";
 export * from "./lag_shedding.ts";
 export * from "./server_load.ts";
--- a/packages/decisions/src/admission/service_queue.ts
+++ b/packages/decisions/src/admission/service_queue.ts
@@ -72,9 +72,13 @@
 /** Shortest and longest time after which a caller is asked to retry. */
 const RETRY_AFTER_MIN_MS = 60;
 const RETRY_AFTER_MAX_MS = 1_500;
-/** Concurrent requests to servers of other cells, whose load is not known here. */
+/**
+ * Concurrent requests to servers of other cells, whose load is not known here.
+ */
 const OVERFLOW_REQUESTS = 1;
-/** The same while the own cell has only cold servers, which sustain little load. */
+/**
+ * The same while the own cell has only cold servers, which sustain little load.
+ */
 const OVERFLOW_REQUESTS_WHILE_COLD = 4;
 /** Expected duration of a handover when the previous owner releases the key. */
 const HANDOVER_WAIT_MS = 250;
@@ -190,7 +194,9 @@
     if (this.cancel(request)) request.refused(refusal);
   }
 
-  /** Sends what servers have capacity for. Called when a load or server changes. */
+  /**
+   * Sends what servers have capacity for. Called when a load or server changes.
+   */
   dispatch(nowMs: number): void {
     if (this.#waiting.length === 0) return;
     const rest: WaitingRequest[] = [];
@@ -198,7 +204,8 @@
     this.#waiting = [];
     const full = new Set<string>();
     for (const request of queued) {
-      // Routes to one destination may be allowed different numbers of its slots.
+      // Routes to one destination may be allowed different numbers of its
+      // slots.
       const group = `${this.#destinationOf(request)} ${request.route.name}`;
       if (!full.has(group) && this.#tryPlace(request, nowMs)) {
         this.#order.recordSent(request, queued);
@@ -362,8 +369,8 @@
   }
 
   /**
-   * Usable servers of the own cell, or of all cells if it has none. Cold servers
-   * are shared among VMs by rank instead of by cell.
+   * Usable servers of the own cell, or of all cells if it has none. Cold
+   * servers are shared among VMs by rank instead of by cell.
    */
   #usableServers(request: WaitingRequest, nowMs: number): ServerLoad[] {
     const all: ServerLoad[] = [];
--- a/packages/decisions/src/admission/service_queue_test.ts
+++ b/packages/decisions/src/admission/service_queue_test.ts
@@ -237,7 +237,9 @@
   expect(request.placement?.fence).toEqual(9);
 });
 
-/** Guards against requests to a restarted server that no longer owns the keys. */
+/**
+ * Guards against requests to a restarted server that no longer owns the keys.
+ */
 test("should not send a keyed request to a later incarnation of its owner", () => {
   const fixture = new Fixture([server("a", { bornMs: 2 })], ownedBy("a"));
   expect(fixture.add({ key: 1 }).placement).toEqual(undefined);
@@ -291,7 +293,9 @@
   expect(request.refusal!.retryAfterMs > 500).toEqual(true);
 });
 
-/** Guards against large bodies sent across zones while a local server is free. */
+/**
+ * Guards against large bodies sent across zones while a local server is free.
+ */
 test("should keep large bodies in their zone", () => {
   const fixture = new Fixture([
     server("near", { slots: 2 }),
@@ -357,7 +361,9 @@
   expect(load.slowdownRatio(50)).toEqual(1);
 });
 
-/** Guards against queueing at full servers while other cells have free slots. */
+/**
+ * Guards against queueing at full servers while other cells have free slots.
+ */
 test("should overflow to another cell when the own cell is full", () => {
   const fixture = new Fixture([]);
   const entries = [server("own"), server("other"), server("third")];
@@ -399,7 +405,9 @@
     .toEqual("cold" as contracts.ServerId);
 });
 
-/** Guards against requests that wait for a lost owner's long lease to expire. */
+/**
+ * Guards against requests that wait for a lost owner's long lease to expire.
+ */
 test("should expect a lost server's keys back when its leases have expired", () => {
   const owner = { kind: "moving", ageMs: 2_500, holdMs: 5_000 } as const;
   const fixture = new Fixture([server("a")], () => owner);
--- a/packages/decisions/src/admission/service_times.ts
+++ b/packages/decisions/src/admission/service_times.ts
@@ -11,7 +11,9 @@
 const SERVER_SAMPLE_WEIGHT = 1 / 10;
 /** A single sample counts as at most this many times the expected time. */
 const OUTLIER_RATIO = 6;
-/** Estimate before a route's first answer, as a fraction of its target latency. */
+/**
+ * Estimate before a route's first answer, as a fraction of its target latency.
+ */
 const INITIAL_ESTIMATE_FRACTION = 0.35;
 
 /** Learned service times of one service. */
--- a/packages/decisions/src/admission/service_times_test.ts
+++ b/packages/decisions/src/admission/service_times_test.ts
@@ -10,7 +10,9 @@
 const SPEEDS = [0.7, 1, 1.6];
 const REQUESTS = 20_000;
 
-/** Guards against estimates that drift to several times the real service time. */
+/**
+ * Guards against estimates that drift to several times the real service time.
+ */
 test("should keep estimates close to the real times over many samples", () => {
   const random = xoroshiro128plus(3);
   const times = new admission.ServiceTimes();
--- a/packages/decisions/src/admission/short_request_reserve_test.ts
+++ b/packages/decisions/src/admission/short_request_reserve_test.ts
@@ -163,7 +163,9 @@
   expect(long.served / long.requested >= 0.9).toEqual(true);
 });
 
-/** Guards against an overloaded server that answers each request just too late. */
+/**
+ * Guards against an overloaded server that answers each request just too late.
+ */
 test("should answer half of the requests in time at 120% load", () => {
   const simulation = new Simulation();
   simulation.run([{ ...SHORT, perSecond: 60 }], 1);
--- a/packages/decisions/src/admission/slot_client.ts
+++ b/packages/decisions/src/admission/slot_client.ts
@@ -11,9 +11,14 @@
 /** What is sent to one coordinator in one message. */
 export interface CoordinatorMessage {
   readonly requests: SlotRequest[];
-  /** Slots released and slot requests cancelled, with an answered request's time. */
+  /**
+   * Slots released and slot requests cancelled, with an answered request's
+   * time.
+   */
   readonly ended: { readonly id: number; readonly tookMs?: number }[];
-  /** All slots held from the coordinator; undefined if this message has no list. */
+  /**
+   * All slots held from the coordinator; undefined if this message has no list.
+   */
   held: HeldSlot[] | undefined;
 }
 
@@ -37,13 +42,17 @@
   readonly onUnresponsive: (coordinator: contracts.VmId) => void;
 }
 
-/** A request without a reply is resent after this time, as datagrams get lost. */
+/**
+ * A request without a reply is resent after this time, as datagrams get lost.
+ */
 const RESEND_MS = 60;
 /** Without a reply for this long, a coordinator counts as unresponsive. */
 const ANSWER_TIMEOUT_MS = 250;
 /** A queued request is resent at this interval to be confirmed. */
 const QUEUED_RESEND_MS = 300;
-/** Without a confirmation for this long, a coordinator counts as unresponsive. */
+/**
+ * Without a confirmation for this long, a coordinator counts as unresponsive.
+ */
 const QUEUED_TIMEOUT_MS = 800;
 /** How long an unresponsive coordinator is excluded. */
 const COORDINATOR_QUARANTINE_MS = 2_000;
--- a/packages/decisions/src/admission/slot_coordinator.ts
+++ b/packages/decisions/src/admission/slot_coordinator.ts
@@ -54,7 +54,9 @@
   readonly random: contracts.RandomSource;
   /** Called with each decision, to be sent to its VM. */
   readonly onDecision: (decision: SlotDecision) => void;
-  /** Limits the slots granted at a service's cold servers; no limit if absent. */
+  /**
+   * Limits the slots granted at a service's cold servers; no limit if absent.
+   */
   readonly coldStartsOf?: (
     service: contracts.ServiceId,
   ) => ColdStartLimit | undefined;
@@ -65,7 +67,10 @@
  * the message that granted or the one that released it was lost.
  */
 const UNLISTED_SLOT_TTL_MS = 300;
-/** Without a message from a VM for this long, its slots and requests are dropped. */
+/**
+ * Without a message from a VM for this long, its slots and requests are
+ * dropped.
+ */
 const UNRESPONSIVE_VM_TIMEOUT_MS = 2_000;
 /** State of a server without any slot request for this long is dropped. */
 const IDLE_SERVER_TTL_MS = 10_000;
@@ -87,15 +92,17 @@
     this.#options = options;
   }
 
-  /** Handles a slot request. Idempotent: a repeated one gets its current state. */
+  /**
+   * Handles a slot request. Idempotent: a repeated one gets its current state.
+   */
   request(request: SlotRequest, nowMs: number): void {
     this.#lastMessageMs.set(request.vm, nowMs);
     this.#allocatorOf(request).request(request, nowMs);
   }
 
   /**
-   * Releases a slot or cancels a slot request. `tookMs` is the time of a request
-   * that was answered.
+   * Releases a slot or cancels a slot request. `tookMs` is the time of a
+   * request that was answered.
    */
   release(
     vm: contracts.VmId,
@@ -108,7 +115,9 @@
     }
   }
 
-  /** Takes over a VM's list of all slots that it holds from this coordinator. */
+  /**
+   * Takes over a VM's list of all slots that it holds from this coordinator.
+   */
   reconcileHeld(
     vm: contracts.VmId,
     slots: readonly HeldSlot[],
@@ -149,7 +158,9 @@
     return false;
   }
 
-  /** Each server's service time relative to the service's mean; 1 is the mean. */
+  /**
+   * Each server's service time relative to the service's mean; 1 is the mean.
+   */
   latencyFactors(
     service: contracts.ServiceId,
   ): Map<contracts.ServerId, number> {
@@ -346,7 +357,9 @@
   }
 }
 
-/** Fills in the fields that a queue expects; a coordinator uses only the slots. */
+/**
+ * Fills in the fields that a queue expects; a coordinator uses only the slots.
+ */
 function serverEntryOf(
   { service, server, bornMs, slots }: SlotServer,
   zone: contracts.ZoneId,
--- a/packages/decisions/src/placement/hot_key_sketch.ts
+++ b/packages/decisions/src/placement/hot_key_sketch.ts
@@ -44,7 +44,9 @@
     else this.#replaceSmallest(hash);
   }
 
-  /** Multiplies all counts by the factor, so that keys no longer hot drop out. */
+  /**
+   * Multiplies all counts by the factor, so that keys no longer hot drop out.
+   */
   decay(factor: number): void {
     const kept: [hash: number, count: number, error: number][] = [];
     for (const [hash, slot] of this.#slots) {
@@ -82,8 +84,8 @@
   /**
    * Replaces a key with about the smallest count. Scanning for the smallest one
    * at each request would cost more than the rest of this process's work on the
-   * request path. The cursor visits each slot once per increase of the floor, so
-   * the cost per request is independent of the number of tracked keys.
+   * request path. The cursor visits each slot once per increase of the floor,
+   * so the cost per request is independent of the number of tracked keys.
    */
   #replaceSmallest(hash: number): void {
     const slot = this.#findSmall();
--- a/packages/decisions/src/placement/load_tracker.ts
+++ b/packages/decisions/src/placement/load_tracker.ts
@@ -139,8 +139,8 @@
   }
 
   /**
-   * The slices with the highest rates without the named keys. Each named key can
-   * drop at most one slice out of these, so that many more are considered.
+   * The slices with the highest rates without the named keys. Each named key
+   * can drop at most one slice out of these, so that many more are considered.
    */
   #topSlices(
     perSecond: number,
--- a/packages/decisions/src/placement/move_rule.ts
+++ b/packages/decisions/src/placement/move_rule.ts
@@ -30,7 +30,9 @@
 export interface RebalanceOptions {
   readonly settings: PlacementSettings;
   readonly maxMoves: number;
-  /** Difference between two servers' relative loads that may be due to chance. */
+  /**
+   * Difference between two servers' relative loads that may be due to chance.
+   */
   readonly noise: number;
 }
 
@@ -42,9 +44,9 @@
  *     gain = imbalanceWeight * d * (a - b - d)
  *     cost = churnWeight * keyMoveCost * keys + imbalanceWeight * gapCost * d
  *
- * The gain is half the decrease of the sum of squared loads. Keys are counted in
- * units of an average server's keys, so that a hot key, which is one key with
- * much load, is cheap to move and a wide slice is expensive. The noise is
+ * The gain is half the decrease of the sum of squared loads. Keys are counted
+ * in units of an average server's keys, so that a hot key, which is one key
+ * with much load, is cheap to move and a wide slice is expensive. The noise is
  * subtracted from `a - b`; otherwise a high weight of imbalance would move keys
  * for random differences, which is churn without any gain.
  */
--- a/packages/decisions/src/placement/placement_settings.ts
+++ b/packages/decisions/src/placement/placement_settings.ts
@@ -20,11 +20,15 @@
   readonly keyMoveCost: number;
   /** The same for requests that arrive while a moved key has no owner. */
   readonly gapCost: number;
-  /** A slice with more than this fraction of an average server's load is split. */
+  /**
+   * A slice with more than this fraction of an average server's load is split.
+   */
   readonly splitShare: number;
   /** Two adjacent slices with less than this together are merged. */
   readonly mergeShare: number;
-  /** Fraction of a slice's weight that comes from its width instead of its load. */
+  /**
+   * Fraction of a slice's weight that comes from its width instead of its load.
+   */
   readonly widthWeight: number;
   /** Rebalancing moves in one plan, per server; at least 2 in all. */
   readonly movesPerServer: number;
@@ -34,7 +38,10 @@
   readonly cooldownMs: number;
   /** A new server has its full capacity after this long. */
   readonly warmUpMs: number;
-  /** Below this rate nothing is rebalanced, and only the width of a slice counts. */
+  /**
+   * Below this rate nothing is rebalanced, and only the width of a slice
+   * counts.
+   */
   readonly minRequestsPerSecond: number;
   /** Window of the measured rates: half-life divided by ln 2. */
   readonly loadWindowMs: number;
--- a/packages/decisions/src/placement/planner.ts
+++ b/packages/decisions/src/placement/planner.ts
@@ -2,8 +2,8 @@
  * Plans which server owns which slice of one keyed service. Weighs the gain of
  * balanced load against the cost of moved keys and of the time without an owner
  * during a move, by the service's own weights. The leader runs it at a fixed
- * interval and when a server is lost or leaves. Two planners at once are safe, as
- * changes are applied by conditional updates.
+ * interval and when a server is lost or leaves. Two planners at once are safe,
+ * as changes are applied by conditional updates.
  */
 import * as contracts from "@guavatide/contracts";
 import type { ChangeRequest } from "../ownership/moves.ts";
@@ -78,9 +78,9 @@
 
   /**
    * Whether the load is known well enough to rebalance. A planner that has just
-   * started has few reports, and an idle service has almost no load. Rebalancing
-   * by such figures would move keys back and forth at each change of leadership
-   * and in each quiet period, which is churn without any gain.
+   * started has few reports, and an idle service has almost no load.
+   * Rebalancing by such figures would move keys back and forth at each change
+   * of leadership and in each quiet period, which is churn without any gain.
    */
   #knowsLoad({ nowMs, load }: PlacementInput): boolean {
     const { startupDelayMs, minRequestsPerSecond } = this.#settings;
@@ -176,7 +176,9 @@
     });
   }
 
-  /** Keys hot enough to affect splits, with their fraction of the total weight. */
+  /**
+   * Keys hot enough to affect splits, with their fraction of the total weight.
+   */
   #keyWeights(
     set: WorkingSet,
     { load }: PlacementInput,
--- a/packages/decisions/src/placement/planner_test.ts
+++ b/packages/decisions/src/placement/planner_test.ts
@@ -11,7 +11,9 @@
   return `s${index}` as contracts.ServerId;
 }
 
-/** A service with the load and servers of the test; plans are applied at once. */
+/**
+ * A service with the load and servers of the test; plans are applied at once.
+ */
 class Fixture {
   readonly planner: placement.Planner;
   readonly states: ServerState[];
--- a/packages/decisions/src/placement/working_set.ts
+++ b/packages/decisions/src/placement/working_set.ts
@@ -8,8 +8,8 @@
   readonly server: contracts.ServerId;
   readonly zone: contracts.ZoneId;
   /**
-   * `leaving`: it takes no new slices and hands its own over. `lost`: its slices
-   * are moved without it.
+   * `leaving`: it takes no new slices and hands its own over. `lost`: its
+   * slices are moved without it.
    */
   readonly state: "live" | "leaving" | "lost";
   /** Relative size; 1 for a normal server. */
@@ -49,7 +49,9 @@
   readonly zone: WorkingZone;
   /** Fraction of all live servers' capacity; 0 when it must own nothing. */
   readonly capacityShare: number;
-  /** Unordered. An array, as each plan fills it anew and may have many slices. */
+  /**
+   * Unordered. An array, as each plan fills it anew and may have many slices.
+   */
   readonly slices: WorkingSlice[];
   weight: number;
 }
--- a/packages/decisions/src/routing/caller_limits.ts
+++ b/packages/decisions/src/routing/caller_limits.ts
@@ -5,7 +5,9 @@
 import type * as contracts from "@guavatide/contracts";
 import { TokenBucket } from "./token_bucket.ts";
 
-/** Callers whose state is kept; beyond that the least recently seen is evicted. */
+/**
+ * Callers whose state is kept; beyond that the least recently seen is evicted.
+ */
 const MAX_CALLERS = 10_000;
 /** Fraction of the partner's rate and burst that one caller may use. */
 const CALLER_SHARE = 0.5;
@@ -71,7 +73,8 @@
     const bucket = found ?? new TokenBucket(options, nowMs);
     if (found !== undefined) {
       found.configure(options);
-      // Moved to the end of the map, whose first entry is the least recently seen.
+      // Moved to the end of the map, whose first entry is the least recently
+      // seen.
       this.#callers.delete(name);
     }
     this.#callers.set(name, bucket);
--- a/packages/decisions/src/routing/fair_queue.ts
+++ b/packages/decisions/src/routing/fair_queue.ts
@@ -49,7 +49,9 @@
     return undefined;
   }
 
-  /** Removes and returns the next item; its tenant goes to the end of the order. */
+  /**
+   * Removes and returns the next item; its tenant goes to the end of the order.
+   */
   shift(): T | undefined {
     const item = this.peek();
     if (item === undefined) return undefined;
--- a/packages/decisions/src/routing/least_outstanding_balancer.ts
+++ b/packages/decisions/src/routing/least_outstanding_balancer.ts
@@ -2,7 +2,9 @@
 import type * as contracts from "@guavatide/contracts";
 import type { Candidate, LoadBalancer } from "./load_balancer.ts";
 
-/** Least requests in flight from this process, by weight; ties break randomly. */
+/**
+ * Least requests in flight from this process, by weight; ties break randomly.
+ */
 export class LeastOutstandingBalancer implements LoadBalancer {
   choose(
     candidates: readonly Candidate[],
--- a/packages/decisions/src/routing/load_balancer.ts
+++ b/packages/decisions/src/routing/load_balancer.ts
@@ -15,7 +15,9 @@
   readonly reportAgeMs: number;
   /** Requests that the server runs at once. */
   readonly slots: number;
-  /** Fraction of a full share of load that it should get; above 0, at most 1. */
+  /**
+   * Fraction of a full share of load that it should get; above 0, at most 1.
+   */
   readonly weight: number;
 }
 
--- a/packages/decisions/src/routing/outlier_ejection.ts
+++ b/packages/decisions/src/routing/outlier_ejection.ts
@@ -42,7 +42,10 @@
     this.#lastAnswerMs = nowMs;
   }
 
-  /** Records an attempt without an answer. Returns whether the server is ejected. */
+  /**
+   * Records an attempt without an answer. Returns whether the server is
+   * ejected.
+   */
   recordFailure(nowMs: number): boolean {
     this.#failures++;
     const isEjected = this.#state === "ejected" || this.#state === "probing";
@@ -55,8 +58,8 @@
 
   /**
    * Ejects the server if it may be frozen: requests are in flight, the oldest
-   * was sent long ago and nothing was answered since. A probe is due at once, as
-   * the requests may just be slow. Returns whether the server is ejected.
+   * was sent long ago and nothing was answered since. A probe is due at once,
+   * as the requests may just be slow. Returns whether the server is ejected.
    */
   detectFreeze(oldestSentMs: number, nowMs: number): boolean {
     if (this.#state !== "in-use") return false;
--- a/packages/decisions/src/routing/power_of_two_balancer.ts
+++ b/packages/decisions/src/routing/power_of_two_balancer.ts
@@ -5,7 +5,9 @@
 import type * as contracts from "@guavatide/contracts";
 import type { Candidate, LoadBalancer } from "./load_balancer.ts";
 
-/** Older reports say nothing about the load of servers with only a few slots. */
+/**
+ * Older reports say nothing about the load of servers with only a few slots.
+ */
 const REPORT_TTL_MS = 200;
 
 /** The less loaded of two random servers. */
--- a/packages/decisions/src/routing/queue_limit.ts
+++ b/packages/decisions/src/routing/queue_limit.ts
@@ -23,14 +23,16 @@
 
   /**
    * Records the answer to an attempt that took `attemptMs`. Only answers count:
-   * a request that full servers refuse is queued again, so its leaving the queue
-   * does not shorten it.
+   * a request that full servers refuse is queued again, so its leaving the
+   * queue does not shorten it.
    */
   recordAnswer(
     attemptMs: number,
     options: {
       readonly nowMs: number;
-      /** Whether requests are queued, so that the next gap shows the throughput. */
+      /**
+       * Whether requests are queued, so that the next gap shows the throughput.
+       */
       readonly isWaiting: boolean;
     },
   ): void {
--- a/packages/decisions/src/routing/server_tracker.ts
+++ b/packages/decisions/src/routing/server_tracker.ts
@@ -142,7 +142,10 @@
     return state === "ejected" || state === "probing";
   }
 
-  /** Returns whether a probe of an ejected server is due; if so it counts as sent. */
+  /**
+   * Returns whether a probe of an ejected server is due; if so it counts as
+   * sent.
+   */
   tryProbe(server: contracts.ServerId, nowMs: number): boolean {
     return this.#entries.get(server)?.ejection.tryProbe(nowMs) ?? false;
   }
--- a/packages/decisions/src/routing/server_tracker_test.ts
+++ b/packages/decisions/src/routing/server_tracker_test.ts
@@ -22,7 +22,8 @@
 
 test("should eject a frozen server until it answers a probe", () => {
   // The process of a server is frozen. Its connections stay open and accept
-  // bytes, and its last health report is good: only the missing answers show it.
+  // bytes, and its last health report is good: only the missing answers show
+  // it.
   const tracker = createTracker();
   tracker.recordSent(A, 100);
   expect(tracker.ejectUnresponsive(499)).toEqual([]);
