--- a/packages/entry/src/gateway/slot_task.ts
+++ b/packages/entry/src/gateway/slot_task.ts
@@ -9,7 +9,7 @@
 import type { LifeCycle, RegularWork } from "../utils/life_cycle.ts";
 import { OncePerTurn } from "../utils/once_per_turn.ts";
 import type { PartLog } from "../utils/log.ts";
-import type { ColdStarts } from "./cold_starts.ts";
+import type { ColdStartLimits } from "./cold_start_limits.ts";
 import type { PeerGossip } from "./peer_gossip.ts";
 import * as messages from "./peer_messages.ts";
 import type { ServerRegistry } from "./server_registry.ts";
@@ -25,12 +25,12 @@
   readonly random: contracts.RandomSource;
   readonly log: PartLog;
   readonly isLeaving: () => boolean;
-  readonly coldStarts: ColdStarts;
+  readonly coldStarts: ColdStartLimits;
 }
 
 /** The queue whose requests ask for slots. */
-export interface SlotCaller {
-  place(request: admission.WaitingRequest): void;
+export interface SlotConsumer {
+  grant(request: admission.WaitingRequest): void;
   refuse(
     request: admission.WaitingRequest,
     refusal: admission.Refusal,
@@ -38,7 +38,7 @@
 }
 
 /** Interval at which lost words are made good and waits are looked through. */
-const TICK_MS = 25;
+const ACTIVE_TICK_MS = 25;
 /** The same while no request waits. */
 const IDLE_TICK_MS = 200;
 
@@ -50,7 +50,7 @@
   readonly #order: grants.DutyOrder;
   /** Answers of the own coordinator, not sent yet. */
   readonly #words = new Map<contracts.VmId, admission.SlotReply[]>();
-  readonly #callers = new Map<admission.WaitingRequest, SlotCaller>();
+  readonly #callers = new Map<admission.WaitingRequest, SlotConsumer>();
   #work: RegularWork | undefined;
   /** What changes in one turn of the event loop leaves together. */
   readonly #flushing = new OncePerTurn(() => this.#flush());
@@ -63,7 +63,7 @@
       vm,
       coordinatorOf: (server, silent) => this.#coordinatorOf(server, silent),
       onMessage: () => this.#flushing.schedule(),
-      onGranted: (request) => this.#callers.get(request)?.place(request),
+      onGranted: (request) => this.#callers.get(request)?.grant(request),
       onRefused: (request, refusal) => {
         const caller = this.#callers.get(request);
         this.#callers.delete(request);
@@ -78,19 +78,19 @@
       zone,
       random,
       onDecision: (decision) => this.#decide(decision),
-      coldStartsOf: (service) => options.coldStarts.coordinated(service),
+      coldStartsOf: (service) => options.coldStarts.forCoordinator(service),
     });
     options.registry.onChange(() =>
       this.#order.keepOnly(options.registry.ids())
     );
     gossip.onGuarded(
-      messages.SLOT_ASKS_METHOD,
-      messages.isSlotAsks,
+      messages.SLOT_REQUESTS_METHOD,
+      messages.isSlotRequests,
       (asks) => this.#takeAsks(asks),
     );
     gossip.onGuarded(
-      messages.SLOT_WORDS_METHOD,
-      messages.isSlotWords,
+      messages.SLOT_REPLIES_METHOD,
+      messages.isSlotReplies,
       (words) => this.#takeWords(words),
     );
   }
@@ -107,11 +107,11 @@
 
   #followLoad(): void {
     const isIdle = this.#asks.isIdle && !this.#coordinator.hasPending;
-    this.#work?.setIntervalMs(isIdle ? IDLE_TICK_MS : TICK_MS);
+    this.#work?.setIntervalMs(isIdle ? IDLE_TICK_MS : ACTIVE_TICK_MS);
   }
 
   /** Slots for the requests of one queue. */
-  source(caller: SlotCaller): admission.SlotSource {
+  source(caller: SlotConsumer): admission.SlotSource {
     return {
       tryAcquire: (request, load, nowMs) => {
         this.#callers.set(request, caller);
@@ -133,7 +133,9 @@
   }
 
   /** How much longer than average each server takes, as this coordinator sees it. */
-  factors(service: contracts.ServiceId): Map<contracts.ServerId, number> {
+  latencyFactors(
+    service: contracts.ServiceId,
+  ): Map<contracts.ServerId, number> {
     return this.#coordinator.latencyFactors(service);
   }
 
@@ -147,7 +149,7 @@
   ): contracts.VmId | undefined {
     const { gossip, registry, vm } = this.#options;
     const zone = registry.zoneOf(server);
-    const inZone = zone === undefined ? [] : gossip.membersOf(zone);
+    const inZone = zone === undefined ? [] : gossip.liveVmsIn(zone);
     const near = inZone.filter((it) => this.#isAble(it, silent));
     const able = near.length > 0
       ? near
@@ -170,20 +172,20 @@
     for (const [coordinator, message] of this.#asks.drainMessages()) {
       const asks = this.#encodeAsks(message);
       if (coordinator === vm) this.#takeAsks(asks);
-      else gossip.send(messages.SLOT_ASKS_METHOD, asks, [coordinator]);
+      else gossip.send(messages.SLOT_REQUESTS_METHOD, asks, [coordinator]);
     }
     const answers = [...this.#words];
     this.#words.clear();
     for (const [to, words] of answers) {
-      const answer = encodeWords(vm, words);
+      const answer = encodeReplies(vm, words);
       if (to === vm) this.#takeWords(answer);
-      else gossip.send(messages.SLOT_WORDS_METHOD, answer, [to]);
+      else gossip.send(messages.SLOT_REPLIES_METHOD, answer, [to]);
     }
   }
 
   #encodeAsks(
     { requests: wishes, ended, held }: admission.CoordinatorMessage,
-  ): messages.SlotAsks {
+  ): messages.SlotRequests {
     const { vm, clock } = this.#options;
     const nowMs = clock.nowMs();
     return {
@@ -198,7 +200,7 @@
     };
   }
 
-  #takeAsks({ vm, wishes, ended, held }: messages.SlotAsks): void {
+  #takeAsks({ vm, wishes, ended, held }: messages.SlotRequests): void {
     const nowMs = this.#options.clock.nowMs();
     for (const [id, tookMs] of ended) {
       this.#coordinator.release(vm, id, { tookMs: tookMs ?? undefined, nowMs });
@@ -215,7 +217,7 @@
     this.#coordinator.reconcileHeld(vm, held.map(decodeSlot), nowMs);
   }
 
-  #takeWords({ vm, given, queued, refused }: messages.SlotWords): void {
+  #takeWords({ vm, given, queued, refused }: messages.SlotReplies): void {
     const words: admission.SlotReply[] = [
       ...given.map((id) => ({ id, kind: "given" as const })),
       ...queued.map((id) => ({ id, kind: "queued" as const })),
@@ -238,7 +240,7 @@
 
 function encodeSlot(
   { id, service, server, bornMs, slots, route }: admission.HeldSlot,
-): messages.SlotMessage {
+): messages.SlotTuple {
   const { name, priority, targetLatencyMs } = route;
   return [
     id,
@@ -254,16 +256,16 @@
 
 function decodeSlot(
   [id, service, server, bornMs, slots, name, priority, targetLatencyMs]:
-    messages.SlotMessage,
+    messages.SlotTuple,
 ): admission.HeldSlot {
   const route = { name, priority, targetLatencyMs };
   return { id, service, server, bornMs, slots, route };
 }
 
-function encodeWords(
+function encodeReplies(
   vm: contracts.VmId,
   words: readonly admission.SlotReply[],
-): messages.SlotWords {
+): messages.SlotReplies {
   const idsOf = (wanted: admission.SlotReply["kind"]) =>
     words.filter(({ kind }) => kind === wanted).map(({ id }) => id);
   return {
