--- a/packages/entry/src/gateway/cold_start_limits.ts
+++ b/packages/entry/src/gateway/cold_start_limits.ts
@@ -39,12 +39,12 @@
 
   /** Limit for requests that this VM sends without asking a coordinator. */
   forDirectSends(service: contracts.ServiceId): admission.ColdStartLimit {
-    return this.#create(service, admission.EQUAL_PARTS);
+    return this.#create(service, admission.EQUAL_SHARES);
   }
 
   /** Limit for slots that this VM grants to all VMs as their coordinator. */
   forCoordinator(service: contracts.ServiceId): admission.ColdStartLimit {
-    return this.#create(service, admission.COORDINATOR_PARTS);
+    return this.#create(service, admission.COORDINATOR_SHARES);
   }
 
   #create(
@@ -54,11 +54,11 @@
     const { bound, config, registry } = this.#options;
     return new admission.ColdStartLimit({
       bound,
-      parts,
+      rateShares: parts,
       coldUntilMs: (server) => registry.coldUntilMs(server),
       requestsPerSecond: () =>
         config.service(service)?.coldStart?.requestsPerSecond,
-      placeOf: (server) => this.#rankOf(server),
+      rankOf: (server) => this.#rankOf(server),
     });
   }
 
--- a/packages/entry/src/gateway/forwarded_request.ts
+++ b/packages/entry/src/gateway/forwarded_request.ts
@@ -133,11 +133,11 @@
   }
 
   async #send(
-    { load, outstanding, fence, ended }: admission.Placement,
+    { load, outstanding, fence, releaseSlot: ended }: admission.Placement,
     nowMs: number,
   ): Promise<void> {
     const { entry } = load;
-    const recordEnd = load.begin(nowMs);
+    const recordEnd = load.startRequest(nowMs);
     this.#context.onLoadChange();
     const leftMs = this.answerByMs - nowMs;
     this.#isSendPending = true;
@@ -165,13 +165,13 @@
     const hasFreeSlots = outstanding < entry.slots;
     const isServed = end.kind === "answered" && !end.isFailure;
     if (isServed && hasFreeSlots) {
-      this.#context.times.note(this.route, entry.server, endedMs - nowMs);
+      this.#context.times.record(this.route, entry.server, endedMs - nowMs);
     }
     ended?.(isServed ? endedMs - nowMs : undefined);
     this.#context.onLoadChange();
     this.#handleResult(result, entry.server);
     // A slot of a keyed service returns to its coordinator, not to this queue.
-    if (!this.#isKeyedService()) this.#context.queue.pump(endedMs);
+    if (!this.#isKeyedService()) this.#context.queue.dispatch(endedMs);
   }
 
   #attemptRequest(
@@ -194,7 +194,7 @@
     };
   }
 
-  #attemptEnd(result: AttemptResult): admission.SendEnd {
+  #attemptEnd(result: AttemptResult): admission.SendOutcome {
     if (this.#isDone) return { kind: "abandoned" };
     if (result.kind === "answer") {
       return { kind: "answered", isFailure: isFailure(result.answer.status) };
@@ -285,7 +285,7 @@
     const leftMs = this.answerByMs - this.#context.clock.nowMs();
     const neededMs = Math.max(
       MIN_RETRY_TIME_LEFT_MS,
-      this.#context.times.routeMs(this.route) * MIN_RETRY_TIME_RATIO,
+      this.#context.times.estimateMs(this.route) * MIN_RETRY_TIME_RATIO,
     );
     return !this.#isDone && this.#attemptCount < this.route.attemptLimit &&
       leftMs > neededMs;
@@ -315,7 +315,7 @@
 
   #onTimeout(): void {
     if (this.#isDone) return;
-    const wasWaiting = this.#context.queue.withdraw(this);
+    const wasWaiting = this.#context.queue.cancel(this);
     if (wasWaiting) {
       this.#queuedMs += this.#context.clock.nowMs() - this.#waitingSinceMs;
       return this.#giveUp("timed out while waiting", HANDOVER_RETRY_AFTER_MS);
@@ -331,7 +331,7 @@
 
   readonly #onCallerGone = (): void => {
     if (this.#isDone) return;
-    this.#context.queue.withdraw(this);
+    this.#context.queue.cancel(this);
     this.#finish(
       { kind: "own", status: 499, message: "The caller has gone" },
       "caller gone",
--- a/packages/entry/src/gateway/forwarder.ts
+++ b/packages/entry/src/gateway/forwarder.ts
@@ -88,7 +88,7 @@
     options.config.onChange(() => this.#followConfig());
     options.registry.onChange(() => this.#followServers());
     options.grants.onChange((service) =>
-      this.#services.get(service)?.queue.pump(options.clock.nowMs())
+      this.#services.get(service)?.queue.dispatch(options.clock.nowMs())
     );
     options.gossip.onMembersChange(() => this.#followMembers());
     options.gossip.onStatus((status) => this.#applyPeerStatus(status));
@@ -132,12 +132,12 @@
     const service = active.table.draw(route);
     const state = this.#serviceState(service);
     const nowMs = this.#options.clock.nowMs();
-    const isOverloaded = admission.isLateByLag({
+    const isOverloaded = admission.shouldShedForLag({
       lagMs: request.lagMs,
       nowMs,
       arrivedMs: request.arrivedMs,
       targetLatencyMs: route.targetLatencyMs,
-      serviceMs: state.times.routeMs(route),
+      serviceMs: state.times.estimateMs(route),
     });
     if (isOverloaded) {
       this.#overloadLog.note(nowMs, {
@@ -147,7 +147,7 @@
       });
       return Promise.resolve(overloadAnswer(this.#options.random));
     }
-    state.budget.noteRequest(nowMs);
+    state.budget.recordRequest(nowMs);
     if (state.isKeyed && request.key !== undefined) {
       this.#options.grants.noteRequest(service, request.key);
     }
@@ -174,7 +174,7 @@
   capacity(entry: contracts.ServerEntry, reportedFactor?: number): number {
     const times = this.#services.get(entry.service)?.times;
     const meanMs = times?.meanMs ?? DEFAULT_SERVICE_TIME_MS;
-    const factor = reportedFactor ?? times?.factor(entry.server) ?? 1;
+    const factor = reportedFactor ?? times?.latencyFactor(entry.server) ?? 1;
     return entry.slots * 1000 / Math.max(1, meanMs * factor);
   }
 
@@ -192,7 +192,7 @@
     for (const [service, { queue, isKeyed }] of this.#services) {
       // Coordinators track the slots of servers of keyed services.
       if (isKeyed) continue;
-      for (const [server, { own }] of queue.loads) {
+      for (const [server, { ownInFlight: own }] of queue.loads) {
         if (own > 0) loads[server] = own;
       }
       if (queue.waiting > 0) waiting[service] = queue.waiting;
@@ -251,7 +251,7 @@
     const load = queue.loads.get(server);
     if (isKeyed || slowdownRatio === undefined || load === undefined) return;
     const change = slowdownRatio / load.slowdownRatio(nowMs);
-    load.noteSpeed({ slowdownRatio, atMs: nowMs });
+    load.recordSpeed({ slowdownRatio, atMs: nowMs });
     const isSignificant = change > SLOWDOWN_UPDATE_RATIO ||
       change < 1 / SLOWDOWN_UPDATE_RATIO;
     if (!isSignificant) return;
@@ -302,7 +302,7 @@
         ? {
           ownerOf: (key) => grants.ownerOf(service, key),
           slots: slots.source({
-            grant: (request) => queue.placeGiven(request, clock.nowMs()),
+            grant: (request) => queue.placeGranted(request, clock.nowMs()),
             refuse: (request, refusal) => queue.refuse(request, refusal),
           }),
         }
@@ -357,7 +357,7 @@
     const { registry, connections, clock } = this.#options;
     for (const [service, state] of this.#services) {
       this.#setServers(service, state);
-      state.queue.pump(clock.nowMs());
+      state.queue.dispatch(clock.nowMs());
     }
     connections.keepOnly(registry.ids());
   }
@@ -380,7 +380,7 @@
   #applyPeerLoadNews({ vm, loads, slowdowns }: LoadUpdate): void {
     const atMs = this.#options.clock.nowMs();
     for (const [server, slowdownRatio] of Object.entries(slowdowns ?? {})) {
-      this.#findServer(server)?.load.noteSpeed({ slowdownRatio, atMs });
+      this.#findServer(server)?.load.recordSpeed({ slowdownRatio, atMs });
     }
     this.#recordPeerLoads(vm, loads);
     const reported = this.#serversByPeer.get(vm) ?? new Set();
@@ -395,10 +395,10 @@
     for (const [server, outstanding] of Object.entries(loads)) {
       const found = this.#findServer(server);
       if (found === undefined) continue;
-      found.load.noteTold(vm, { outstanding, atMs: nowMs });
+      found.load.recordPeerLoad(vm, { outstanding, reportedMs: nowMs });
       changed.add(found.queue);
     }
-    for (const queue of changed) queue.pump(nowMs);
+    for (const queue of changed) queue.dispatch(nowMs);
   }
 
   /** Finds a server by the id in a peer's message, and its service's queue. */
@@ -426,8 +426,8 @@
     let hasWaiting = false;
     for (const { queue } of this.#services.values()) {
       if (queue.waiting === 0) continue;
-      queue.pump(nowMs);
-      queue.review(nowMs);
+      queue.dispatch(nowMs);
+      queue.refuseExpired(nowMs);
       hasWaiting ||= queue.waiting > 0;
     }
     if (!hasWaiting) this.#reviewWork?.setIntervalMs(Number.POSITIVE_INFINITY);
--- a/packages/entry/src/gateway/slot_task.ts
+++ b/packages/entry/src/gateway/slot_task.ts
@@ -45,11 +45,11 @@
 /** Client of the slot coordinators, and the coordinator of some servers. */
 export class SlotTask {
   readonly #options: SlotTaskOptions;
-  readonly #requester: admission.SlotAsks;
+  readonly #requester: admission.SlotClient;
   readonly #coordinator: admission.SlotCoordinator;
   readonly #coordinatorOrder: grants.DutyOrder;
   /** Replies of this VM's coordinator that are not sent yet. */
-  readonly #replies = new Map<contracts.VmId, admission.SlotWord[]>();
+  readonly #replies = new Map<contracts.VmId, admission.SlotReply[]>();
   readonly #consumers = new Map<admission.WaitingRequest, SlotConsumer>();
   #tickWork: RegularWork | undefined;
   /** Changes in one event loop iteration are sent together. */
@@ -59,18 +59,18 @@
     this.#options = options;
     const { gossip, zone, random, hasher, vm } = options;
     this.#coordinatorOrder = new grants.DutyOrder(hasher);
-    this.#requester = new admission.SlotAsks({
+    this.#requester = new admission.SlotClient({
       vm,
       coordinatorOf: (server, unresponsive) =>
         this.#coordinatorOf(server, unresponsive),
       onMessage: () => this.#flushing.schedule(),
-      onGiven: (request) => this.#consumers.get(request)?.grant(request),
+      onGranted: (request) => this.#consumers.get(request)?.grant(request),
       onRefused: (request, refusal) => {
         const consumer = this.#consumers.get(request);
         this.#consumers.delete(request);
         consumer?.refuse(request, refusal);
       },
-      onSilent: (coordinator) =>
+      onUnresponsive: (coordinator) =>
         options.log.warn("Skips an unresponsive slot coordinator.", {
           peer: coordinator,
         }),
@@ -78,7 +78,7 @@
     this.#coordinator = new admission.SlotCoordinator({
       zone,
       random,
-      decide: (decision) => this.#queueReply(decision),
+      onDecision: (decision) => this.#queueReply(decision),
       coldStartsOf: (service) => options.coldStarts.forCoordinator(service),
     });
     options.registry.onChange(() =>
@@ -101,34 +101,34 @@
     this.#tickWork = lifeCycle.every(IDLE_TICK_MS, () => {
       const nowMs = this.#options.clock.nowMs();
       this.#requester.tick(nowMs);
-      this.#coordinator.review(nowMs);
+      this.#coordinator.sweep(nowMs);
       this.#adjustInterval();
     });
   }
 
   #adjustInterval(): void {
-    const isIdle = this.#requester.isIdle && !this.#coordinator.isWaited;
+    const isIdle = this.#requester.isIdle && !this.#coordinator.hasPending;
     this.#tickWork?.setIntervalMs(isIdle ? IDLE_TICK_MS : ACTIVE_TICK_MS);
   }
 
   /** A source of slots for the requests of one queue. */
   source(consumer: SlotConsumer): admission.SlotSource {
     return {
-      take: (request, load, nowMs) => {
+      tryAcquire: (request, load, nowMs) => {
         this.#consumers.set(request, consumer);
-        const ownRequests = load.own;
-        return this.#requester.take(request, load.entry, {
+        const ownRequests = load.ownInFlight;
+        return this.#requester.tryAcquire(request, load.entry, {
           ownRequests,
           nowMs,
         });
       },
-      begin: (request) => {
+      markInUse: (request) => {
         this.#consumers.delete(request);
-        return this.#requester.begin(request);
+        return this.#requester.markInUse(request);
       },
-      withdraw: (request) => {
+      cancel: (request) => {
         this.#consumers.delete(request);
-        this.#requester.withdraw(request);
+        this.#requester.cancel(request);
       },
     };
   }
@@ -140,7 +140,7 @@
   latencyFactors(
     service: contracts.ServiceId,
   ): Map<contracts.ServerId, number> {
-    return this.#coordinator.factors(service);
+    return this.#coordinator.latencyFactors(service);
   }
 
   /**
@@ -175,7 +175,7 @@
   #flush(): void {
     this.#adjustInterval();
     const { vm, gossip } = this.#options;
-    for (const [coordinator, message] of this.#requester.takeMessages()) {
+    for (const [coordinator, message] of this.#requester.drainMessages()) {
       const requests = this.#encodeRequests(message);
       if (coordinator === vm) this.#handleRequests(requests);
       else gossip.send(messages.SLOT_REQUESTS_METHOD, requests, [coordinator]);
@@ -190,7 +190,7 @@
   }
 
   #encodeRequests(
-    { wishes, ended, held }: admission.SlotMessage,
+    { requests: wishes, ended, held }: admission.CoordinatorMessage,
   ): messages.SlotRequests {
     const { vm, clock } = this.#options;
     const nowMs = clock.nowMs();
@@ -209,10 +209,10 @@
   #handleRequests({ vm, wishes, ended, held }: messages.SlotRequests): void {
     const nowMs = this.#options.clock.nowMs();
     for (const [id, tookMs] of ended) {
-      this.#coordinator.end(vm, id, { tookMs: tookMs ?? undefined, nowMs });
+      this.#coordinator.release(vm, id, { tookMs: tookMs ?? undefined, nowMs });
     }
     for (const [slot, targetLeftMs, answerLeftMs] of wishes) {
-      this.#coordinator.wish({
+      this.#coordinator.request({
         ...decodeSlot(slot),
         vm,
         targetMs: nowMs + targetLeftMs,
@@ -220,11 +220,11 @@
       }, nowMs);
     }
     if (held === null) return;
-    this.#coordinator.noteHeld(vm, held.map(decodeSlot), nowMs);
+    this.#coordinator.reconcileHeld(vm, held.map(decodeSlot), nowMs);
   }
 
   #handleReplies({ vm, given, queued, refused }: messages.SlotReplies): void {
-    const replies: admission.SlotWord[] = [
+    const replies: admission.SlotReply[] = [
       ...given.map((id) => ({ id, kind: "given" as const })),
       ...queued.map((id) => ({ id, kind: "queued" as const })),
       ...refused.map(([id, reason, retryAfterMs, expectedWaitMs]) => ({
@@ -233,7 +233,7 @@
         refusal: { reason, retryAfterMs, expectedWaitMs },
       })),
     ];
-    this.#requester.noteWords(vm, replies, this.#options.clock.nowMs());
+    this.#requester.handleReplies(vm, replies, this.#options.clock.nowMs());
   }
 
   #queueReply({ vm, ...reply }: admission.SlotDecision): void {
@@ -270,9 +270,9 @@
 
 function encodeReplies(
   vm: contracts.VmId,
-  replies: readonly admission.SlotWord[],
+  replies: readonly admission.SlotReply[],
 ): messages.SlotReplies {
-  const idsOf = (expectedKind: admission.SlotWord["kind"]) =>
+  const idsOf = (expectedKind: admission.SlotReply["kind"]) =>
     replies.filter(({ kind }) => kind === expectedKind).map(({ id }) => id);
   return {
     vm,
--- a/packages/entry/src/requests/request_run.ts
+++ b/packages/entry/src/requests/request_run.ts
@@ -60,7 +60,7 @@
     return new Promise((resolve) => {
       this.#resolve = resolve;
       this.#request.signal.addEventListener("abort", this.#onCallerGone);
-      this.#parts.budget.noteRequest();
+      this.#parts.budget.recordRequest();
       this.#wait();
     });
   }
@@ -264,7 +264,7 @@
     setTimeout(() => mark.done(), this.#parts.unknownHoldMs).unref();
   }
 
-  #endOf(result: AttemptResult): routing.AttemptEnd {
+  #endOf(result: AttemptResult): routing.AttemptOutcome {
     switch (result.kind) {
       case "answer":
         return { kind: "answer", inFlight: result.inFlight };
