--- a/packages/entry/src/gateway/grant_sender.ts
+++ b/packages/entry/src/gateway/grant_sender.ts
@@ -18,7 +18,7 @@
   /** The server of an owner, also when it leaves; undefined when unknown. */
   readonly entry: (
     owner: contracts.RangeOwner,
-  ) => contracts.ServerEntry | undefined;
+  ) => contracts.RegisteredServer | undefined;
   /** An owner confirmed a range for the first time since this fence is known. */
   readonly onConfirmed: (range: contracts.RangeState) => void;
   /** A grant was answered or given up. */
@@ -139,7 +139,7 @@
     const result = await control.grant(
       server,
       { fromKey, toKey, fence, holdMs, handover },
-      { timeoutMs: timings.orderTimeoutMs, mayLeave },
+      { timeoutMs: timings.orderTimeoutMs, maySend: mayLeave },
     );
     state.isUnderWay = false;
     const fields = { server: server.server, fromKey, toKey, fence };
--- a/packages/entry/src/gateway/platform_adapter.ts
+++ b/packages/entry/src/gateway/platform_adapter.ts
@@ -46,7 +46,7 @@
   decodeServer(
     name: string,
     text: string,
-  ): Result<contracts.ServerEntry, DecodeError>;
+  ): Result<contracts.RegisteredServer, DecodeError>;
   /** The availability zone that an evacuation's name is about. */
   decodeEvacuation(name: string): Result<contracts.ZoneId, DecodeError>;
   close(): Promise<void>;
--- a/packages/entry/src/gateway/server_registry.ts
+++ b/packages/entry/src/gateway/server_registry.ts
@@ -36,7 +36,7 @@
 const ENDED_RUN_TTL_MS = 60_000;
 
 interface Known {
-  entry: contracts.ServerEntry;
+  entry: contracts.RegisteredServer;
   /** Since when it leaves or is gone. */
   leavingSinceMs: number | undefined;
   /** When its entry was found missing. */
@@ -75,9 +75,9 @@
    * Servers of a service that may get requests. Leaving ones, and those of
    * evacuated zones, are draining.
    */
-  servers(service: contracts.ServiceId): contracts.ServerEntry[] {
+  servers(service: contracts.ServiceId): contracts.RegisteredServer[] {
     const nowMs = this.#options.clock.nowMs();
-    const found: contracts.ServerEntry[] = [];
+    const found: contracts.RegisteredServer[] = [];
     for (const known of this.#known.values()) {
       if (known.entry.service !== service) continue;
       const useUntilMs = this.#useUntilMs(known);
@@ -90,7 +90,7 @@
   }
 
   /** Servers of a service that neither leave, nor are gone or evacuated. */
-  staying(service: contracts.ServiceId): contracts.ServerEntry[] {
+  staying(service: contracts.ServiceId): contracts.RegisteredServer[] {
     return [...this.#known.values()]
       .filter((known) =>
         known.entry.service === service &&
@@ -120,7 +120,7 @@
   }
 
   /** A run of a server, also one that leaves or is gone; for control calls. */
-  entry(owner: contracts.RangeOwner): contracts.ServerEntry | undefined {
+  entry(owner: contracts.RangeOwner): contracts.RegisteredServer | undefined {
     const known = this.#known.get(owner.server);
     return known?.entry.bornMs === owner.bornMs ? known.entry : undefined;
   }
--- a/packages/entry/src/gateway/service_grants_test.ts
+++ b/packages/entry/src/gateway/service_grants_test.ts
@@ -95,7 +95,7 @@
     } as unknown as RangeMapStore,
     control: {
       grant: ({ server }, grant, options) => {
-        leaves.set(server, options.mayLeave!);
+        leaves.set(server, options.maySend!);
         sent.set(server, [...sent.get(server) ?? [], grant]);
         const answered = new Promise<contracts.GrantAnswer>((resolve) => {
           answers.set(server, () => resolve("granted"));
--- a/packages/entry/src/loads/load_task.ts
+++ b/packages/entry/src/loads/load_task.ts
@@ -133,12 +133,12 @@
     if (holder === undefined) return;
     await this.#options.peers.link(holder)?.call(LOAD_METHOD, {
       params: load,
-      schema: contracts.loadReceiptSchema,
+      schema: contracts.serviceLoadReplySchema,
       timeoutMs: REPORT_TIMEOUT_MS,
     });
   }
 
-  #take(load: contracts.ServiceLoad): contracts.LoadReceipt {
+  #take(load: contracts.ServiceLoad): contracts.ServiceLoadReply {
     this.#book(load.service).note(load, this.#now());
     return { taken: true };
   }
--- a/packages/entry/src/wire.ts
+++ b/packages/entry/src/wire.ts
@@ -257,7 +257,7 @@
       clock,
       ...vms,
     }),
-    choice: await decisions.createWatcherChoice(),
+    choice: await decisions.createWatcherSelector(),
     clock,
     random,
     log: base.log.part("config"),
@@ -321,7 +321,7 @@
   );
   door.register(
     ownershipTasks.KNOWN_METHOD,
-    contractsValues.knownQuestionSchema,
+    contractsValues.knownRevisionRequestSchema,
     (question) => owners.answerKnown(question),
   );
   return { owners, loads };
