--- a/packages/decisions/src/ownership/assignment_upkeep.ts
+++ b/packages/decisions/src/ownership/assignment_upkeep.ts
@@ -82,13 +82,13 @@
 
   /** Adds the changes that are due to an update. */
   apply(
-    builder: AssignmentBuilder,
+    draft: AssignmentBuilder,
     assignment: contracts.Assignment,
     context: { readonly hasQuorum: HasQuorum; readonly nowMs: number },
   ): void {
-    this.#updateVoters(builder, assignment, context.hasQuorum);
-    this.#updateTimings(builder, assignment, context.nowMs);
-    if (this.#hasUnlistedServer) builder.markChanged();
+    this.#updateVoters(draft, assignment, context.hasQuorum);
+    this.#updateTimings(draft, assignment, context.nowMs);
+    if (this.#hasUnlistedServer) draft.markChanged();
   }
 
   /**
@@ -97,30 +97,28 @@
    * older one.
    */
   #updateVoters(
-    builder: AssignmentBuilder,
+    draft: AssignmentBuilder,
     { keeperSets, revision }: contracts.Assignment,
     hasQuorum: HasQuorum,
   ): void {
     const mayDrop = keeperSets.length > 1 && hasQuorum(revision);
-    if (mayDrop) builder.dropEarlierVoterSets();
+    if (mayDrop) draft.dropEarlierVoterSets();
     // Each further set needs a quorum too: with more, old ones pile up.
     const mayAdd = keeperSets.length < MAX_VOTER_SETS || mayDrop;
-    if (this.#voters !== undefined && mayAdd) builder.addVoterSet(this.#voters);
+    if (this.#voters !== undefined && mayAdd) draft.addVoterSet(this.#voters);
   }
 
   /** Settings are rolled out VM by VM, so the leader's settings decide. */
   #updateTimings(
-    builder: AssignmentBuilder,
+    draft: AssignmentBuilder,
     assignment: contracts.Assignment,
     nowMs: number,
   ): void {
     const count = assignment.leaseTimings?.length ?? 0;
     const mayDrop = count > 1 &&
       this.#timingsExpiry.hasExpired(assignment, nowMs);
-    if (mayDrop) builder.dropEarlierTimings();
+    if (mayDrop) draft.dropEarlierTimings();
     const mayAdd = count < MAX_TIMINGS || mayDrop;
-    if (this.#timings !== undefined && mayAdd) {
-      builder.addTimings(this.#timings);
-    }
+    if (this.#timings !== undefined && mayAdd) draft.addTimings(this.#timings);
   }
 }
--- a/packages/decisions/src/ownership/duty.ts
+++ b/packages/decisions/src/ownership/duty.ts
@@ -85,7 +85,7 @@
   readonly #vm: contracts.VmId;
   readonly #incarnation: contracts.Incarnation;
   readonly #settings: LeaderLeaseSettings;
-  #observed: ObservedRecord | undefined;
+  #latest: ObservedRecord | undefined;
   #leaseEndsAtMs = Number.NEGATIVE_INFINITY;
   #nextRequestAtMs = Number.NEGATIVE_INFINITY;
   #vacantSinceMs: number | undefined;
@@ -111,7 +111,7 @@
 
   /** The leader as last read. */
   get leader(): contracts.VmId | undefined {
-    return this.#observed?.record?.holder;
+    return this.#latest?.record?.holder;
   }
 
   /** The next store call if one is due; at most one is pending. */
@@ -131,8 +131,8 @@
     this.#requestSentAtMs = undefined;
     if (read.kind === "unavailable") return this.#retryLater(nowMs, random);
     this.#nextRequestAtMs = nowMs + this.#settings.pollMs;
-    if (read.kind === "absent") return this.#observe(undefined, nowMs);
-    this.#observe(read, nowMs);
+    if (read.kind === "absent") return this.#setLatest(undefined, nowMs);
+    this.#setLatest(read, nowMs);
     // This VM's own record, perhaps near its expiry: renew it at once.
     if (this.#isOwn()) this.#nextRequestAtMs = nowMs;
   }
@@ -148,7 +148,7 @@
     if (write.kind === "acknowledged") {
       this.#leaseEndsAtMs = requestSentAtMs + this.#settings.leaseMs;
       this.#nextRequestAtMs = nowMs + this.#settings.renewMs;
-      this.#observe(
+      this.#setLatest(
         { record: this.#pendingRecord!, version: write.version },
         nowMs,
       );
@@ -156,7 +156,7 @@
     }
     // Only a read tells who is the leader now; after a lost reply it may be
     // this VM.
-    this.#observed = undefined;
+    this.#latest = undefined;
     if (write.kind === "unavailable") return this.#retryLater(nowMs, random);
     this.#leaseEndsAtMs = Number.NEGATIVE_INFINITY;
     this.#nextRequestAtMs = nowMs;
@@ -173,24 +173,22 @@
    * is not the leader.
    */
   resign(nowMs: number): LeaderLeaseEffect | undefined {
-    if (!this.isLeader(nowMs) || this.#observed === undefined) return undefined;
+    if (!this.isLeader(nowMs) || this.#latest === undefined) return undefined;
     this.#leaseEndsAtMs = Number.NEGATIVE_INFINITY;
     const record = { ...this.#nextRecord(), renewal: 0 };
-    return { kind: "write", record, condition: this.#observed.condition };
+    return { kind: "write", record, condition: this.#latest.condition };
   }
 
   #nextEffect(tick: LeaderLeaseTick): LeaderLeaseEffect | undefined {
     const isDue = tick.nowMs >= this.#nextRequestAtMs;
-    if (this.#observed === undefined) {
-      return isDue ? { kind: "read" } : undefined;
-    }
+    if (this.#latest === undefined) return isDue ? { kind: "read" } : undefined;
     if (this.#isOwn()) return isDue ? this.#write() : undefined;
     if (this.#mayTakeLease(tick)) return this.#write();
     return isDue ? { kind: "read" } : undefined;
   }
 
   #mayTakeLease(tick: LeaderLeaseTick): boolean {
-    const { record, observedAtMs } = this.#observed!;
+    const { record, observedAtMs } = this.#latest!;
     const isVacant = record === undefined || record.renewal === 0 ||
       tick.isLost(record.holder, record.incarnation);
     if (isVacant) this.#vacantSinceMs ??= tick.nowMs;
@@ -203,14 +201,14 @@
   }
 
   #isOwn(): boolean {
-    const record = this.#observed?.record;
+    const record = this.#latest?.record;
     return record?.holder === this.#vm && record.renewal > 0 &&
       record.incarnation === this.#incarnation;
   }
 
   #write(): LeaderLeaseEffect {
     this.#pendingRecord = this.#nextRecord();
-    const condition = this.#observed!.condition;
+    const condition = this.#latest!.condition;
     return { kind: "write", record: this.#pendingRecord, condition };
   }
 
@@ -218,21 +216,21 @@
     return {
       holder: this.#vm,
       incarnation: this.#incarnation,
-      renewal: (this.#observed?.record?.renewal ?? 0) + 1,
+      renewal: (this.#latest?.record?.renewal ?? 0) + 1,
     };
   }
 
-  #observe(
+  #setLatest(
     found: { record: LeaderRecord; version: string } | undefined,
     nowMs: number,
   ): void {
     const condition: contracts.WriteCondition = found === undefined
       ? { kind: "absent" }
       : { kind: "version", version: found.version };
-    const isSame = this.#observed?.condition.kind === "version" &&
-      this.#observed.condition.version === found?.version;
+    const isSame = this.#latest?.condition.kind === "version" &&
+      this.#latest.condition.version === found?.version;
     if (isSame) return;
     this.#vacantSinceMs = undefined;
-    this.#observed = { record: found?.record, condition, observedAtMs: nowMs };
+    this.#latest = { record: found?.record, condition, observedAtMs: nowMs };
   }
 }
--- a/packages/decisions/src/ownership/evidence.ts
+++ b/packages/decisions/src/ownership/evidence.ts
@@ -13,12 +13,12 @@
   readonly vm: contracts.VmId;
   readonly known: contracts.KnownRevision;
   /** Time at which the request left, on this process's clock. */
-  readonly requestSentAtMs: number;
+  readonly requestedAtMs: number;
 }
 
 interface StoreReply {
   readonly revision: number;
-  readonly requestSentAtMs: number;
+  readonly requestedAtMs: number;
 }
 
 /** Time of a confirmation that never took place. */
@@ -96,21 +96,21 @@
   }
 
   /**
-   * A read of the store or an acknowledged write, sent at `requestSentAtMs`.
+   * A read of the store or an acknowledged write, sent at `requestedAtMs`.
    * Returns whether the assignment is newer.
    */
   noteStoreRead(
     assignment: contracts.Assignment,
-    requestSentAtMs: number,
+    requestedAtMs: number,
   ): boolean {
     this.#mayVote = true;
     const isNewer = this.learn(assignment);
     const isLater =
-      requestSentAtMs > (this.#storeReply?.requestSentAtMs ?? NEVER_MS);
+      requestedAtMs > (this.#storeReply?.requestedAtMs ?? NEVER_MS);
     if (isLater || assignment.revision > (this.#storeReply?.revision ?? 0)) {
       this.#storeReply = {
         revision: assignment.revision,
-        requestSentAtMs,
+        requestedAtMs: requestedAtMs,
       };
     }
     return isNewer;
@@ -126,9 +126,7 @@
    */
   noteVoterReply(reply: VoterReply): void {
     const last = this.#voterReplies.get(reply.vm);
-    if (last !== undefined && last.requestSentAtMs > reply.requestSentAtMs) {
-      return;
-    }
+    if (last !== undefined && last.requestedAtMs > reply.requestedAtMs) return;
     this.#voterReplies.set(reply.vm, reply);
     this.#restoreVoteFromPeers();
   }
@@ -183,7 +181,7 @@
 
   #storeConfirmedAtMs(): number {
     if (this.#storeReply?.revision !== this.revision) return NEVER_MS;
-    return this.#storeReply.requestSentAtMs;
+    return this.#storeReply.requestedAtMs;
   }
 
   /**
@@ -201,7 +199,7 @@
       }
       const reply = this.#voterReplies.get(vm);
       if (reply !== undefined && this.#confirms(reply)) {
-        times.push(reply.requestSentAtMs);
+        times.push(reply.requestedAtMs);
       }
     }
     times.sort((a, b) => b - a);
--- a/packages/decisions/src/ownership/forward_book.ts
+++ b/packages/decisions/src/ownership/forward_book.ts
@@ -18,7 +18,7 @@
 
 interface VmState {
   readonly report: UnfencedRequestReport;
-  readonly firstReportAtMs: number;
+  readonly firstSeenMs: number;
 }
 
 /** Latest reports of all entry VMs about one service. */
@@ -39,10 +39,8 @@
   noteReport(report: UnfencedRequestReport): void {
     const last = this.#reports.get(report.vm);
     const isSameIncarnation = last?.report.incarnation === report.incarnation;
-    const firstReportAtMs = isSameIncarnation
-      ? last!.firstReportAtMs
-      : report.nowMs;
-    this.#reports.set(report.vm, { report, firstReportAtMs });
+    const firstSeenMs = isSameIncarnation ? last!.firstSeenMs : report.nowMs;
+    this.#reports.set(report.vm, { report, firstSeenMs: firstSeenMs });
   }
 
   /** Drops VMs that are no longer members. */
@@ -65,9 +63,7 @@
     for (const vm of query.vms) {
       const state = this.#reports.get(vm);
       if (state === undefined) return false;
-      if (query.nowMs < state.firstReportAtMs + this.#restartGraceMs) {
-        return false;
-      }
+      if (query.nowMs < state.firstSeenMs + this.#restartGraceMs) return false;
       if (state.report.revision < revision) return false;
       if (state.report.busyServers.includes(server)) return false;
     }
--- a/packages/decisions/src/ownership/loss_detector.ts
+++ b/packages/decisions/src/ownership/loss_detector.ts
@@ -93,15 +93,13 @@
    * reported as responsive.
    */
   unresponsiveServers(nowMs: number): Map<contracts.ServerId, number> {
-    const unresponsive = new Map<contracts.ServerId, number>();
+    const found = new Map<contracts.ServerId, number>();
     for (const [server, sinceMs] of this.#unansweredSinceMs) {
-      const elapsedMs = nowMs - sinceMs;
-      const isOverdue = elapsedMs >= this.#detectMs / 2;
-      if (isOverdue || !this.#hasRecentReply(server, nowMs)) {
-        unresponsive.set(server, elapsedMs);
-      }
+      const ageMs = nowMs - sinceMs;
+      const isLate = ageMs >= this.#detectMs / 2;
+      if (isLate || !this.#hasReply(server, nowMs)) found.set(server, ageMs);
     }
-    return unresponsive;
+    return found;
   }
 
   /**
@@ -130,7 +128,7 @@
 
   #ownVote(server: contracts.ServerId, nowMs: number): Vote {
     if (this.#unansweredMs(server, nowMs) >= this.#detectMs) return "lost";
-    return this.#hasRecentReply(server, nowMs) ? "there" : "none";
+    return this.#hasReply(server, nowMs) ? "there" : "none";
   }
 
   /**
@@ -141,7 +139,7 @@
     return this.#unansweredMs(server, nowMs) >= this.#detectMs / 3;
   }
 
-  #hasRecentReply(server: contracts.ServerId, nowMs: number): boolean {
+  #hasReply(server: contracts.ServerId, nowMs: number): boolean {
     const atMs = this.#lastReplyAtMs.get(server);
     return atMs !== undefined && nowMs - atMs < 2 * this.#detectMs;
   }
@@ -160,9 +158,9 @@
     if (
       report === undefined || nowMs - report.receivedAtMs > REPORT_EXPIRY_MS
     ) return "none";
-    const elapsedMs = report.unansweredMs.get(server);
-    if (elapsedMs === undefined) return "there";
-    const totalMs = elapsedMs + nowMs - report.receivedAtMs;
+    const ageMs = report.unansweredMs.get(server);
+    if (ageMs === undefined) return "there";
+    const totalMs = ageMs + nowMs - report.receivedAtMs;
     return totalMs >= this.#detectMs ? "lost" : "none";
   }
 }
--- a/packages/decisions/src/ownership/model_parts_test.ts
+++ b/packages/decisions/src/ownership/model_parts_test.ts
@@ -81,7 +81,7 @@
   readonly id: contracts.ServerId;
   readonly clock: SkewedClock;
   readonly #overrides: Overrides;
-  #incarnationNumber = 1;
+  #epoch = 1;
   #revision = 0;
   #leases: { slice: contracts.LeasedSlice; leaseEndMs: number }[] = [];
   pausedUntilMs = 0;
@@ -93,7 +93,7 @@
   }
 
   restart(): void {
-    this.#incarnationNumber++;
+    this.#epoch++;
     this.#revision = 0;
     this.#leases = [];
   }
@@ -111,11 +111,10 @@
   ): contracts.LeaseCommandReply {
     const nowMs = this.clock.at(trueMs);
     const isStale = command.revision < this.#revision;
-    const isStamped =
-      command.stampInstance === `run-${this.#incarnationNumber}`;
+    const isStamped = command.stampInstance === `run-${this.#epoch}`;
     if (!isStale) this.#apply(command, isStamped, nowMs);
     return {
-      instance: `run-${this.#incarnationNumber}`,
+      instance: `run-${this.#epoch}`,
       stampMs: nowMs,
       revision: this.#revision,
       accepted: !isStale && isStamped,
@@ -153,7 +152,7 @@
   readonly clock: SkewedClock;
   readonly settings: ownership.OwnershipSettings;
   readonly #overrides: Overrides;
-  incarnationNumber = 0;
+  epoch = 0;
   tracker!: ownership.AssignmentTracker;
   scheduler!: ownership.LeaseCommandScheduler;
   controller!: ownership.AssignmentController;
@@ -179,11 +178,11 @@
   }
 
   get incarnation(): contracts.Incarnation {
-    return `run-${this.incarnationNumber}` as contracts.Incarnation;
+    return `run-${this.epoch}` as contracts.Incarnation;
   }
 
   restart(): void {
-    this.incarnationNumber++;
+    this.epoch++;
     const TrackerClass = this.#overrides.trackerClass ??
       ownership.AssignmentTracker;
     const SchedulerClass = this.#overrides.schedulerClass ??
--- a/packages/decisions/src/ownership/model_world_test.ts
+++ b/packages/decisions/src/ownership/model_world_test.ts
@@ -169,10 +169,10 @@
    * Sends to a voter. A paused one receives it when it resumes, a restarted one
    * never.
    */
-  #sendToVoter(voter: SimulatedVoter, receive: (nowMs: number) => void): void {
-    const incarnationNumber = voter.incarnationNumber;
+  #send(voter: SimulatedVoter, receive: (nowMs: number) => void): void {
+    const epoch = voter.epoch;
     const deliver = () => {
-      if (voter.incarnationNumber !== incarnationNumber) return;
+      if (voter.epoch !== epoch) return;
       if (voter.pausedUntilMs > this.#nowMs) {
         this.#network.at(voter.pausedUntilMs, deliver);
         return;
@@ -201,13 +201,13 @@
     if (effect?.kind === "write") this.#write(voter, nowMs, effect);
   }
 
-  #pollPeers(voter: SimulatedVoter, requestSentAtMs: number): void {
+  #pollPeers(voter: SimulatedVoter, requestedAtMs: number): void {
     voter.nextPollMs = this.#nowMs + VOTER_POLL_MS;
     const sent = voter.tracker.assignment;
     const sender = { vm: voter.vm, incarnation: voter.incarnation };
     for (const peer of this.#voters) {
       if (peer === voter || this.#isCut(voter, peer)) continue;
-      this.#sendToVoter(peer, (peerMs) => {
+      this.#send(peer, (peerMs) => {
         if (sent !== undefined) {
           peer.tracker.learn(sent);
           const { revision } = sent;
@@ -217,21 +217,21 @@
         const { vm, incarnation } = peer;
         const newer = peer.tracker.assignment;
         if (this.#isCut(voter, peer)) return;
-        this.#sendToVoter(voter, (nowMs) => {
+        this.#send(voter, (nowMs) => {
           if (newer !== undefined) voter.tracker.learn(newer);
           voter.tracker.noteVoterReply({
             vm,
             known,
-            requestSentAtMs: this.#overrides.isConfirmedFromReply
+            requestedAtMs: this.#overrides.isConfirmedFromReply
               ? nowMs
-              : requestSentAtMs,
+              : requestedAtMs,
           });
           const { revision } = known;
           voter.controller.noteAck({
             vm,
             incarnation,
             revision,
-            requestSentAtMs,
+            requestedAtMs: requestedAtMs,
             nowMs,
           });
         });
@@ -309,12 +309,10 @@
       isFinished = true;
       done(answer, nowMs);
     };
-    const incarnationNumber = voter.incarnationNumber;
+    const epoch = voter.epoch;
     const timeoutAtMs = this.#nowMs + 300;
     const onTimeout = () => {
-      if (voter.incarnationNumber === incarnationNumber) {
-        this.#sendToVoter(voter, finish(undefined));
-      }
+      if (voter.epoch === epoch) this.#send(voter, finish(undefined));
     };
     this.#network.at(timeoutAtMs, onTimeout);
     if (voter.cutFromStoreUntilMs > this.#nowMs) return;
@@ -322,9 +320,7 @@
       const answer = serve();
       const isLost = this.#nowMs < this.#loseStoreRepliesUntilMs ||
         voter.cutFromStoreUntilMs > this.#nowMs;
-      if (!isLost && voter.incarnationNumber === incarnationNumber) {
-        this.#sendToVoter(voter, finish(answer));
-      }
+      if (!isLost && voter.epoch === epoch) this.#send(voter, finish(answer));
     });
   }
 
@@ -353,7 +349,7 @@
     const server = this.#servers.find(({ id }) => id === command.server)!;
     const serve = () => {
       const reply = server.receive(command, this.#nowMs);
-      this.#sendToVoter(voter, (nowMs) => {
+      this.#send(voter, (nowMs) => {
         voter.scheduler.noteReply(server.id, reply, { sentAtMs, nowMs });
         voter.controller.noteReply({ command, reply, sentAtMs, nowMs });
       });
@@ -371,15 +367,13 @@
 
   #checkWrittenFirst(command: contracts.LeaseCommand): void {
     const written = this.#history.get(command.revision);
-    for (const leased of command.slices) {
+    for (const held of command.slices) {
       const isOwner = written?.slices.some((slice) =>
         slice.state === "owned" && slice.server === command.server &&
-        contracts.sliceIdOf(slice) === leased.slice &&
-        slice.fence === leased.fence
+        contracts.sliceIdOf(slice) === held.slice &&
+        slice.fence === held.fence
       );
-      if (!isOwner) {
-        this.violations.push(`command before write: ${leased.slice}`);
-      }
+      if (!isOwner) this.violations.push(`sent before write: ${held.slice}`);
     }
   }
 
@@ -394,7 +388,7 @@
       this.violations.push(`${names} own ${slice} at ${this.#nowMs}`);
     }
     for (const voter of this.#voters) {
-      const name = `${voter.vm}/${voter.incarnationNumber}`;
+      const name = `${voter.vm}/${voter.epoch}`;
       const { revision } = voter.tracker;
       if (revision < (this.#highest.get(name) ?? 0)) {
         this.violations.push(`${name} fell to ${revision}`);
--- a/packages/decisions/src/ownership/mover.ts
+++ b/packages/decisions/src/ownership/mover.ts
@@ -270,7 +270,7 @@
     this.acks.noteAck({
       ...this.#identity,
       revision: stored.assignment.revision,
-      requestSentAtMs: Number.POSITIVE_INFINITY,
+      requestedAtMs: Number.POSITIVE_INFINITY,
       nowMs,
     });
     this.acks.keepOnly(stored.assignment.keeperSets);
@@ -346,24 +346,24 @@
     const hasWork = this.#queue.length > 0 || !this.#handovers.isEmpty ||
       this.#maintenance.isDue(assignment);
     if (!hasWork) return undefined;
-    const builder = new AssignmentBuilder(
+    const draft = new AssignmentBuilder(
       assignment,
       assignment,
       tick.checksFences,
     );
-    builder.finishHandovers((slice) => this.mayFinishHandover(slice, tick));
-    for (const change of this.#queue) builder.apply(change);
-    this.#maintenance.apply(builder, assignment, {
+    draft.finishHandovers((slice) => this.mayFinishHandover(slice, tick));
+    for (const change of this.#queue) draft.apply(change);
+    this.#maintenance.apply(draft, assignment, {
       hasQuorum: (revision) => this.hasQuorum(revision),
       nowMs: tick.nowMs,
     });
     this.#changesInWrite = this.#queue;
-    if (!builder.isChanged) {
+    if (!draft.isChanged) {
       this.#queue = [];
       return undefined;
     }
     const { version } = this.#stored;
-    return this.#write(builder, tick, { kind: "version", version });
+    return this.#write(draft, tick, { kind: "version", version });
   }
 
   #initialWrite(tick: AssignmentTick): AssignmentEffect | undefined {
@@ -372,23 +372,23 @@
     const isReady = this.#isAbsent && slices && voters;
     if (!isReady) return undefined;
     const start = { slices, keeperSets: [[...voters]] };
-    const builder = new AssignmentBuilder(undefined, start, tick.checksFences);
-    builder.addTimings(this.#settings);
-    return this.#write(builder, tick, { kind: "absent" });
+    const draft = new AssignmentBuilder(undefined, start, tick.checksFences);
+    draft.addTimings(this.#settings);
+    return this.#write(draft, tick, { kind: "absent" });
   }
 
   #write(
-    builder: AssignmentBuilder,
+    draft: AssignmentBuilder,
     tick: AssignmentTick,
     condition: contracts.WriteCondition,
   ): AssignmentEffect {
     const { service, vm, incarnation } = this.#identity;
-    const assignment = builder.build({
+    const assignment = draft.build({
       service,
       writer: vm,
       writerIncarnation: incarnation,
       nonce: Math.floor(tick.random.next() * 2 ** 48).toString(16),
     });
-    return { kind: "write", assignment, condition, changes: builder.changes };
+    return { kind: "write", assignment, condition, changes: draft.changes };
   }
 }
--- a/packages/decisions/src/ownership/order_book.ts
+++ b/packages/decisions/src/ownership/order_book.ts
@@ -63,14 +63,14 @@
   }
 
   /** The commands to send now; they count as sent. */
-  takeDue(context: LeaseCommandContext): contracts.LeaseCommand[] {
+  takeDue(ctx: LeaseCommandContext): contracts.LeaseCommand[] {
     const commands: contracts.LeaseCommand[] = [];
-    for (const server of context.servers) {
+    for (const server of ctx.servers) {
       const state = this.#stateOf(server);
-      if (!this.#isDue(state, context)) continue;
-      commands.push(this.#buildCommand(server, state, context));
-      state.lastSentAtMs = context.nowMs;
-      state.lastSentRevision = context.revision;
+      if (!this.#isDue(state, ctx)) continue;
+      commands.push(this.#buildCommand(server, state, ctx));
+      state.lastSentAtMs = ctx.nowMs;
+      state.lastSentRevision = ctx.revision;
       state.isUrgent = false;
       state.outstanding++;
     }
@@ -132,29 +132,25 @@
     }
   }
 
-  #isDue(state: ServerState, context: LeaseCommandContext): boolean {
-    if (context.nowMs >= state.lastSentAtMs + this.#settings.renewMs) {
-      return true;
-    }
+  #isDue(state: ServerState, ctx: LeaseCommandContext): boolean {
+    if (ctx.nowMs >= state.lastSentAtMs + this.#settings.renewMs) return true;
     if (state.outstanding >= MAX_OUTSTANDING_COMMANDS) return false;
-    return state.isUrgent || state.lastSentRevision < context.revision;
+    return state.isUrgent || state.lastSentRevision < ctx.revision;
   }
 
   #buildCommand(
     server: contracts.ServerId,
     state: ServerState,
-    context: LeaseCommandContext,
+    ctx: LeaseCommandContext,
   ): contracts.LeaseCommand {
     const command = {
-      service: context.service,
+      service: ctx.service,
       server,
-      revision: context.revision,
-      leaseMs: context.timings.leaseMs,
-      slices: context.slices?.ownedBy(server) ?? [],
+      revision: ctx.revision,
+      leaseMs: ctx.timings.leaseMs,
+      slices: ctx.slices?.ownedBy(server) ?? [],
     };
-    if (state.reply === undefined || !this.mayGrant(state, context)) {
-      return command;
-    }
+    if (state.reply === undefined || !this.mayGrant(state, ctx)) return command;
     return {
       ...command,
       stampMs: state.reply.stampMs,
@@ -171,11 +167,11 @@
    */
   protected mayGrant(
     state: { readonly instanceSeenAtMs: number },
-    context: LeaseCommandContext,
+    ctx: LeaseCommandContext,
   ): boolean {
-    const isFresh = context.nowMs <
-      context.confirmedAtMs + context.timings.evidenceMs;
-    return isFresh && context.confirmedAtMs >= state.instanceSeenAtMs;
+    const isFresh = ctx.nowMs <
+      ctx.confirmedAtMs + ctx.timings.evidenceMs;
+    return isFresh && ctx.confirmedAtMs >= state.instanceSeenAtMs;
   }
 
   #stateOf(server: contracts.ServerId): ServerState {
--- a/packages/decisions/src/ownership/ownership_model_test.ts
+++ b/packages/decisions/src/ownership/ownership_model_test.ts
@@ -93,9 +93,9 @@
 class StaleConfirmationScheduler extends ownership.LeaseCommandScheduler {
   protected override mayGrant(
     _state: { readonly instanceSeenAtMs: number },
-    context: ownership.LeaseCommandContext,
+    ctx: ownership.LeaseCommandContext,
   ): boolean {
-    return context.nowMs < context.confirmedAtMs + context.timings.evidenceMs;
+    return ctx.nowMs < ctx.confirmedAtMs + ctx.timings.evidenceMs;
   }
 }
 
--- a/packages/decisions/src/ownership/promise_book.ts
+++ b/packages/decisions/src/ownership/promise_book.ts
@@ -14,7 +14,7 @@
    * Send time of the request that this answers; absent for an unsolicited
    * report.
    */
-  readonly requestSentAtMs?: number;
+  readonly requestedAtMs?: number;
   readonly nowMs: number;
 }
 
@@ -24,7 +24,7 @@
   /** When this incarnation first reported this revision. */
   readonly firstAckAtMs: number;
   /** Send time of the latest request that this incarnation answered. */
-  readonly lastRequestSentAtMs: number;
+  readonly lastRequestedAtMs: number;
 }
 
 type VoterSets = readonly (readonly contracts.Voter[])[];
@@ -48,9 +48,9 @@
     const { vm, incarnation, revision, nowMs } = ack;
     const last = this.#acks.get(vm);
     const isSameIncarnation = last?.incarnation === incarnation;
-    const lastRequestSentAtMs = Math.max(
-      ack.requestSentAtMs ?? NEVER_MS,
-      isSameIncarnation ? last.lastRequestSentAtMs : NEVER_MS,
+    const lastRequestedAtMs = Math.max(
+      ack.requestedAtMs ?? NEVER_MS,
+      isSameIncarnation ? last.lastRequestedAtMs : NEVER_MS,
     );
     const isNotNewer = isSameIncarnation && revision <= last.revision;
     const firstAckAtMs = isNotNewer ? last.firstAckAtMs : nowMs;
@@ -59,7 +59,7 @@
       incarnation,
       revision: highest,
       firstAckAtMs,
-      lastRequestSentAtMs,
+      lastRequestedAtMs: lastRequestedAtMs,
     });
   }
 
@@ -116,7 +116,7 @@
   ): boolean {
     const ack = this.#acks.get(vm);
     return ack !== undefined && ack.revision >= revision &&
-      ack.firstAckAtMs <= momentMs && ack.lastRequestSentAtMs >= momentMs;
+      ack.firstAckAtMs <= momentMs && ack.lastRequestedAtMs >= momentMs;
   }
 
   #isQuorum(
--- a/packages/decisions/src/ownership/slice_map.ts
+++ b/packages/decisions/src/ownership/slice_map.ts
@@ -140,9 +140,7 @@
     const slice = this.byId(id);
     if (slice === undefined) return err(unknownSlice(id));
     const isInside = slice.fromHash < atHash && atHash < slice.toHash;
-    if (!isInside || slice.state !== "owned") {
-      return err(invalidSplitOrMerge(id));
-    }
+    if (!isInside || slice.state !== "owned") return err(cannotChange(id));
     const parts = [{ ...slice, toHash: atHash }, {
       ...slice,
       fromHash: atHash,
@@ -168,7 +166,7 @@
     const mayJoin = first.toHash === second.fromHash &&
       first.server === second.server &&
       first.state === "owned" && second.state === "owned";
-    if (!mayJoin) return err(invalidSplitOrMerge(firstId));
+    if (!mayJoin) return err(cannotChange(firstId));
     const joined = {
       ...first,
       toHash: second.toHash,
@@ -232,7 +230,7 @@
   };
 }
 
-function invalidSplitOrMerge(id: contracts.SliceId): SliceMapError {
+function cannotChange(id: contracts.SliceId): SliceMapError {
   return {
     kind: "not-apart",
     message:
--- a/packages/decisions/src/ownership/wait_book.ts
+++ b/packages/decisions/src/ownership/wait_book.ts
@@ -6,7 +6,7 @@
 /** Handovers of one service. */
 export class HandoverTracker {
   readonly #settings: OwnershipSettings;
-  readonly #urgentServers = new Set<contracts.ServerId>();
+  readonly #urgent = new Set<contracts.ServerId>();
   #handovers = new Map<string, SliceHandover>();
 
   constructor(settings: OwnershipSettings) {
@@ -58,23 +58,19 @@
     for (const handover of this.#handovers.values()) {
       if (handover.hasQuorum || !hasQuorum(handover.revision)) continue;
       handover.noteQuorum(nowMs);
-      for (const server of handover.earlierOwners) {
-        this.#urgentServers.add(server);
-      }
+      for (const server of handover.earlierOwners) this.#urgent.add(server);
     }
   }
 
-  noteReply(answered: AnsweredCommand): void {
-    for (const handover of this.#handovers.values()) {
-      handover.noteReply(answered);
-    }
+  noteReply(answer: AnsweredCommand): void {
+    for (const handover of this.#handovers.values()) handover.noteReply(answer);
   }
 
   /** Servers whose replies count as a release from now on; returned once. */
   takeUrgentServers(): contracts.ServerId[] {
-    const urgentServers = [...this.#urgentServers];
-    this.#urgentServers.clear();
-    return urgentServers;
+    const servers = [...this.#urgent];
+    this.#urgent.clear();
+    return servers;
   }
 }
 
--- a/packages/decisions/src/publishing/watchers.ts
+++ b/packages/decisions/src/publishing/watchers.ts
@@ -41,7 +41,7 @@
  * Every VM draws anew, so that the fleet's comparisons stay constant in rate
  * while no single VM's failure can stop them.
  */
-export function shouldCompareWithStore(
+export function shouldCompare(
   members: number,
   random: contracts.RandomSource,
 ): boolean {
--- a/packages/entry/src/configuration/config_task.ts
+++ b/packages/entry/src/configuration/config_task.ts
@@ -200,9 +200,7 @@
       await storeWatch.pause(waitMs, signal);
       if (signal.aborted) return;
       const members = this.#options.peers.liveVms().length;
-      if (decisions.shouldCompareWithStore(members, random)) {
-        await this.#compare();
-      }
+      if (decisions.shouldCompare(members, random)) await this.#compare();
       waitMs = compareMs * (0.5 + random.next());
     }
   }
--- a/packages/entry/src/ownership/move_task.ts
+++ b/packages/entry/src/ownership/move_task.ts
@@ -93,7 +93,7 @@
     const { revision } = known;
     const report = { vm, incarnation, revision, nowMs };
     this.#keepers.noteSettled(vm, known.settled);
-    this.#mover.noteAck({ ...report, requestSentAtMs: askedAtMs });
+    this.#mover.noteAck({ ...report, requestedAtMs: askedAtMs });
     const busyServers = known.busyServers ?? [];
     this.#mover.noteUnfencedRequests({ ...report, busyServers });
   }
--- a/packages/entry/src/ownership/ownership_task.ts
+++ b/packages/entry/src/ownership/ownership_task.ts
@@ -162,7 +162,7 @@
       ownership.known.noteAnswer({
         vm: reply.vm,
         known,
-        requestSentAtMs: askedAtMs,
+        requestedAtMs: askedAtMs,
       });
       ownership.notePeer(reply, known, askedAtMs);
     }
