--- a/packages/decisions/src/mod.ts
+++ b/packages/decisions/src/mod.ts
@@ -1,4 +1,4 @@
-/** Entry of this package; exports grow with its parts. */
+/** Public exports of this package. */
 export * from "./membership/mod.ts";
 export * from "./placement/mod.ts";
 export * from "./publishing/mod.ts";
--- a/packages/decisions/src/publishing/canonical_text.ts
+++ b/packages/decisions/src/publishing/canonical_text.ts
@@ -1,9 +1,9 @@
-/** JSON text that depends on a value's content, not on how it was built. */
+/** Canonical JSON text: equal values have equal text. */
 
 /**
- * JSON text with the fields of each object in order of name. Plain JSON text
- * differs between a value just built and the same value read from the store,
- * so that a comparison would find a change where there is none.
+ * JSON text with the fields of each object sorted by name. Plain JSON text may
+ * differ between a value just built and the same value read from the store, so
+ * a comparison of it would find changes where there are none.
  */
 export function canonicalText(value: unknown): string {
   return JSON.stringify(value, (_name, inner) => sortFields(inner));
--- a/packages/decisions/src/publishing/check.ts
+++ b/packages/decisions/src/publishing/check.ts
@@ -1,10 +1,12 @@
 /**
- * Check of a whole set of configuration objects. Only a set without findings
- * may be published, so that a half-made renegotiation never reaches traffic.
+ * Validates a whole set of configuration objects. Only a set without findings
+ * may be published, so that a half-edited agreement never affects traffic.
  */
 import type * as contracts from "@guavatide/contracts";
 
-/** What is wrong between objects; each object by itself is well formed. */
+/**
+ * What is wrong between objects; the schema has checked each object by itself.
+ */
 export type FindingKind =
   | "empty-set"
   | "duplicate-object"
@@ -16,31 +18,33 @@
   | "shares-sum"
   | "several-cost-shares";
 
-/** One reason against publishing a set. */
+/** One reason why a set can't be published. */
 export interface Finding {
   readonly kind: FindingKind;
   /** The object, as `kind/name`; empty for the whole set. */
   readonly object: string;
   /** Path of the field inside the object; empty for the whole object. */
   readonly field: string;
-  /** What was seen, a sentence without closing full stop. */
+  /** What was found: a sentence without its full stop. */
   readonly message: string;
-  /** What to do, a sentence without closing full stop. */
+  /** What to do: a sentence without its full stop. */
   readonly remedy: string;
 }
 
 const TOTAL_PERCENT = 100;
-/** Room for the rounding of sums such as 33.3 + 33.3 + 33.4. */
+/** Tolerance for the rounding of sums such as 33.3 + 33.3 + 33.4. */
 const PERCENT_TOLERANCE = 1e-6;
 
-/** The name by which findings, drafts and commands call an object. */
+/** Path of an object, `kind/name`, as in findings, drafts and commands. */
 export function objectPath(
   object: Pick<contracts.ConfigObject, "kind" | "name">,
 ): string {
   return `${object.kind}/${object.name}`;
 }
 
-/** Lists what stands against publishing the set; empty when nothing does. */
+/**
+ * Returns what prevents the set from being published; empty when nothing does.
+ */
 export function validateObjects(
   objects: readonly contracts.ConfigObject[],
 ): Finding[] {
--- a/packages/decisions/src/publishing/config_state.ts
+++ b/packages/decisions/src/publishing/config_state.ts
@@ -1,53 +1,59 @@
 /**
- * The configuration in force at one entry VM. It only moves to a higher
+ * The configuration that one entry VM applies. It only ever moves to a higher
  * revision, whoever offers it.
  */
 import type * as contracts from "@guavatide/contracts";
 import { canonicalText } from "./canonical_text.ts";
 
-/** Who offers a configuration. */
+/** Origin of a configuration. */
 export type ConfigSource = "store" | "peer" | "publisher";
 
-/** What became of an offer. */
+/** Result of an offer. */
 export type OfferResult =
   | { readonly kind: "applied"; readonly from: number; readonly to: number }
   | { readonly kind: "same" }
   | { readonly kind: "older"; readonly inForce: number }
   /**
-   * The same revision with other objects. Two publishers can only both have
-   * written it if the store lost a write that it had acknowledged.
+   * The same revision with other objects. Two publishers can both have written
+   * it only if the store lost an acknowledged write.
    */
   | { readonly kind: "mismatch"; readonly inForce: number };
 
 /** Options of {@link ConfigState}. */
 export interface ConfigStateOptions {
-  /** How long a fresh start listens before it takes a peer's word. */
+  /**
+   * Time in milliseconds that a process without a configuration waits for
+   * reports of its peers before it fetches from one.
+   */
   readonly peerDiscoveryMs: number;
   readonly startedMs: number;
 }
 
-/** Keeps the configuration in force and decides when to ask whom for more. */
+/**
+ * Holds the current configuration and decides which peer to fetch a newer one
+ * from.
+ */
 export class ConfigState {
   readonly #options: ConfigStateOptions;
   #config: contracts.PublishedConfig | undefined;
   #text = "";
-  #heard = new Map<contracts.VmId, number>();
+  #peerRevisions = new Map<contracts.VmId, number>();
 
   constructor(options: ConfigStateOptions) {
     this.#options = options;
   }
 
-  /** The configuration in force; undefined until the first one arrives. */
+  /** The current configuration; undefined until the first one arrives. */
   get config(): contracts.PublishedConfig | undefined {
     return this.#config;
   }
 
-  /** Revision in force; 0 when there is none. */
+  /** Current revision; 0 when there is none. */
   get revision(): number {
     return this.#config?.revision ?? 0;
   }
 
-  /** Takes a configuration when its revision is higher than that in force. */
+  /** Applies a configuration if its revision is higher than the current one. */
   offer(config: contracts.PublishedConfig): OfferResult {
     const from = this.revision;
     if (config.revision < from) return { kind: "older", inForce: from };
@@ -59,36 +65,36 @@
     }
     this.#config = config;
     this.#text = text;
-    this.#forgetReached();
+    this.#dropReachedRevisions();
     return { kind: "applied", from, to: config.revision };
   }
 
-  /** A peer said which revision it has in force. */
+  /** A peer reported its current revision. */
   notePeerRevision(vm: contracts.VmId, revision: number): void {
-    if (revision > this.revision) this.#heard.set(vm, revision);
-    else this.#heard.delete(vm);
+    if (revision > this.revision) this.#peerRevisions.set(vm, revision);
+    else this.#peerRevisions.delete(vm);
   }
 
-  /** The peer did not give what it had announced. */
+  /** The fetch from the peer failed. */
   noteFetchFailed(vm: contracts.VmId): void {
-    this.#heard.delete(vm);
+    this.#peerRevisions.delete(vm);
   }
 
   /**
-   * The peer to ask for its configuration now, if any.
+   * The peer to fetch a newer configuration from now, if any.
    *
-   * A process that has just restarted with nothing waits `settleMs` for its
-   * peers first: if the peer heard first were one that had been cut off, an
-   * older agreement would be in force here again for a moment, which this VM
-   * had already left behind before the restart.
+   * A process that starts without a configuration first waits
+   * `peerDiscoveryMs`. If the first peer to report had been disconnected, an
+   * older agreement would otherwise apply here again for a moment, although
+   * this VM had replaced it before the restart.
    */
   nextFetch(nowMs: number): contracts.VmId | undefined {
-    const settled = this.revision > 0 ||
+    const hasWaited = this.revision > 0 ||
       nowMs - this.#options.startedMs >= this.#options.peerDiscoveryMs;
-    if (!settled) return undefined;
+    if (!hasWaited) return undefined;
     let best: contracts.VmId | undefined;
     let bestRevision = this.revision;
-    for (const [vm, revision] of this.#heard) {
+    for (const [vm, revision] of this.#peerRevisions) {
       if (revision <= bestRevision) continue;
       best = vm;
       bestRevision = revision;
@@ -96,9 +102,9 @@
     return best;
   }
 
-  #forgetReached(): void {
-    for (const [vm, revision] of this.#heard) {
-      if (revision <= this.revision) this.#heard.delete(vm);
+  #dropReachedRevisions(): void {
+    for (const [vm, revision] of this.#peerRevisions) {
+      if (revision <= this.revision) this.#peerRevisions.delete(vm);
     }
   }
 }
--- a/packages/decisions/src/publishing/delta.ts
+++ b/packages/decisions/src/publishing/delta.ts
@@ -1,38 +1,38 @@
 /**
- * What a peer needs to get from its revision to a newer one. A whole set may
- * measure megabytes while one edit is a few hundred bytes; at tens of
- * thousands of publishes a day only the latter fits a node's control traffic.
+ * Deltas that bring a peer from its revision to a newer one. A whole set may be
+ * megabytes while one edit is a few hundred bytes; at tens of thousands of
+ * publishes a day only the latter fits a node's control traffic.
  */
 import type * as contracts from "@guavatide/contracts";
 import { objectPath } from "./check.ts";
 import { diffObjects } from "./diff.ts";
 
-/** The way from one revision to another. */
+/** Changes from one revision to another. */
 export interface ConfigDelta {
-  /** Revision the delta applies to; 0 means that it holds the whole set. */
+  /** Revision the delta applies to; 0 when it contains the whole set. */
   readonly baseRevision: number;
   readonly revision: number;
   readonly publishedBy: string;
   readonly publishedAt: string;
-  /** Objects that are new or edited. */
+  /** Objects that were added or edited. */
   readonly objects: readonly contracts.ConfigObject[];
   /** Removed objects, as `kind/name`. */
   readonly removed: readonly string[];
-  /** All drained servers, whatever the base. */
+  /** All drained servers, whatever the base revision. */
   readonly drains?: readonly contracts.Drain[];
 }
 
-/** Sets remembered besides the one in force. */
+/** Earlier configurations kept besides the current one. */
 const MAX_EARLIER_CONFIGS = 16;
 
-/** A copy in order of object name: the order of every published set. */
+/** A copy sorted by object path, the order of every published set. */
 export function sortObjects(
   objects: readonly contracts.ConfigObject[],
 ): contracts.ConfigObject[] {
   return [...objects].sort((a, b) => objectPath(a) < objectPath(b) ? -1 : 1);
 }
 
-/** Applies a delta; undefined when it was made for another revision. */
+/** Applies a delta; undefined when it was made for another base revision. */
 export function applyDelta(
   base: contracts.PublishedConfig | undefined,
   delta: ConfigDelta,
@@ -53,12 +53,12 @@
   };
 }
 
-/** Remembers the last sets in force, to answer peers that lag behind. */
+/** Keeps the latest configurations, to send deltas to peers that lag behind. */
 export class ConfigHistory {
   readonly #sets = new Map<number, contracts.PublishedConfig>();
   #latest: contracts.PublishedConfig | undefined;
 
-  /** Takes note of a set that came into force. */
+  /** Adds a configuration that has just been applied. */
   add(config: contracts.PublishedConfig): void {
     this.#latest = config;
     this.#sets.set(config.revision, config);
@@ -69,8 +69,9 @@
   }
 
   /**
-   * The way from `haveRevision` to the set in force: whole when that revision
-   * is unknown here, undefined when there is nothing newer.
+   * The delta from `haveRevision` to the current configuration: the whole set
+   * when that revision is no longer kept, undefined when there is nothing
+   * newer.
    */
   since(haveRevision: number): ConfigDelta | undefined {
     const latest = this.#latest;
--- a/packages/decisions/src/publishing/diff.ts
+++ b/packages/decisions/src/publishing/diff.ts
@@ -1,9 +1,12 @@
-/** What changes between two sets of configuration objects. */
+/** Differences between two sets of configuration objects. */
 import type * as contracts from "@guavatide/contracts";
 import { canonicalText } from "./canonical_text.ts";
 import { objectPath } from "./check.ts";
 
-/** One changed field. Values are JSON text; absent means "not there". */
+/**
+ * One changed field. Values are JSON text; an absent one means that the field
+ * is missing.
+ */
 export interface FieldChange {
   readonly field: string;
   readonly from?: string;
@@ -13,9 +16,9 @@
 /** One changed object. */
 export interface ObjectChange {
   readonly change: "added" | "removed" | "edited";
-  /** The object, as `kind/name`. */
+  /** Path of the object, `kind/name`. */
   readonly object: string;
-  /** The fields that differ when `edited`; empty otherwise. */
+  /** The fields that differ when `edited`; else empty. */
   readonly fields: readonly FieldChange[];
   readonly before?: contracts.ConfigObject;
   readonly after?: contracts.ConfigObject;
@@ -23,15 +26,15 @@
 
 type ObjectMap = ReadonlyMap<string, contracts.ConfigObject>;
 
-/** Lists the changes from one set to another, in order of object name. */
+/** Lists the changes from one set to another, sorted by object path. */
 export function diffObjects(
   before: readonly contracts.ConfigObject[],
   after: readonly contracts.ConfigObject[],
 ): ObjectChange[] {
-  const old = byPath(before);
-  const young = byPath(after);
-  const paths = [...new Set([...old.keys(), ...young.keys()])].sort();
-  return paths.flatMap((path) => changeOf(path, old, young));
+  const older = byPath(before);
+  const newer = byPath(after);
+  const paths = [...new Set([...older.keys(), ...newer.keys()])].sort();
+  return paths.flatMap((path) => changeOf(path, older, newer));
 }
 
 function byPath(objects: readonly contracts.ConfigObject[]): ObjectMap {
@@ -40,11 +43,11 @@
 
 function changeOf(
   path: string,
-  old: ObjectMap,
-  young: ObjectMap,
+  older: ObjectMap,
+  newer: ObjectMap,
 ): ObjectChange[] {
-  const before = old.get(path);
-  const after = young.get(path);
+  const before = older.get(path);
+  const after = newer.get(path);
   if (before === undefined) {
     return [{ change: "added", object: path, fields: [], after }];
   }
@@ -57,12 +60,12 @@
 }
 
 function fieldChanges(before: object, after: object): FieldChange[] {
-  const old = new Map(Object.entries(before));
-  const young = new Map(Object.entries(after));
-  const names = [...new Set([...old.keys(), ...young.keys()])].sort();
+  const older = new Map(Object.entries(before));
+  const newer = new Map(Object.entries(after));
+  const names = [...new Set([...older.keys(), ...newer.keys()])].sort();
   return names.flatMap((field) => {
-    const from = textOf(old.get(field));
-    const to = textOf(young.get(field));
+    const from = textOf(older.get(field));
+    const to = textOf(newer.get(field));
     return from === to ? [] : [{ field, from, to }];
   });
 }
--- a/packages/decisions/src/publishing/mod.ts
+++ b/packages/decisions/src/publishing/mod.ts
@@ -1,4 +1,4 @@
-/** Decisions about checking, publishing and applying configuration. */
+/** Validates, publishes and applies configuration. */
 export * from "./check.ts";
 export * from "./config_state.ts";
 export * from "./delta.ts";
--- a/packages/decisions/src/publishing/publishing_test.ts
+++ b/packages/decisions/src/publishing/publishing_test.ts
@@ -43,8 +43,8 @@
 }
 
 function config(revision: number, objects: readonly object[] = WHOLE) {
-  const by = { publishedBy: "test", publishedAt: "2026-01-01T00:00:00Z" };
-  return { revision, ...by, objects: set(objects) };
+  const metadata = { publishedBy: "test", publishedAt: "2026-01-01T00:00:00Z" };
+  return { revision, ...metadata, objects: set(objects) };
 }
 
 const FINDINGS: readonly {
@@ -124,9 +124,9 @@
   ]);
 });
 
-// Peers and the store offer configurations late, twice and crossed. A user
-// would notice an older cost split coming back into force.
-test("should never go back whatever is offered in whatever order", () => {
+// Peers and the store offer configurations late, twice and out of order. Users
+// would see an older cost split apply again.
+test("should never go back to a lower revision in any order of offers", () => {
   fc.assert(fc.property(fc.array(fc.integer({ min: 1, max: 9 })), (offers) => {
     const state = new publishing.ConfigState({
       peerDiscoveryMs: 0,
@@ -142,8 +142,8 @@
   }));
 });
 
-// The store is restored from an old copy and another publish takes the same
-// revision. A user would notice entry VMs that serve different agreements.
+// The store is restored from an old copy, and another publish gets the same
+// revision. Entry VMs would apply different agreements unnoticed.
 test("should report the same revision with other objects", () => {
   const state = new publishing.ConfigState({
     peerDiscoveryMs: 0,
@@ -154,10 +154,10 @@
   expect(result).toEqual({ kind: "mismatch", inForce: 3 });
 });
 
-// The publisher's VM gets a revision twice: as it built it, and as the watch
-// brings it from the store, with fields in another order. An operator would
-// read of a damaged store where all is well.
-test("should know one set by its content, not by the order of fields", () => {
+// The publisher's VM gets a revision twice: as it built it, and from the watch
+// on the store with its fields in another order. Operators would see a report
+// of a damaged store where there is none.
+test("should compare sets by content, not by the order of fields", () => {
   const state = new publishing.ConfigState({
     peerDiscoveryMs: 0,
     startedMs: 0,
@@ -170,10 +170,10 @@
   expect(again).toEqual({ kind: "same" });
 });
 
-// An entry VM restarts empty while the store is down, and the first peer it
-// hears was cut off and still has an older revision. A user would notice the
-// old cost split at this VM for a moment.
-test("should listen before it takes a peer's word after a start", () => {
+// An entry VM starts without a configuration while the store is down, and the
+// first peer to report was disconnected and has an older revision. Users would
+// see the old cost split at this VM for a moment.
+test("should wait for its peers' reports before the first fetch after a start", () => {
   const state = new publishing.ConfigState({
     peerDiscoveryMs: 1000,
     startedMs: 0,
@@ -188,41 +188,41 @@
   expect(state.nextFetch(1002)).toEqual(undefined);
 });
 
-test("should choose the same two watchers in whatever order", async () => {
-  const choice = await publishing.createWatcherSelector();
+test("should select the same two watchers in any order", async () => {
+  const selector = await publishing.createWatcherSelector();
   const members = ["a", "b", "c", "d", "e"] as contracts.VmId[];
-  const watchers = choice.select(members);
+  const watchers = selector.select(members);
   expect(watchers.length).toEqual(publishing.WATCHER_COUNT);
-  expect(choice.select([...members].reverse())).toEqual(watchers);
+  expect(selector.select([...members].reverse())).toEqual(watchers);
   const without = members.filter((vm) => vm !== watchers[0]);
-  expect(choice.select(without)[0]).toEqual(watchers[1]);
+  expect(selector.select(without)[0]).toEqual(watchers[1]);
 });
 
-test("should carry a peer from any remembered revision to the newest", () => {
+test("should bring a peer from any kept revision to the newest", () => {
   const sets = [
     WHOLE,
     [...WHOLE, { ...PLACE, name: "yoff" }],
     [PLACE, KAYFA, { ...PLACE, name: "yoff" }],
   ];
-  const deltas = new publishing.ConfigHistory();
+  const history = new publishing.ConfigHistory();
   const configs = sets.map((objects, index) => ({
     ...config(index + 1),
     objects: publishing.sortObjects(set(objects)),
     drains: DRAINS.slice(0, index),
   }));
-  for (const each of configs) deltas.add(each);
+  for (const each of configs) history.add(each);
   for (const base of [undefined, ...configs.slice(0, 2)]) {
-    const delta = deltas.since(base?.revision ?? 0)!;
+    const delta = history.since(base?.revision ?? 0)!;
     expect(publishing.applyDelta(base, delta)).toEqual(configs[2]);
   }
-  expect(deltas.since(2)!.objects).toEqual([]);
-  expect(deltas.since(3)).toEqual(undefined);
+  expect(history.since(2)!.objects).toEqual([]);
+  expect(history.since(3)).toEqual(undefined);
 });
 
 test("should not apply a delta made for another revision", () => {
-  const deltas = new publishing.ConfigHistory();
-  deltas.add(config(1));
-  deltas.add(config(2));
-  const delta = deltas.since(1)!;
+  const history = new publishing.ConfigHistory();
+  history.add(config(1));
+  history.add(config(2));
+  const delta = history.since(1)!;
   expect(publishing.applyDelta(config(4), delta)).toEqual(undefined);
 });
--- a/packages/decisions/src/publishing/watchers.ts
+++ b/packages/decisions/src/publishing/watchers.ts
@@ -1,18 +1,22 @@
 /**
- * Which entry VMs watch the store for a new configuration. Each VM chooses
- * from the members that it sees, without asking: a cut-off group chooses its
- * own, and two views that differ cost a watch too many, not one too few.
+ * Selects the entry VMs that watch the store for a new configuration. Each VM
+ * selects from the members that it knows, without communication: a partitioned
+ * group selects its own watchers, and two differing views cost one watch too
+ * many, not one too few.
  */
 import type * as contracts from "@guavatide/contracts";
 import xxhash from "xxhash-wasm";
 
-/** Entry VMs that watch, whatever the size of the fleet. */
+/** Number of entry VMs that watch, for any number of members. */
 export const WATCHER_COUNT = 2;
 
-/** Expected number of VMs that compare with the store in each interval. */
+/**
+ * Expected number of VMs that compare their configuration with the store in
+ * each interval.
+ */
 export const EXPECTED_COMPARISONS = 4;
 
-/** Chooses watchers by rendezvous hashing. */
+/** Selects watchers by rendezvous hashing. */
 export class WatcherSelector {
   readonly #hash: (text: string) => number;
 
@@ -20,7 +24,7 @@
     this.#hash = hash;
   }
 
-  /** The VMs that watch, the first by rank first. */
+  /** The VMs that watch, by rank. */
   select(members: readonly contracts.VmId[]): contracts.VmId[] {
     return members
       .map((vm) => ({ vm, rank: this.#hash(`config-watcher:${vm}`) }))
@@ -30,7 +34,7 @@
   }
 }
 
-/** Creates the choice; loading the hash library takes a moment. */
+/** Creates a selector; loads the WebAssembly module of the hash. */
 export async function createWatcherSelector(): Promise<WatcherSelector> {
   const { h32 } = await xxhash();
   return new WatcherSelector((text) => h32(text));
@@ -38,8 +42,8 @@
 
 /**
  * Whether this VM compares its configuration with the store in this interval.
- * Every VM draws anew, so that the fleet's comparisons stay constant in rate
- * while no single VM's failure can stop them.
+ * Every VM draws a random number each time, so the rate of the whole fleet
+ * stays constant and no single failed VM can stop the comparisons.
  */
 export function shouldCompare(
   members: number,
--- a/packages/decisions/src/routes/mod.ts
+++ b/packages/decisions/src/routes/mod.ts
@@ -1,2 +1,2 @@
-/** Routes of a platform's configuration. */
+/** Routing of requests to services. */
 export * from "./route_table.ts";
--- a/packages/decisions/src/routes/route_table_test.ts
+++ b/packages/decisions/src/routes/route_table_test.ts
@@ -24,7 +24,7 @@
   };
 }
 
-test("should take the longest prefix that begins the path", () => {
+test("should match the longest prefix of the path", () => {
   const table = new RouteTable([
     route("all", "/", { a: 1 }),
     route("deep", "/x/y/", { b: 1 }),
@@ -48,7 +48,7 @@
   expect(counts.get("b")).toEqual(30);
 });
 
-/** Guards against shares that begin anew with each configuration. */
+/** Guards against shares that start again with each configuration. */
 test("should keep shares across quick changes of the configuration", () => {
   const split = route("split", "/", { a: 3, b: 1 });
   let table = new RouteTable([split]);
