--- a/packages/contracts/src/backend_server.ts
+++ b/packages/contracts/src/backend_server.ts
@@ -1,38 +1,38 @@
 /**
- * What this system asks of a backend server. Work goes over
- * `POST|GET /serve/...`, ownership over `POST /control/ownership`, load over
- * `GET /control/load`, cancellation over `DELETE /control/requests/<id>`.
+ * The API of a backend server. Requests go to `POST|GET /serve/...`, lease
+ * commands to `POST /control/ownership`, load reports come from `GET
+ * /control/load`, and `DELETE /control/requests/<id>` cancels a request.
  */
 import type { ResultAsync } from "neverthrow";
 import * as z from "zod";
 import { serverIdSchema, serviceIdSchema, sliceIdSchema } from "./ids.ts";
 import type { CallOptions } from "./platform_store.ts";
 
-/** Request and response header with the id of one attempt. */
+/** Request and response header: id of one attempt. */
 export const REQUEST_ID_HEADER = "guavatide-request-id";
 /** Request header: time left until the caller's deadline, in milliseconds. */
 export const DEADLINE_HEADER = "guavatide-deadline-ms";
-/** Request header: the slice the sender believes the key to lie in. */
+/** Request header: the slice that the sender expects the key to be in. */
 export const SLICE_HEADER = "guavatide-slice";
-/** Request header: fence of that slice. */
+/** Request header: fencing token of that slice. */
 export const FENCE_HEADER = "guavatide-fence";
-/** Response header by which a server proves that it did not run a request. */
+/** Response header: proves that the server did not run the request. */
 export const NOT_RUN_HEADER = "guavatide-not-run";
 /**
- * Response header with the server's monotonic clock: its instance, a slash,
+ * Response header: the server's monotonic clock, as its instance, a slash and
  * milliseconds.
  */
 export const STAMP_HEADER = "guavatide-stamp";
 /**
- * Request header in the same form: the moment on the server's own clock from
- * which on it neither begins the request nor lets it take effect. Sent for
- * keyed requests to servers that check no fences, once a stamp is known.
+ * Request header in the same form: the time on the server's own clock from
+ * which on it neither starts the request nor lets it take effect. Sent with
+ * keyed requests to servers that do not check fences, once a stamp is known.
  */
 export const DEADLINE_STAMP_HEADER = "guavatide-deadline-stamp";
-/** Response header with requests in flight at the server, fresh. */
+/** Response header: the server's current number of requests in flight. */
 export const IN_FLIGHT_HEADER = "guavatide-in-flight";
 
-/** Why a server refused; the value of {@link NOT_RUN_HEADER}. */
+/** Why a server refused a request; the value of {@link NOT_RUN_HEADER}. */
 export type ServerRefusal =
   | "not-owner"
   | "busy"
@@ -54,66 +54,73 @@
 export const leaseCommandSchema = z.strictObject({
   service: serviceIdSchema,
   server: serverIdSchema,
-  /** Assignment revision. A server ignores one below the highest it saw. */
+  /**
+   * Assignment revision. A server ignores a command below the highest revision
+   * it has seen.
+   */
   revision: z.number().int().min(1),
   /**
-   * The server's own clock as it gave it in an earlier reply. The lease ends
-   * at `stampMs + leaseMs` on that clock, so that an order that was delayed
-   * on its way never extends a lease from its arrival. Absent in a first
-   * order: the server then answers with its stamp and grants itself nothing.
+   * The server's clock as it reported it in an earlier reply, in milliseconds.
+   * The lease ends at `stampMs + leaseMs` on that clock, so that a delayed
+   * command never extends a lease from its arrival. Absent in the first
+   * command: the server then replies with its stamp and owns nothing yet.
    */
   stampMs: z.number().optional(),
-  /** The run of the server process that gave the stamp. */
+  /** Instance of the server process that reported the stamp. */
   stampInstance: z.string().optional(),
   leaseMs: z.number().int().min(1),
-  /** All slices the server owns at this revision; others it lets go. */
+  /**
+   * All slices that the server owns at this revision; it releases all others.
+   */
   slices: z.array(leasedSliceSchema),
 });
-/** Grants, renews and takes away ownership: the whole set, each time. */
+/** Grants, renews and revokes leases; always contains the whole set. */
 export type LeaseCommand = z.infer<typeof leaseCommandSchema>;
 
 /** Schema of {@link LeaseCommandReply}. */
 export const leaseCommandReplySchema = z.strictObject({
-  /** Drawn anew at each start of the server process. */
+  /** Random at each start of the server process. */
   instance: z.string().min(1),
-  /** The server's monotonic clock now. */
+  /** The server's monotonic clock now, in milliseconds. */
   stampMs: z.number(),
-  /** Highest revision the server has seen in this run. */
+  /** Highest revision that this instance has seen. */
   revision: z.number().int().min(0),
-  /** False when the order was stale, or its stamp unknown or too old. */
+  /** False when the command was stale, or its stamp unknown or too old. */
   accepted: z.boolean(),
-  /** Slices let go whose requests are still running, with their count. */
+  /** Released slices whose requests still run, with their number. */
   releasing: z.array(
     z.strictObject({ slice: sliceIdSchema, inFlight: z.number().int() }),
   ),
-  /** The server wishes to leave and takes no new work. */
+  /** The server is shutting down and takes no new requests. */
   draining: z.boolean(),
-  /** Whether the server checks fences; false means our side must. */
+  /**
+   * Whether the server checks fencing tokens; if not, entry VMs must guard it.
+   */
   checksFences: z.boolean(),
 });
-/** A server's answer to an {@link LeaseCommand}. */
+/** A server's reply to a {@link LeaseCommand}. */
 export type LeaseCommandReply = z.infer<typeof leaseCommandReplySchema>;
 
 /** Schema of {@link LoadReport}. */
 export const loadReportSchema = z.strictObject({
   inFlight: z.number().int().min(0),
   slots: z.number().int().min(1),
-  /** How old the figures are by the server's word; it may mislead. */
+  /** Age of the figures as the server reports it; it may be wrong. */
   ageMs: z.number().min(0),
   draining: z.boolean(),
   healthy: z.boolean(),
 });
-/** A server's load; it may lag or mislead. */
+/** A server's load; it may be outdated or wrong. */
 export type LoadReport = z.infer<typeof loadReportSchema>;
 
-/** Why a call to a server's control side failed. */
+/** Why a control call to a server failed. */
 export interface ServerCallError {
   /** `kept`: nothing was sent. */
   readonly kind: "unreachable" | "timeout" | "bad-answer" | "kept";
   readonly message: string;
 }
 
-/** Control side of a backend server. */
+/** Control API of a backend server. */
 export interface BackendControl {
   sendLeaseCommand(
     order: LeaseCommand,
--- a/packages/contracts/src/clock.ts
+++ b/packages/contracts/src/clock.ts
@@ -1,6 +1,9 @@
-/** Sources of time and chance, passed in so that decisions can be replayed. */
+/**
+ * Sources of time and randomness, passed in so that decisions can be replayed
+ * in tests.
+ */
 
-/** A monotonic clock. It keeps counting while the process is stopped. */
+/** A monotonic clock. It also advances while the process is paused. */
 export interface Clock {
   /** Milliseconds since an arbitrary start; never goes back. */
   nowMs(): number;
--- a/packages/contracts/src/config_objects.ts
+++ b/packages/contracts/src/config_objects.ts
@@ -1,6 +1,6 @@
 /**
- * The objects that operators edit. They refer to one another by name; a
- * publish checks the whole set and makes one revision of it current.
+ * The objects that operators edit. They refer to each other by name; a publish
+ * validates the whole set and makes one revision of it current.
  */
 import * as z from "zod";
 import {
@@ -14,19 +14,21 @@
 export const placeSchema = z.strictObject({
   kind: z.literal("place"),
   name: zoneIdSchema,
-  /** Region the availability zone lies in. */
+  /** Region of the availability zone. */
   region: z.string().min(1),
 });
-/** An availability zone where servers stand. */
+/** An availability zone with backend servers. */
 export type Place = z.infer<typeof placeSchema>;
 
 /** Schema of {@link Partner}. */
 export const partnerSchema = z.strictObject({
   kind: z.literal("partner"),
   name: partnerIdSchema,
-  /** Requests a second that the partner's callers may send, per entry VM. */
+  /**
+   * Requests per second that the partner's callers may send to one entry VM.
+   */
   requestsPerSecond: z.number().positive(),
-  /** Requests that may arrive at once above that rate. */
+  /** Burst: requests that may arrive at once above that rate. */
   burstRequests: z.number().int().positive(),
 });
 /** A partner of the joint venture. */
@@ -38,23 +40,23 @@
   name: serviceIdSchema,
   /** Partner that owns the service. */
   partner: partnerIdSchema,
-  /** Places where the service's servers stand. */
+  /** Availability zones of the service's servers. */
   places: z.array(zoneIdSchema).min(1),
-  /** Whether each key belongs to one server. */
+  /** Whether each key is owned by one server. */
   keyed: z.boolean(),
   slotsPerServer: z.number().int().positive(),
   connectionsPerServer: z.number().int().positive(),
-  /** Methods that are safe to send again after an unknown outcome. */
+  /** Methods that are safe to retry after an unknown outcome. */
   idempotentMethods: z.array(z.string()).default(["GET", "HEAD"]),
-  /** Longest time a request may take when the caller names none. */
+  /** Timeout of a request, in milliseconds, when the caller sets none. */
   timeoutMs: z.number().int().positive().default(2000),
-  /** Requests that may wait for a server, per entry VM. */
+  /** Requests that may queue for a server at one entry VM. */
   queueRequests: z.number().int().min(0).default(64),
-  /** Placement: how much evening out load is worth. */
+  /** Placement: weight of the load imbalance. */
   imbalanceWeight: z.number().min(0).default(1),
-  /** Placement: how much a moved key costs. */
+  /** Placement: cost of moving a key. */
   churnWeight: z.number().min(0).default(1),
-  /** How requests of an unkeyed service are spread. */
+  /** Load balancing policy of a service without keys. */
   policy: z.string().optional(),
 });
 /** A service that callers address. */
@@ -65,7 +67,7 @@
   kind: z.literal("cost-share"),
   name: z.string().min(1).max(100).regex(/^[A-Za-z0-9._\-]+$/),
   service: serviceIdSchema,
-  /** Parts of the cost; they must add up to 100. */
+  /** Shares of the cost in percent; they must add up to 100. */
   shares: z.array(
     z.strictObject({
       partner: partnerIdSchema,
@@ -90,23 +92,23 @@
 export const drainSchema = z.strictObject({
   server: serverIdSchema,
   operator: z.string().min(1),
-  /** Wall-clock time, ISO 8601, for people. */
+  /** Wall-clock time, ISO 8601, for operators only. */
   at: z.string().min(1),
   reason: z.string().max(200),
 });
-/** A backend server that an operator took out of service, until revoked. */
+/** A backend server that an operator drains, until the drain is revoked. */
 export type Drain = z.infer<typeof drainSchema>;
 
 /** Schema of {@link PublishedConfig}. */
 export const publishedConfigSchema = z.strictObject({
-  /** Rises by one with each publish; nodes never apply a lower one. */
+  /** Rises by one with each publish; VMs never apply a lower one. */
   revision: z.number().int().min(1),
   publishedBy: z.string().min(1),
-  /** Wall-clock time of the publish, ISO 8601, for people. */
+  /** Wall-clock time of the publish, ISO 8601, for operators only. */
   publishedAt: z.string().min(1),
   objects: z.array(configObjectSchema),
-  /** Servers that operators drain; they travel with the configuration. */
+  /** Servers that operators drain; published with the configuration. */
   drains: z.array(drainSchema).optional(),
 });
-/** The set of objects in force. */
+/** A published configuration. */
 export type PublishedConfig = z.infer<typeof publishedConfigSchema>;
--- a/packages/contracts/src/ids.ts
+++ b/packages/contracts/src/ids.ts
@@ -1,6 +1,6 @@
 /**
- * Branded identifiers. A brand stops one kind of id from being passed where
- * another is meant; at run time each is a plain string.
+ * Branded identifiers. A brand keeps one kind of id from being passed as
+ * another; at run time each is a plain string.
  */
 import * as z from "zod";
 
@@ -14,8 +14,8 @@
 /** Schema of {@link Incarnation}. */
 export const incarnationSchema = idText.brand<"Incarnation">();
 /**
- * One run of the process on an entry VM. A new run draws a new value, so that
- * peers can tell a restarted process from the one it replaced.
+ * One incarnation of the process on an entry VM. Each start draws a new value,
+ * so that peers can tell a restarted process from the one it replaced.
  */
 export type Incarnation = z.infer<typeof incarnationSchema>;
 
@@ -26,7 +26,7 @@
 
 /** Schema of {@link RegionId}. */
 export const regionIdSchema = idText.brand<"RegionId">();
-/** A region: several availability zones near one another. */
+/** A region: several availability zones near each other. */
 export type RegionId = z.infer<typeof regionIdSchema>;
 
 /** Schema of {@link ServiceId}. */
@@ -46,15 +46,15 @@
 
 /** Schema of {@link CallerId}. */
 export const callerIdSchema = idText.brand<"CallerId">();
-/** A caller as told by its token or header; the unit of fair limits. */
+/** A caller, identified by its token or header; limits apply to each caller. */
 export type CallerId = z.infer<typeof callerIdSchema>;
 
 /** Schema of {@link RequestId}. */
 export const requestIdSchema = idText.brand<"RequestId">();
-/** One attempt of one request; an answer counts only if it bears this id. */
+/** One attempt of one request; an answer counts only if it carries this id. */
 export type RequestId = z.infer<typeof requestIdSchema>;
 
 /** Schema of {@link SliceId}. */
 export const sliceIdSchema = idText.brand<"SliceId">();
-/** A range of key hashes, named by its bounds: see `sliceIdOf`. */
+/** A range of key hashes, named by its bounds; see `sliceIdOf`. */
 export type SliceId = z.infer<typeof sliceIdSchema>;
--- a/packages/contracts/src/mod.ts
+++ b/packages/contracts/src/mod.ts
@@ -1,4 +1,4 @@
-/** Types, schemas and interfaces shared by every part of guavatide. */
+/** Types, schemas and interfaces that all packages share. */
 export * from "./assignment.ts";
 export * from "./backend_server.ts";
 export * from "./clock.ts";
--- a/packages/contracts/src/outcomes.ts
+++ b/packages/contracts/src/outcomes.ts
@@ -1,20 +1,20 @@
 /**
- * What a caller is told about a request. The set is closed: a request was
- * answered, was proved not to have run, or its fate is unknown.
+ * Outcomes of requests as reported to callers. The set is closed: a request was
+ * answered, was proved not to have run, or its outcome is unknown.
  */
 
-/** Response header that carries the outcome. */
+/** Response header: the outcome. */
 export const OUTCOME_HEADER = "guavatide-outcome";
-/** Response header that names why a request was not run or is unknown. */
+/** Response header: why a request was not run or its outcome is unknown. */
 export const REASON_HEADER = "guavatide-reason";
-/** Request header with the key; required by keyed services. */
+/** Request header: the key; required by keyed services. */
 export const KEY_HEADER = "guavatide-key";
-/** Request header with the time the caller will wait, in milliseconds. */
+/** Request header: the caller's timeout, in milliseconds. */
 export const TIMEOUT_HEADER = "guavatide-timeout-ms";
-/** Request header that names the caller, for limits. */
+/** Request header: the caller, for limits. */
 export const CALLER_HEADER = "guavatide-caller";
 
-/** Why a request was not run. Each is proof that no server ran it. */
+/** Why a request was not run. Each reason proves that no server ran it. */
 export type NotRunReason =
   | "unknown-service"
   | "bad-request"
@@ -28,19 +28,19 @@
   | "retry-budget"
   | "shutting-down";
 
-/** Why a request's fate is unknown: bytes left us and no answer came. */
+/** Why an outcome is unknown: bytes were sent and no valid answer arrived. */
 export type UnknownReason =
   | "timeout-after-send"
   | "connection-lost"
   | "bad-answer";
 
-/** The fate of a request, without the answer's body. */
+/** The outcome of a request, without the answer's body. */
 export type Outcome =
   | { readonly kind: "answered"; readonly status: number }
   | {
     readonly kind: "not-run";
     readonly reason: NotRunReason;
-    /** When the caller may come back. */
+    /** Time after which the caller may retry, in milliseconds. */
     readonly retryAfterMs: number;
   }
   | { readonly kind: "unknown"; readonly reason: UnknownReason };
--- a/packages/contracts/src/peer.ts
+++ b/packages/contracts/src/peer.ts
@@ -1,7 +1,7 @@
 /**
- * Messages between entry VMs. One heartbeat serves membership, evidence that
- * an assignment revision is current, and the spread of newer revisions.
- * Carried as JSON-RPC 2.0 over HTTP, method `heartbeat`.
+ * Messages between entry VMs. One heartbeat carries membership, confirmations
+ * that an assignment revision is current, and newer revisions. Sent as JSON-RPC
+ * 2.0 over HTTP, method `heartbeat`.
  */
 import * as z from "zod";
 import { assignmentSchema } from "./assignment.ts";
@@ -18,27 +18,32 @@
   service: serviceIdSchema,
   revision: z.number().int().min(0),
   /**
-   * Whether the sender may give evidence: it has read the store since it
-   * started. A restarted keeper has forgotten what it promised before.
+   * Whether the sender may confirm revisions: it has read the store since it
+   * started. A restarted voter has forgotten what it acknowledged.
    */
   settled: z.boolean(),
-  /** Servers that leave the sender's orders unanswered, with the time. */
+  /**
+   * Servers that do not reply to the sender's lease commands, with the
+   * milliseconds since the first unanswered one.
+   */
   silent: z.array(
     z.strictObject({ server: serverIdSchema, silentMs: z.number().min(0) }),
   ).optional(),
-  /** Servers that check no fences and run requests from the sender. */
+  /** Servers that do not check fences and run requests of the sender. */
   busyServers: z.array(serverIdSchema).optional(),
-  /** The sender plans the service's moves now; it wants load reports. */
+  /** The sender is the service's leader and wants load reports. */
   holdsDuty: z.boolean().optional(),
 });
-/** The highest assignment revision that a process knows of a service. */
+/** The highest assignment revision of a service that a process knows. */
 export type KnownRevision = z.infer<typeof knownRevisionSchema>;
 
 /** Schema of {@link KnownRevisionRequest}. */
 export const knownRevisionRequestSchema = z.strictObject({
   service: serviceIdSchema,
 });
-/** "Which assignment revision do you know?", method `known-revision`. */
+/**
+ * Asks which assignment revision the receiver knows; method `known-revision`.
+ */
 export type KnownRevisionRequest = z.infer<typeof knownRevisionRequestSchema>;
 
 /** Schema of {@link KnownRevisionReply}. */
@@ -47,7 +52,7 @@
   incarnation: incarnationSchema,
   known: knownRevisionSchema,
 });
-/** Answer to a {@link KnownRevisionRequest}, and to an assignment that was pushed. */
+/** Reply to a {@link KnownRevisionRequest}, and to a pushed assignment. */
 export type KnownRevisionReply = z.infer<typeof knownRevisionReplySchema>;
 
 /** Schema of {@link MemberUpdate}. */
@@ -56,12 +61,12 @@
   incarnation: incarnationSchema.optional(),
   state: z.enum(["alive", "suspect", "lost", "left"]),
 });
-/** A change of membership that rides along in beats. */
+/** A change of membership, sent with heartbeats. */
 export type MemberUpdate = z.infer<typeof memberUpdateSchema>;
 
 /** Schema of {@link MemberStatusRequest}. */
 export const memberStatusRequestSchema = z.strictObject({ about: vmIdSchema });
-/** "Do you hear this VM?", method `member`. */
+/** Asks whether the receiver gets messages from a VM; method `member`. */
 export type MemberStatusRequest = z.infer<typeof memberStatusRequestSchema>;
 
 /** Schema of {@link MemberStatusReply}. */
@@ -69,10 +74,12 @@
   from: vmIdSchema,
   about: vmIdSchema,
   incarnation: incarnationSchema.optional(),
-  /** Time since the last sign of life; absent when there was none. */
+  /**
+   * Milliseconds since the last message from it; absent when there was none.
+   */
   seenAgeMs: z.number().optional(),
 });
-/** Answer to a {@link MemberStatusRequest}. */
+/** Reply to a {@link MemberStatusRequest}. */
 export type MemberStatusReply = z.infer<typeof memberStatusReplySchema>;
 
 /** Schema of {@link PeerHeartbeat}. */
@@ -82,12 +89,12 @@
   zone: zoneIdSchema,
   host: z.string().min(1),
   peerPort: z.number().int(),
-  /** Set by the last beats before the process ends. */
+  /** Set in the last heartbeats before the process ends. */
   leaving: z.boolean(),
   known: z.array(knownRevisionSchema),
-  /** Revision of the published configuration in force at the sender. */
+  /** Revision of the configuration that the sender applies. */
   configRevision: z.number().int().min(0),
-  /** Changes of membership; bounded. */
+  /** Changes of membership, a limited number. */
   news: z.array(memberUpdateSchema),
 });
 /** Sent to peers at a fixed interval. */
@@ -99,10 +106,10 @@
   incarnation: incarnationSchema,
   known: z.array(knownRevisionSchema),
   configRevision: z.number().int().min(0),
-  /** Changes of membership; bounded. */
+  /** Changes of membership, a limited number. */
   news: z.array(memberUpdateSchema),
-  /** Assignments newer than the sender's, whole. */
+  /** Whole assignments that are newer than the sender's. */
   newer: z.array(assignmentSchema),
 });
-/** Answer to a {@link PeerHeartbeat}. */
+/** Reply to a {@link PeerHeartbeat}. */
 export type PeerHeartbeatReply = z.infer<typeof peerHeartbeatReplySchema>;
--- a/packages/contracts/src/platform_store.ts
+++ b/packages/contracts/src/platform_store.ts
@@ -1,11 +1,11 @@
 /**
- * The platform's object API as this system uses it: named objects with
+ * The platform's object store as this system uses it: named objects with
  * versions, conditional updates and watches. An adapter for another platform
- * implements {@link PlatformStore} and passes its contract-test table.
+ * implements {@link PlatformStore} and passes its contract tests.
  */
 import type { ResultAsync } from "neverthrow";
 
-/** Largest value that the store holds, in bytes. */
+/** Largest size of a value, in bytes. */
 export const STORE_VALUE_LIMIT_BYTES = 1_048_576;
 
 /** Condition under which a write takes effect. */
@@ -14,7 +14,7 @@
   | { readonly kind: "version"; readonly version: string }
   | { readonly kind: "any" };
 
-/** An object as read from the store. */
+/** An object read from the store. */
 export interface StoredObject {
   readonly name: string;
   /** Opaque; changes with every write. */
@@ -31,20 +31,20 @@
   readonly object?: StoredObject;
 }
 
-/** What a poll of a watch returned. */
+/** Result of one poll of a watch. */
 export interface WatchBatch {
   readonly cursor: string;
   readonly events: readonly WatchEvent[];
-  /** True when events were lost: the reader lists anew. */
+  /** True when events were lost: the reader has to list again. */
   readonly reset: boolean;
 }
 
-/** What can go wrong at the store. */
+/** Why a store call failed. */
 export type StoreError =
-  /** Nothing was written: the object's version was another. */
+  /** Nothing was written: the object has another version. */
   | { readonly kind: "conflict"; readonly message: string }
   | { readonly kind: "not-found"; readonly message: string }
-  /** Nothing was written: the value or the call was refused. */
+  /** Nothing was written: the store refused the value or the call. */
   | { readonly kind: "refused"; readonly message: string }
   /** The store did not answer in time or at all; a write may have happened. */
   | { readonly kind: "unavailable"; readonly message: string };
@@ -56,19 +56,19 @@
   readonly signal?: AbortSignal;
 }
 
-/** Client side of the platform's store. Each method is one counted call. */
+/** Client of the platform's store. Each method is one counted call. */
 export interface PlatformStore {
   get(
     name: string,
     options: CallOptions & {
-      /** Allows an answer that is seconds old, where that costs less. */
+      /** Allows an answer that is seconds old, where that is cheaper. */
       readonly mayBeStale?: boolean;
     },
   ): ResultAsync<StoredObject, StoreError>;
   list(
     prefix: string,
     options: CallOptions & {
-      /** As with `get`; `cursor` may then be newer than the objects. */
+      /** As in `get`; `cursor` may then be newer than the objects. */
       readonly mayBeStale?: boolean;
     },
   ): ResultAsync<{ objects: StoredObject[]; cursor: string }, StoreError>;
@@ -82,7 +82,10 @@
     name: string,
     options: CallOptions & { readonly condition: WriteCondition },
   ): ResultAsync<void, StoreError>;
-  /** Long poll: returns on an event after `cursor` or after `waitMs`. */
+  /**
+   * Long poll: returns on an event after `cursor`, or after `waitMs`
+   * milliseconds.
+   */
   watch(
     prefix: string,
     options: CallOptions & { readonly cursor: string; readonly waitMs: number },
--- a/packages/contracts/src/route_config.ts
+++ b/packages/contracts/src/route_config.ts
@@ -1,71 +1,74 @@
 /**
- * The configuration by which an entry VM forwards requests of a platform's
- * clients: routes by host and path, services, and limits on callers. Adapters
- * decode a platform's own document into these types.
+ * The configuration by which an entry VM forwards client requests: routes by
+ * host and path, services, and limits on callers. Adapters decode a platform's
+ * own document into these types.
  */
 import type { RegionId, ServiceId } from "./ids.ts";
 
 /** One service that a route sends requests to. */
 export interface RouteTarget {
   readonly service: ServiceId;
-  /** Part of the route's requests, relative to the other targets' weights. */
+  /** Share of the route's requests, relative to the other targets' weights. */
   readonly weight: number;
 }
 
 /** A rule that sends requests of one host and path prefix to services. */
 export interface Route {
   readonly name: string;
-  /** Host that requests name, in lower case. */
+  /** Host of the requests, in lower case. */
   readonly host: string;
   /** Begins and ends with a slash. */
   readonly pathPrefix: string;
-  /** Whether a request may run more than once. */
+  /** Whether a request may be run more than once. */
   readonly isIdempotent: boolean;
-  /** Backend servers that one request may be sent to. */
+  /** Largest number of backend servers that one request is sent to. */
   readonly attemptLimit: number;
-  /** Longest time that a caller is kept waiting. */
+  /** Longest time that a caller waits, in milliseconds. */
   readonly timeoutMs: number;
-  /** Time within which an answer has its full worth to the caller. */
+  /**
+   * Latency, in milliseconds, up to which an answer has its full value to the
+   * caller.
+   */
   readonly targetLatencyMs: number;
-  /** Rank among the routes of a service; 0 is the most urgent. */
+  /** Priority among the routes of a service; 0 is the most urgent. */
   readonly priority: number;
   readonly targets: readonly RouteTarget[];
-  /** Regions whose servers may run its requests; undefined for any. */
+  /** Regions whose servers may run the requests; undefined for any. */
   readonly homeRegions?: ReadonlySet<RegionId> | undefined;
 }
 
-/** What the backend servers of a service bear while they are cold. */
+/** Capacity of a service's backend servers during their slow start. */
 export interface ColdStart {
-  /** How long a server is cold after its start. */
+  /** Duration of the slow start of a server, in milliseconds. */
   readonly warmUpMs: number;
-  /** Requests a second, from all entry VMs together. */
+  /** Requests per second, from all entry VMs together. */
   readonly requestsPerSecond: number;
 }
 
 /** A service as configured on the platform. */
 export interface RoutedService {
   readonly name: ServiceId;
-  /** Whether each key belongs to one backend server. */
+  /** Whether each key is owned by one backend server. */
   readonly isKeyed: boolean;
-  /** Connections that one backend server takes from all entry VMs. */
+  /** Connections that one backend server accepts from all entry VMs. */
   readonly connectionLimit: number;
-  /** Undefined for a service whose cold servers bear any load. */
+  /** Undefined for a service whose servers need no slow start. */
   readonly coldStart?: ColdStart | undefined;
 }
 
-/** What a caller may send, and how long it may take. */
+/** Limits on a caller's requests and connections. */
 export interface CallerLimits {
   readonly headerBytes: number;
   readonly bodyBytes: number;
-  /** Time within which a request's headers must have arrived. */
+  /** Time in milliseconds within which a request's headers must arrive. */
   readonly headerTimeoutMs: number;
-  /** Time after which an idle connection may be closed. */
+  /** Time in milliseconds after which an idle connection may be closed. */
   readonly idleTimeoutMs: number;
 }
 
-/** A whole configuration. */
+/** A complete configuration. */
 export interface RouteConfig {
-  /** Rises with each change; never taken over downwards. */
+  /** Rises with each change; a lower version is never applied. */
   readonly version: number;
   readonly routes: readonly Route[];
   readonly services: ReadonlyMap<ServiceId, RoutedService>;
--- a/packages/contracts/src/server_entry.ts
+++ b/packages/contracts/src/server_entry.ts
@@ -1,18 +1,20 @@
-/** Backend servers as they register themselves on a platform. */
+/** Backend servers as registered on a platform. */
 import type { ServerId, ServiceId, ZoneId } from "./ids.ts";
 
-/** One start of a backend server; a later start is another server. */
+/** One incarnation of a backend server; a restart is another server. */
 export interface RegisteredServer {
   readonly server: ServerId;
-  /** Unix time of its start in milliseconds: which life of the id it is. */
+  /**
+   * Unix time of its start in milliseconds, which identifies the incarnation.
+   */
   readonly bornMs: number;
   readonly service: ServiceId;
   readonly host: string;
   readonly port: number;
   readonly zone: ZoneId;
-  /** Requests that it processes at once. */
+  /** Number of requests that it runs at once. */
   readonly slots: number;
   readonly isDraining: boolean;
-  /** How much longer it stays slow after its start. */
+  /** Milliseconds left of its slow start. */
   readonly warmUpLeftMs: number;
 }
--- a/packages/contracts/src/server_report.ts
+++ b/packages/contracts/src/server_report.ts
@@ -1,16 +1,16 @@
-/** What a backend server tells of its load with each answer. */
+/** Load that a backend server reports with each answer. */
 
-/** Load of a server at the moment of an answer, by its own word. */
+/** Load of a server at the time of an answer, as the server reports it. */
 export interface ServerReport {
-  /** Requests that it works on. */
+  /** Requests that it runs. */
   readonly running: number;
   /** Requests in its queue. */
   readonly waiting: number;
-  /** Requests that it can work on at once. */
+  /** Requests that it can run at once. */
   readonly slots: number;
   /**
-   * How much longer work takes on its VM than usual, 1 for as usual; changes
-   * many times a second. Undefined when the server does not tell it.
+   * Processing time on its VM relative to the usual, 1 for as usual; changes
+   * many times a second. Undefined when the server does not report it.
    */
   readonly slowdownRatio: number | undefined;
 }
--- a/packages/contracts/src/service_load.ts
+++ b/packages/contracts/src/service_load.ts
@@ -1,7 +1,7 @@
 /**
- * What an entry VM tells the holder of control duty about the load of one
- * keyed service. The size is bounded whatever the number of slices and keys:
- * the hottest are named, the others come as one sum.
+ * Load of one keyed service as an entry VM reports it to the leader. The size
+ * is limited for any number of slices and keys: the hottest are listed, the
+ * others come as one sum.
  */
 import * as z from "zod";
 import {
@@ -11,7 +11,7 @@
   vmIdSchema,
 } from "./ids.ts";
 
-/** Slices, keys and servers named in one report, at most. */
+/** Most slices, keys and servers in one report. */
 export const SERVICE_LOAD_LIMITS = { slices: 48, keys: 24, servers: 32 };
 
 /** Schema of {@link ServiceLoad}. */
@@ -19,9 +19,9 @@
   vm: vmIdSchema,
   incarnation: incarnationSchema,
   service: serviceIdSchema,
-  /** Of all requests that this VM forwarded, decayed over time. */
+  /** Rate of all requests that this VM forwarded, decayed over time. */
   requestsPerSecond: z.number().min(0),
-  /** The hottest slices, without the keys named in `keys`. */
+  /** The hottest slices, without the load of the keys in `keys`. */
   slices: z.array(
     z.strictObject({
       fromHash: z.number().int().min(0),
@@ -36,7 +36,7 @@
       requestsPerSecond: z.number().min(0),
     }),
   ).max(SERVICE_LOAD_LIMITS.keys),
-  /** Mean time a request takes at a server that has a slot free for it. */
+  /** Mean service time of a request at each server, without time in a queue. */
   servers: z.array(
     z.strictObject({ server: serverIdSchema, workMs: z.number().min(0) }),
   ).max(SERVICE_LOAD_LIMITS.servers),
@@ -46,5 +46,5 @@
 
 /** Schema of {@link ServiceLoadReply}. */
 export const serviceLoadReplySchema = z.strictObject({ taken: z.boolean() });
-/** Answer to a {@link ServiceLoad}. */
+/** Reply to a {@link ServiceLoad}. */
 export type ServiceLoadReply = z.infer<typeof serviceLoadReplySchema>;
--- a/packages/contracts/src/vm_list.ts
+++ b/packages/contracts/src/vm_list.ts
@@ -1,4 +1,4 @@
-/** The platform's lagging list of live and leaving VMs. */
+/** The platform's list of live and leaving VMs, which lags behind. */
 import type { ResultAsync } from "neverthrow";
 import * as z from "zod";
 import {
@@ -19,29 +19,29 @@
   /** The service that a backend server belongs to. */
   service: serviceIdSchema.optional(),
   zone: zoneIdSchema,
-  /** IP number. */
+  /** IP address. */
   host: z.string().min(1),
-  /** Entry VM: port for peers. Backend server: port for everything. */
+  /** Entry VM: port for peers. Backend server: its only port. */
   port: z.number().int().min(1).max(65535),
   state: z.enum(["live", "leaving"]),
 });
-/** One line of the VM list. */
+/** One entry of the VM list. */
 export type ListedVm = z.infer<typeof listedVmSchema>;
 
 /** Schema of {@link VmListSnapshot}. */
 export const vmListSnapshotSchema = z.strictObject({
   vms: z.array(listedVmSchema),
 });
-/** The whole list as of some moment in the recent past. */
+/** The whole list as of a recent time. */
 export type VmListSnapshot = z.infer<typeof vmListSnapshotSchema>;
 
-/** Why the list could not be had. */
+/** Why the list could not be fetched. */
 export interface VmListError {
   readonly kind: "unavailable";
   readonly message: string;
 }
 
-/** Client side of the VM list. */
+/** Client of the VM list. */
 export interface VmList {
   fetch(options: CallOptions): ResultAsync<VmListSnapshot, VmListError>;
 }
