--- a/packages/contracts/src/key_grants.ts
+++ b/packages/contracts/src/key_grants.ts
@@ -8,7 +8,7 @@
 import type { ServerCallError } from "./backend_server.ts";
 import { serverIdSchema, serviceIdSchema, vmIdSchema } from "./ids.ts";
 import type { CallOptions } from "./platform_store.ts";
-import type { RegisteredServer } from "./server_entry.ts";
+import type { RegisteredServer } from "./registered_server.ts";
 
 /** Number of keys: whole numbers from 0 up to, but not including, this. */
 export const KEY_COUNT = 65_536;
--- a/packages/decisions/src/grants/duty_order.ts
+++ b/packages/decisions/src/grants/duty_order.ts
@@ -1,7 +1,7 @@
 /** The order in which VMs take a duty, the same on all without messages. */
 import type * as contracts from "@guavatide/contracts";
-import type { KeyHasher } from "../ownership/key_hash.ts";
-import { rendezvousOrder } from "../ownership/renewers.ts";
+import type { KeyHasher } from "../ownership/key_hasher.ts";
+import { rendezvousOrder } from "../ownership/rendezvous_order.ts";
 
 interface Ranked {
   /** VMs that the order was worked out for. */
--- a/packages/decisions/src/ownership/assignment_edit.ts
+++ b/packages/decisions/src/ownership/assignment_builder.ts
@@ -3,7 +3,7 @@
  * go into one conditional update.
  */
 import * as contracts from "@guavatide/contracts";
-import type { ChangeRequest, SliceChange } from "./moves.ts";
+import type { ChangeRequest, SliceChange } from "./assignment_changes.ts";
 import { SliceMap } from "./slice_map.ts";
 
 /** Whether a server checks fences; undefined while no reply has said so. */
--- a/packages/decisions/src/ownership/mover.ts
+++ b/packages/decisions/src/ownership/assignment_controller.ts
@@ -7,17 +7,20 @@
  * from there.
  */
 import * as contracts from "@guavatide/contracts";
-import { AssignmentBuilder } from "./assignment_edit.ts";
-import { AssignmentMaintenance } from "./assignment_upkeep.ts";
+import { AssignmentBuilder } from "./assignment_builder.ts";
+import { AssignmentMaintenance } from "./assignment_maintenance.ts";
 import {
   type UnfencedRequestReport,
   UnfencedRequestTracker,
-} from "./forward_book.ts";
-import type { ChangeRequest, SliceChange } from "./moves.ts";
-import { type RevisionAck, RevisionAckTracker } from "./promise_book.ts";
+} from "./unfenced_request_tracker.ts";
+import type { ChangeRequest, SliceChange } from "./assignment_changes.ts";
+import {
+  type RevisionAck,
+  RevisionAckTracker,
+} from "./revision_ack_tracker.ts";
 import { longestTimings, type OwnershipSettings } from "./settings.ts";
-import type { AnsweredCommand } from "./slice_wait.ts";
-import { HandoverTracker } from "./wait_book.ts";
+import type { AnsweredCommand } from "./slice_handover.ts";
+import { HandoverTracker } from "./handover_tracker.ts";
 
 /** Result of a read of the assignment object. */
 export type AssignmentReadResult =
--- a/packages/decisions/src/ownership/assignment_upkeep.ts
+++ b/packages/decisions/src/ownership/assignment_maintenance.ts
@@ -8,9 +8,9 @@
   type AssignmentBuilder,
   isSameTimings,
   isSameVoterSet,
-} from "./assignment_edit.ts";
-import type { AnsweredCommand } from "./slice_wait.ts";
-import { TimingsExpiry } from "./timings_wait.ts";
+} from "./assignment_builder.ts";
+import type { AnsweredCommand } from "./slice_handover.ts";
+import { TimingsExpiry } from "./timings_expiry.ts";
 
 /** Voter sets that an assignment may list at once. */
 const MAX_VOTER_SETS = 3;
--- a/packages/decisions/src/ownership/model_serving_test.ts
+++ b/packages/decisions/src/ownership/cluster_serving_test.ts
@@ -4,8 +4,8 @@
  */
 import { expect } from "earl";
 import { test } from "node:test";
-import { type Fault, SLICES } from "./model_parts_test.ts";
-import { SimulatedCluster } from "./model_world_test.ts";
+import { type Fault, SLICES } from "./simulated_processes_test.ts";
+import { SimulatedCluster } from "./simulated_cluster_test.ts";
 
 test("should serve every slice and finish a handover when nothing fails", () => {
   const cluster = new SimulatedCluster({
--- a/packages/decisions/src/ownership/loss_detector_test.ts
+++ b/packages/decisions/src/ownership/failure_detector_test.ts
@@ -1,7 +1,7 @@
 import type * as contracts from "@guavatide/contracts";
 import { expect } from "earl";
 import { test } from "node:test";
-import { FailureDetector } from "./loss_detector.ts";
+import { FailureDetector } from "./failure_detector.ts";
 import { DEFAULT_OWNERSHIP_SETTINGS as SETTINGS } from "./settings.ts";
 
 const SERVER = "server-1" as contracts.ServerId;
--- a/packages/decisions/src/ownership/wait_book.ts
+++ b/packages/decisions/src/ownership/handover_tracker.ts
@@ -1,7 +1,7 @@
 /** Handovers of one controller: one for each vacating slice. */
 import * as contracts from "@guavatide/contracts";
 import type { OwnershipSettings } from "./settings.ts";
-import { type AnsweredCommand, SliceHandover } from "./slice_wait.ts";
+import { type AnsweredCommand, SliceHandover } from "./slice_handover.ts";
 
 /** Handovers of one service. */
 export class HandoverTracker {
--- a/packages/decisions/src/ownership/duty_test.ts
+++ b/packages/decisions/src/ownership/leader_lease_test.ts
@@ -1,7 +1,7 @@
 import type * as contracts from "@guavatide/contracts";
 import { expect } from "earl";
 import { test } from "node:test";
-import * as leader from "./duty.ts";
+import * as leader from "./leader_lease.ts";
 
 const SETTINGS = leader.DEFAULT_LEADER_LEASE_SETTINGS;
 const RANDOM = { next: () => 0.5 };
--- a/packages/decisions/src/ownership/order_book.ts
+++ b/packages/decisions/src/ownership/lease_command_scheduler.ts
@@ -5,7 +5,7 @@
  * after this process first saw the server's current incarnation.
  */
 import type * as contracts from "@guavatide/contracts";
-import { NEVER_MS } from "./evidence.ts";
+import { NEVER_MS } from "./assignment_tracker.ts";
 import type { OwnershipSettings } from "./settings.ts";
 import type { SliceMap } from "./slice_map.ts";
 
--- a/packages/decisions/src/ownership/ownership_model_test.ts
+++ b/packages/decisions/src/ownership/ownership_model_test.ts
@@ -16,8 +16,8 @@
   SETTINGS,
   SLICES,
   VOTERS,
-} from "./model_parts_test.ts";
-import { SimulatedCluster } from "./model_world_test.ts";
+} from "./simulated_processes_test.ts";
+import { SimulatedCluster } from "./simulated_cluster_test.ts";
 
 const atMs = fc.integer({ min: 500, max: 6_000 });
 const forMs = fc.integer({ min: 50, max: 3_000 });
--- a/packages/decisions/src/ownership/renewers.ts
+++ b/packages/decisions/src/ownership/rendezvous_order.ts
@@ -3,7 +3,7 @@
  * them.
  */
 import type * as contracts from "@guavatide/contracts";
-import type { KeyHasher } from "./key_hash.ts";
+import type { KeyHasher } from "./key_hasher.ts";
 
 /** Options of {@link rendezvousOrder}. */
 export interface RendezvousOrderOptions {
--- a/packages/decisions/src/ownership/promise_book.ts
+++ b/packages/decisions/src/ownership/revision_ack_tracker.ts
@@ -3,7 +3,7 @@
  * majority of voters can confirm an older revision.
  */
 import type * as contracts from "@guavatide/contracts";
-import { NEVER_MS, quorumSize } from "./evidence.ts";
+import { NEVER_MS, quorumSize } from "./assignment_tracker.ts";
 
 /** A VM's report of the revision that it knows. */
 export interface RevisionAck {
--- a/packages/decisions/src/ownership/model_world_test.ts
+++ b/packages/decisions/src/ownership/simulated_cluster_test.ts
@@ -20,8 +20,8 @@
   VOTER_POLL_MS,
   VOTERS,
   voterSet,
-} from "./model_parts_test.ts";
-import { SimulatedNetwork } from "./model_network_test.ts";
+} from "./simulated_processes_test.ts";
+import { SimulatedNetwork } from "./simulated_network_test.ts";
 import * as ownership from "./mod.ts";
 
 function initialTimings(): contracts.LeaseTimings {
--- a/packages/decisions/src/ownership/model_network_test.ts
+++ b/packages/decisions/src/ownership/simulated_network_test.ts
@@ -1,7 +1,7 @@
 /**
  * Network of the simulated cluster: delays, duplicates and reorders messages.
  */
-import type { SeededRandom } from "./model_parts_test.ts";
+import type { SeededRandom } from "./simulated_processes_test.ts";
 
 const MAX_DELAY_MS = 20;
 const DUPLICATE_PROBABILITY = 0.1;
--- a/packages/decisions/src/ownership/slice_map.ts
+++ b/packages/decisions/src/ownership/slice_map.ts
@@ -234,7 +234,7 @@
   return {
     kind: "not-apart",
     message:
-      `Slice "${id}" can't be split or merged so; choose a hash inside ` +
+      `Slice "${id}" can't be split or merged like this; choose a hash inside ` +
       `an owned slice, or two neighbours of one owner`,
   };
 }
--- a/packages/decisions/src/ownership/keeper_choice.ts
+++ b/packages/decisions/src/ownership/voter_selection.ts
@@ -1,7 +1,7 @@
 /** Selects the voters of a service with as few changes as possible. */
 import type * as contracts from "@guavatide/contracts";
-import type { KeyHasher } from "./key_hash.ts";
-import { rendezvousOrder } from "./renewers.ts";
+import type { KeyHasher } from "./key_hasher.ts";
+import { rendezvousOrder } from "./rendezvous_order.ts";
 
 /** Most voters of one service: four of them may fail at once. */
 export const MAX_VOTERS = 9;
--- a/packages/decisions/src/placement/merge_rule.ts
+++ b/packages/decisions/src/placement/merge_rule.ts
@@ -3,7 +3,7 @@
  * bounded while hot spots come and go.
  */
 import * as contracts from "@guavatide/contracts";
-import type { ChangeRequest } from "../ownership/moves.ts";
+import type { ChangeRequest } from "../ownership/assignment_changes.ts";
 import type { WorkingSet, WorkingSlice } from "./working_set.ts";
 
 /** Options of {@link mergeColdSlices}. */
--- a/packages/decisions/src/placement/move_rule.ts
+++ b/packages/decisions/src/placement/move_rule.ts
@@ -1,6 +1,6 @@
 /** Moves of slices: off servers that go, and from full to empty servers. */
 import * as contracts from "@guavatide/contracts";
-import type { ChangeRequest } from "../ownership/moves.ts";
+import type { ChangeRequest } from "../ownership/assignment_changes.ts";
 import type { PlacementSettings } from "./placement_settings.ts";
 import { ServerQueue } from "./server_queue.ts";
 import { percent } from "./split_rule.ts";
--- a/packages/decisions/src/placement/planner.ts
+++ b/packages/decisions/src/placement/planner.ts
@@ -6,7 +6,7 @@
  * changes take effect by conditional updates.
  */
 import * as contracts from "@guavatide/contracts";
-import type { ChangeRequest } from "../ownership/moves.ts";
+import type { ChangeRequest } from "../ownership/assignment_changes.ts";
 import type { LoadEstimate } from "./load_book.ts";
 import * as mergeRule from "./merge_rule.ts";
 import * as moveRule from "./move_rule.ts";
--- a/packages/decisions/src/placement/planner_test.ts
+++ b/packages/decisions/src/placement/planner_test.ts
@@ -2,7 +2,7 @@
 import { expect } from "earl";
 import * as fc from "fast-check";
 import { test } from "node:test";
-import type { ChangeRequest } from "../ownership/moves.ts";
+import type { ChangeRequest } from "../ownership/assignment_changes.ts";
 import * as placement from "./mod.ts";
 
 type ServerState = placement.PlacementServer["state"];
--- a/packages/decisions/src/placement/split_rule.ts
+++ b/packages/decisions/src/placement/split_rule.ts
@@ -3,7 +3,7 @@
  * split moves nothing by itself.
  */
 import * as contracts from "@guavatide/contracts";
-import type { ChangeRequest } from "../ownership/moves.ts";
+import type { ChangeRequest } from "../ownership/assignment_changes.ts";
 import type { WorkingSet, WorkingSlice } from "./working_set.ts";
 
 /** A key and its part of the service's load. */
--- a/packages/decisions/src/publishing/delta.ts
+++ b/packages/decisions/src/publishing/config_delta.ts
@@ -4,8 +4,8 @@
  * publishes a day only the latter fits a node's control traffic.
  */
 import type * as contracts from "@guavatide/contracts";
-import { objectPath } from "./check.ts";
-import { diffObjects } from "./diff.ts";
+import { objectPath } from "./object_validation.ts";
+import { diffObjects } from "./object_diff.ts";
 
 /** Changes from one revision to another. */
 export interface ConfigDelta {
--- a/packages/decisions/src/publishing/diff.ts
+++ b/packages/decisions/src/publishing/object_diff.ts
@@ -1,7 +1,7 @@
 /** Differences between two sets of configuration objects. */
 import type * as contracts from "@guavatide/contracts";
 import { canonicalText } from "./canonical_text.ts";
-import { objectPath } from "./check.ts";
+import { objectPath } from "./object_validation.ts";
 
 /**
  * One changed field. Values are JSON text; an absent one means that the field
--- a/packages/standins/src/proofs/proof_cluster.ts
+++ b/packages/standins/src/proofs/proof_cluster.ts
@@ -4,7 +4,7 @@
  * waits for conditions with a deadline.
  */
 import * as contracts from "@guavatide/contracts";
-import { leaderRecordSchema } from "@guavatide/decisions/ownership/duty";
+import { leaderRecordSchema } from "@guavatide/decisions/ownership/leader_lease";
 import * as fs from "node:fs";
 import * as os from "node:os";
 import * as path from "node:path";
