--- a/packages/decisions/src/ownership/leader_lease.ts
+++ b/packages/decisions/src/ownership/leader_lease.ts
@@ -102,8 +102,8 @@
   }
 
   /**
-   * Whether this VM is the leader; the lease runs from before its last renewal
-   * was sent.
+   * Whether this VM is the leader; the lease runs from when its last
+   * acknowledged renewal was sent.
    */
   isLeader(nowMs: number): boolean {
     return nowMs < this.#leaseEndsAtMs;
