--- a/packages/entry/src/gateway/grant_test_support.ts
+++ b/packages/entry/src/gateway/grant_test_support.ts
@@ -5,7 +5,7 @@
 export const KEYED_SERVICE = "keyed" as contracts.ServiceId;
 
 /** The entry of a server in its first life. */
-export function entryOf(
+export function serverEntryOf(
   server: contracts.ServerId,
 ): contracts.RegisteredServer {
   return {
--- a/packages/entry/src/gateway/move_planner.ts
+++ b/packages/entry/src/gateway/move_planner.ts
@@ -42,7 +42,7 @@
   }
 
   /** This VM makes the moves from now on. */
-  begin(nowMs: number): void {
+  start(nowMs: number): void {
     this.#begunMs = nowMs;
   }
 
--- a/packages/entry/src/gateway/platform_adapter.ts
+++ b/packages/entry/src/gateway/platform_adapter.ts
@@ -41,7 +41,7 @@
   readonly headers: HeaderNames;
   /** Path at which the platform's balancer asks whether the VM is ready. */
   readonly readinessPath: string;
-  readonly answers: AnswerDecoder;
+  readonly answerDecoder: AnswerDecoder;
   decodeConfig(text: string): Result<contracts.RouteConfig, DecodeError>;
   decodeServer(
     name: string,
--- a/packages/entry/src/metrics/counted_moves.ts
+++ b/packages/entry/src/metrics/metered_moves.ts
@@ -8,7 +8,7 @@
 import type { Metrics } from "./metrics.ts";
 
 /** A record of moves that is counted. */
-export class CountedMoves implements MoveRecord {
+export class MeteredMoves implements MoveRecord {
   readonly #record: MoveRecord;
   readonly #metrics: Metrics;
   readonly #vacatedAtMs = new Map<string, number>();
--- a/packages/entry/src/ownership/move_task.ts
+++ b/packages/entry/src/ownership/move_task.ts
@@ -26,7 +26,7 @@
 
 /** Plans by the width of slices alone. */
 export const NO_LOAD_SOURCE: LoadSource = {
-  estimate: (slices) => placement.unknownLoad(slices.length),
+  estimate: (slices) => placement.emptyLoadEstimate(slices.length),
   speeds: () => new Map(),
 };
 
@@ -228,7 +228,7 @@
     if (nowMs < this.#lossesAtMs + LOSS_PLAN_MS) return;
     this.#lossesAtMs = nowMs;
     if (!this.#isLossPossible(assignment)) return;
-    this.#request(planner.planLosses(this.#input(assignment, nowMs)));
+    this.#request(planner.planEvacuations(this.#input(assignment, nowMs)));
   }
 
   /**
