--- a/packages/decisions/src/grants/calm_load_test.ts
+++ b/packages/decisions/src/grants/calm_load_test.ts
@@ -1,4 +1,4 @@
-/** Balance moves under an even load of long requests, counted as it arrives. */
+/** Rebalancing under an even load of long requests with random arrivals. */
 import * as contracts from "@guavatide/contracts";
 import { expect } from "earl";
 import { test } from "node:test";
@@ -6,7 +6,7 @@
 
 const SERVERS = 13;
 const REQUESTS_PER_SECOND = 28;
-/** Three slots, and work of about half a second. */
+/** Three slots, and requests that take about half a second. */
 const CAPACITY_PER_SECOND = 6;
 const PLAN_MS = 250;
 const RUN_MS = 30_000;
@@ -33,10 +33,10 @@
       { owner, capacityPerSecond: CAPACITY_PER_SECOND },
     ]),
   );
-  let ranges = grants.firstRanges(
+  let ranges = grants.initialRanges(
     owners.map((owner) => ({ ...owner, slots: 3 })),
   );
-  const loads = new grants.KeyLoads();
+  const loads = new grants.KeyRateTracker();
   let moves = 0;
   for (let nowMs = 0; nowMs < RUN_MS; nowMs += PLAN_MS) {
     loads.decay(nowMs);
@@ -45,23 +45,23 @@
       const key = Math.floor(arrivals.next() * contracts.KEY_COUNT);
       loads.add([[key, 1]]);
     }
-    const plan = grants.planRanges({
+    const plan = grants.planRangeMoves({
       ranges,
       servers,
       rates: loads.rates(),
       mayBalance: nowMs >= 1_000,
     });
     moves += plan.length;
-    const next = grants.vacate(ranges, plan, {
+    const next = grants.startHandovers(ranges, plan, {
       revision: nowMs + 2,
       lastFence: nowMs * 100 + SERVERS,
     });
-    ranges = grants.settle(next.ranges, () => true);
+    ranges = grants.finishHandovers(next.ranges, () => true);
   }
   return moves;
 }
 
-/** Guards against keys that move because counts of a short time scatter. */
-test("should move next to nothing while load is even", () => {
+/** Guards against moves caused by noise in rates over a short window. */
+test("should make few moves while load is even", () => {
   expect(countMoves() <= 15).toEqual(true);
 });
--- a/packages/decisions/src/grants/duty_order.ts
+++ b/packages/decisions/src/grants/duty_order.ts
@@ -1,37 +1,40 @@
-/** The order in which VMs take a duty, the same on all without messages. */
+/** Ranks entry VMs for a role, with the same result on every VM. */
 import type * as contracts from "@guavatide/contracts";
 import type { KeyHasher } from "../ownership/key_hash.ts";
 import { rankByName } from "../ownership/renewers.ts";
 
-interface Ranked {
-  /** VMs that the order was worked out for. */
-  readonly present: string;
+interface CachedRanking {
+  /** Ids of the VMs that were ranked, joined. */
+  readonly vmIds: string;
   readonly vms: readonly contracts.VmId[];
 }
 
-/** Orders of VMs by duty, kept while the VMs stay the same. */
-export class DutyOrder {
+/** Rendezvous ranking of VMs for each role, cached while the VMs are the same. */
+export class VmRanking {
   readonly #hasher: KeyHasher;
-  readonly #ranked = new Map<string, Ranked>();
+  readonly #rankings = new Map<string, CachedRanking>();
 
   constructor(hasher: KeyHasher) {
     this.#hasher = hasher;
   }
 
-  /** The VMs in the order in which they take a duty, the same on every VM. */
-  of(duty: string, vms: readonly contracts.VmId[]): readonly contracts.VmId[] {
-    const present = vms.join();
-    const found = this.#ranked.get(duty);
-    if (found?.present === present) return found.vms;
-    const ranked = rankByName(duty, vms, { hasher: this.#hasher });
-    this.#ranked.set(duty, { present, vms: ranked });
+  /** VMs in the order in which they take over a role; the first is the leader. */
+  rank(
+    role: string,
+    vms: readonly contracts.VmId[],
+  ): readonly contracts.VmId[] {
+    const vmIds = vms.join();
+    const cached = this.#rankings.get(role);
+    if (cached?.vmIds === vmIds) return cached.vms;
+    const ranked = rankByName(role, vms, { hasher: this.#hasher });
+    this.#rankings.set(role, { vmIds, vms: ranked });
     return ranked;
   }
 
-  /** Forgets the duties that are no longer there. */
-  keepOnly(duties: ReadonlySet<string>): void {
-    for (const duty of this.#ranked.keys()) {
-      if (!duties.has(duty)) this.#ranked.delete(duty);
+  /** Drops the cached rankings of roles that no longer exist. */
+  keepOnly(roles: ReadonlySet<string>): void {
+    for (const role of this.#rankings.keys()) {
+      if (!roles.has(role)) this.#rankings.delete(role);
     }
   }
 }
--- a/packages/decisions/src/grants/fencing_releases.ts
+++ b/packages/decisions/src/grants/fencing_releases.ts
@@ -1,76 +1,78 @@
 /**
- * Releases that tell an old owner of the next owner's fence once it answers
- * again. A grant of the old fence that was on its way meanwhile, for example
- * from a VM that was killed, is then refused.
+ * Releases sent to an old owner after its keys were granted to the next owner,
+ * to tell it the new fencing token. A delayed grant with the old token, for
+ * example from a VM that was killed, is then refused.
  */
 import type * as contracts from "@guavatide/contracts";
 import { overlaps } from "./range_edit.ts";
 import { RELEASE_RETRY_MS, type ReleaseCall } from "./release_call.ts";
 
-/** An old owner is tried for this time after its keys were given on. */
-const TRY_FOR_MS = 30_000;
+/** Releases to an unresponsive old owner are retried for this time. */
+const RETRY_WINDOW_MS = 30_000;
 
-interface Fencing {
+interface PendingRelease {
   readonly call: ReleaseCall;
-  readonly sinceMs: number;
-  isUnderWay: boolean;
+  readonly addedAtMs: number;
+  isInFlight: boolean;
   notBeforeMs: number;
 }
 
-/** Old owners that have not answered a release, by the next owner's fence. */
+/** Releases that old owners have not answered, by the next owner's fence. */
 export class FencingReleases {
-  readonly #pending = new Map<number, Fencing>();
+  readonly #pending = new Map<number, PendingRelease>();
 
-  /** Keys were given on although their old owner has not released them. */
+  /** Adds a release for keys that were reassigned before it was answered. */
   add(call: ReleaseCall, nowMs: number): void {
     this.#pending.set(call.range.fence, {
       call,
-      sinceMs: nowMs,
-      isUnderWay: false,
+      addedAtMs: nowMs,
+      isInFlight: false,
       notBeforeMs: nowMs,
     });
   }
 
-  /** Forgets old owners that own some of the keys again, with a higher fence. */
+  /** Drops releases of keys that the old owner owns again, with a newer fence. */
   noteRanges(ranges: readonly contracts.RangeState[]): void {
-    for (const [fence, { call: { range, old } }] of this.#pending) {
-      const isBack = ranges.some((it) =>
-        it.owner.server === old.server && overlaps(it, range)
+    for (
+      const [fence, { call: { range, oldOwner } }] of this.#pending
+    ) {
+      const ownsAgain = ranges.some((owned) =>
+        owned.owner.server === oldOwner.server && overlaps(owned, range)
       );
-      if (isBack) this.#pending.delete(fence);
+      if (ownsAgain) this.#pending.delete(fence);
     }
   }
 
-  /** Calls to send now, one at a time to each server. */
-  take(
+  /** Returns the calls to send now, at most one in flight to each server. */
+  takeDue(
     nowMs: number,
     hasEnded: (owner: contracts.RangeOwner) => boolean,
   ): ReleaseCall[] {
     const calls: ReleaseCall[] = [];
     const busy = new Set<contracts.ServerId>();
-    for (const { call, isUnderWay } of this.#pending.values()) {
-      if (isUnderWay) busy.add(call.old.server);
+    for (const { call, isInFlight } of this.#pending.values()) {
+      if (isInFlight) busy.add(call.oldOwner.server);
     }
     for (const [fence, pending] of this.#pending) {
-      const { old } = pending.call;
-      if (nowMs - pending.sinceMs >= TRY_FOR_MS || hasEnded(old)) {
+      const { oldOwner } = pending.call;
+      if (nowMs - pending.addedAtMs >= RETRY_WINDOW_MS || hasEnded(oldOwner)) {
         this.#pending.delete(fence);
         continue;
       }
-      if (busy.has(old.server) || nowMs < pending.notBeforeMs) continue;
-      busy.add(old.server);
-      pending.isUnderWay = true;
+      if (busy.has(oldOwner.server) || nowMs < pending.notBeforeMs) continue;
+      busy.add(oldOwner.server);
+      pending.isInFlight = true;
       calls.push(pending.call);
     }
     return calls;
   }
 
-  /** A call was answered or failed; false when it was none of these. */
-  noteEnd(fence: number, isAnswered: boolean, nowMs: number): boolean {
+  /** Notes that a call was answered or failed. Returns whether it was pending. */
+  noteResult(fence: number, isAnswered: boolean, nowMs: number): boolean {
     const pending = this.#pending.get(fence);
     if (pending === undefined) return false;
     if (isAnswered) this.#pending.delete(fence);
-    pending.isUnderWay = false;
+    pending.isInFlight = false;
     pending.notBeforeMs = nowMs + RELEASE_RETRY_MS;
     return true;
   }
--- a/packages/decisions/src/grants/first_map_wait.ts
+++ b/packages/decisions/src/grants/first_map_wait.ts
@@ -1,29 +1,36 @@
-/** When the first range map of a service may be written. */
+/** Decides when the initial range map of a service may be written. */
 
-/** A process that has just started lets others settle who is there. */
+/** Uptime below which a process may not have discovered its peers yet. */
 const MIN_UPTIME_MS = 1_200;
 /**
- * Servers start together: the first map waits, within a bound, until none
- * joins.
+ * Servers usually start together: the initial map waits until none has joined
+ * for this time, so that it covers all of them.
  */
-const JOIN_QUIET_MS = 1_000;
+const STABLE_COUNT_MS = 1_000;
+/** Uptime after which the map is written although servers still join. */
 const MAX_WAIT_MS = 4_000;
 
-/** Watches how the servers gather. */
-export class FirstMapWait {
+/** Waits for the number of servers to settle before the initial map. */
+export class InitialMapWait {
   #serverCount = 0;
-  #unchangedSinceMs = 0;
+  #countChangedAtMs = 0;
 
-  /** Whether the wait is over with so many servers there. */
+  /**
+   * Whether the map may be written now. `serverCount` is the number of usable
+   * servers, `lifeMs` the uptime of this process.
+   */
   isOver(
     serverCount: number,
-    { nowMs, lifeMs }: { readonly nowMs: number; readonly lifeMs: number },
+    { nowMs, lifeMs: uptimeMs }: {
+      readonly nowMs: number;
+      readonly lifeMs: number;
+    },
   ): boolean {
     if (serverCount !== this.#serverCount) {
       this.#serverCount = serverCount;
-      this.#unchangedSinceMs = nowMs;
+      this.#countChangedAtMs = nowMs;
     }
-    const isQuiet = nowMs - this.#unchangedSinceMs >= JOIN_QUIET_MS;
-    return lifeMs >= MIN_UPTIME_MS && isQuiet || lifeMs >= MAX_WAIT_MS;
+    const isStable = nowMs - this.#countChangedAtMs >= STABLE_COUNT_MS;
+    return uptimeMs >= MIN_UPTIME_MS && isStable || uptimeMs >= MAX_WAIT_MS;
   }
 }
--- a/packages/decisions/src/grants/grant_hold.ts
+++ b/packages/decisions/src/grants/grant_hold.ts
@@ -1,35 +1,39 @@
 /**
- * Grant length: a server fails the work that outlives its grant, and keys of a
- * lost server wait for the end of the longest grant.
+ * Lease duration of grants. A server fails work that outlives its lease, and
+ * the keys of a lost server stay unavailable until the longest lease expires.
  */
 import type * as contracts from "@guavatide/contracts";
 import type { GrantTimings } from "./grant_timings.ts";
 
-/** Length of a grant as a multiple of the longest target latency. */
-const HOLD_PER_TARGET = 2;
-/** The longest grant, whatever routes ask for. */
-const MAX_HOLD_MS = 6_000;
+/** Lease duration as a multiple of the longest target latency. */
+const LEASE_PER_TARGET_LATENCY = 2;
+/** Upper limit of the lease duration, whatever target latency routes set. */
+const MAX_LEASE_MS = 6_000;
 
-/** Limits of {@link wishedHoldMs}. */
-export interface HoldLimits {
+/** Limits of {@link desiredLeaseMs}. */
+export interface LeaseLimits {
+  /** Minimum lease duration. */
   readonly leastMs: number;
-  /** Longest grant that servers take. */
+  /** Longest lease that the servers accept. */
   readonly mostMs: number;
 }
 
-/** The length of grants that fits the target latencies of a service's routes. */
-export function wishedHoldMs(
+/** Lease duration that suits the target latencies of a service's routes. */
+export function desiredLeaseMs(
   targetLatenciesMs: readonly number[],
-  { leastMs, mostMs }: HoldLimits,
+  { leastMs, mostMs }: LeaseLimits,
 ): number {
-  const wishedMs = Math.ceil(
-    HOLD_PER_TARGET * Math.max(0, ...targetLatenciesMs),
+  const desiredMs = Math.ceil(
+    LEASE_PER_TARGET_LATENCY * Math.max(0, ...targetLatenciesMs),
   );
-  return Math.min(mostMs, Math.max(leastMs, Math.min(MAX_HOLD_MS, wishedMs)));
+  return Math.min(mostMs, Math.max(leastMs, Math.min(MAX_LEASE_MS, desiredMs)));
 }
 
-/** Length of the grants of a map, which no earlier grant of it exceeds. */
-export function holdOf(
+/**
+ * Lease duration of the grants of a map. It never decreases from one revision
+ * to the next, so no earlier grant lasts longer.
+ */
+export function leaseDurationMs(
   map: Pick<contracts.RangeMap, "holdMs"> | undefined,
   { holdMs }: Pick<GrantTimings, "holdMs">,
 ): number {
--- a/packages/decisions/src/grants/grant_model_test.ts
+++ b/packages/decisions/src/grants/grant_model_test.ts
@@ -1,6 +1,6 @@
 /**
- * Random interleavings of ownership by grants under faults of keepers, servers,
- * messages and the store: no key may ever have two holders.
+ * Model test of ownership by grants: random interleavings with faults of entry
+ * VMs, servers, messages and the store. No key may ever have two holders.
  */
 import type * as contracts from "@guavatide/contracts";
 import { KEY_COUNT } from "@guavatide/contracts";
@@ -19,24 +19,24 @@
 const SAMPLE_KEYS = [0, 1, 2, 3].map((index) => index * QUARTER + 7);
 const SLOW_CLOCK = 1.02;
 
-/** Rules that a trap switches off, to show that the model sees their lack. */
-interface Traps {
-  readonly noEvidenceEnd?: boolean;
-  readonly noWait?: boolean;
-  readonly noPromise?: boolean;
-  readonly unansweredForgotten?: boolean;
-  /** No rule: the first keeper alone reaches the store, and nobody else. */
-  readonly isFirstApart?: boolean;
-  /** No rule: the last keeper reaches the servers, and nobody else. */
-  readonly isLastApart?: boolean;
+/** Safeguards to disable, so that the model must fail, and lasting faults. */
+interface Faults {
+  readonly noConfirmationTtl?: boolean;
+  readonly noLeaseWait?: boolean;
+  readonly noQuorum?: boolean;
+  readonly forgetsUnanswered?: boolean;
+  /** A fault: the first VM alone reaches the store, and it reaches no peer. */
+  readonly isolateFirst?: boolean;
+  /** A fault: the last VM reaches the servers, but no peer and not the store. */
+  readonly isolateLast?: boolean;
 }
 
 class ModelServer {
   readonly owner: contracts.RangeOwner;
-  /** By sampled key. */
+  /** Indexed like SAMPLE_KEYS, as is `heldUntilMs`. */
   readonly fences = SAMPLE_KEYS.map(() => 0);
   readonly heldUntilMs = SAMPLE_KEYS.map(() => 0);
-  silentUntilMs = 0;
+  unresponsiveUntilMs = 0;
 
   constructor(name: string) {
     this.owner = { server: name as contracts.ServerId, bornMs: 1 };
@@ -67,43 +67,43 @@
 }
 
 interface SentGrant {
-  isUnderWay: boolean;
+  isInFlight: boolean;
   endMs: number;
   unansweredMs: number | undefined;
 }
 
-class ModelKeeper {
+class ModelVm {
   readonly vm: contracts.VmId;
-  book = new grants.KeeperBook();
-  mover: grants.RangeMover;
+  reports = new grants.VoterReports();
+  controller: grants.HandoverController;
   map: contracts.RangeMap | undefined;
-  isSettled = false;
+  hasReadMap = false;
   startedMs = 0;
-  frozenUntilMs = 0;
+  pausedUntilMs = 0;
   hasStore = true;
   hasPeers = true;
   statusMs = 0;
   readMs = 0;
-  /** When the last status heard of each peer had left. */
+  /** Send time of the last status received from each peer. */
   readonly echoes = new Map<contracts.VmId, number>();
   readonly sent = new Map<contracts.ServerId, SentGrant>();
   readonly renewedMs = new Map<string, number>();
 
   constructor(vm: string) {
     this.vm = vm as contracts.VmId;
-    this.mover = this.#newMover();
+    this.controller = this.#newController();
   }
 
-  #newMover(): grants.RangeMover {
+  #newController(): grants.HandoverController {
     const service = "s" as contracts.ServiceId;
-    return new grants.RangeMover(service, this.book, TIMINGS);
+    return new grants.HandoverController(service, this.reports, TIMINGS);
   }
 
   restart(nowMs: number): void {
-    this.book = new grants.KeeperBook();
-    this.mover = this.#newMover();
+    this.reports = new grants.VoterReports();
+    this.controller = this.#newController();
     this.map = undefined;
-    this.isSettled = false;
+    this.hasReadMap = false;
     this.startedMs = nowMs;
     this.echoes.clear();
     this.sent.clear();
@@ -113,16 +113,16 @@
   adopt(map: contracts.RangeMap): void {
     if (map.revision <= (this.map?.revision ?? 0)) return;
     this.map = map;
-    this.mover.noteNewer(map.revision);
+    this.controller.noteNewerRevision(map.revision);
   }
 }
 
-/** The world of one run. */
+/** One run with all its VMs, servers and the store. */
 class Model {
   readonly #random: ReturnType<typeof xoroshiro128plus>;
-  readonly #traps: Traps;
+  readonly #faults: Faults;
   readonly servers = ["a", "b", "c"].map((name) => new ModelServer(name));
-  readonly keepers = ["k1", "k2", "k3"].map((vm) => new ModelKeeper(vm));
+  readonly vms = ["k1", "k2", "k3"].map((vm) => new ModelVm(vm));
   #events: { readonly atMs: number; readonly run: () => void }[] = [];
   #stored: grants.StoredRangeMap | undefined;
   #version = 0;
@@ -130,18 +130,18 @@
   moves = 0;
   violations = 0;
 
-  constructor(seed: number, traps: Traps) {
+  constructor(seed: number, faults: Faults) {
     this.#random = xoroshiro128plus(seed);
-    this.#traps = traps;
+    this.#faults = faults;
   }
 
   run(): void {
     for (; this.nowMs < RUN_MS; this.nowMs += STEP_MS) {
-      this.#disturb();
+      this.#injectFaults();
       const due = this.#events.filter(({ atMs }) => atMs <= this.nowMs);
       this.#events = this.#events.filter(({ atMs }) => atMs > this.nowMs);
       for (const { run } of due) run();
-      for (const keeper of this.keepers) this.#keep(keeper);
+      for (const vm of this.vms) this.#runVm(vm);
       this.#check();
     }
   }
@@ -171,218 +171,224 @@
     }
   }
 
-  #disturb(): void {
+  #injectFaults(): void {
     if (this.nowMs < 1_500) return;
-    if (this.#traps.isFirstApart) {
-      const [first, ...others] = this.keepers;
+    if (this.#faults.isolateFirst) {
+      const [first, ...others] = this.vms;
       first!.hasPeers = false;
       for (const other of others) other.hasStore = false;
       return;
     }
-    if (this.#traps.isLastApart) {
-      const last = this.keepers.at(-1)!;
+    if (this.#faults.isolateLast) {
+      const last = this.vms.at(-1)!;
       last.hasPeers = false;
       last.hasStore = false;
       return;
     }
-    const keeper = this.#pick(this.keepers);
-    if (this.#chance(0.002)) keeper.restart(this.nowMs);
+    const vm = this.#pick(this.vms);
+    if (this.#chance(0.002)) vm.restart(this.nowMs);
     if (this.#chance(0.002)) {
-      keeper.frozenUntilMs = this.nowMs + this.#between(500, 3_000);
+      vm.pausedUntilMs = this.nowMs + this.#between(500, 3_000);
     }
-    if (this.#chance(0.003)) keeper.hasStore = !keeper.hasStore;
-    if (this.#chance(0.003)) keeper.hasPeers = !keeper.hasPeers;
+    if (this.#chance(0.003)) vm.hasStore = !vm.hasStore;
+    if (this.#chance(0.003)) vm.hasPeers = !vm.hasPeers;
     if (this.#chance(0.002)) {
       const server = this.#pick(this.servers);
-      server.silentUntilMs = this.nowMs + this.#between(500, 4_000);
+      server.unresponsiveUntilMs = this.nowMs + this.#between(500, 4_000);
     }
   }
 
-  #keep(keeper: ModelKeeper): void {
-    if (keeper.frozenUntilMs > this.nowMs) return;
-    if (keeper.frozenUntilMs > 0) {
-      keeper.frozenUntilMs = 0;
-      keeper.book.forgetEvidence();
-      keeper.mover.forget();
-      keeper.isSettled = false;
+  #runVm(vm: ModelVm): void {
+    if (vm.pausedUntilMs > this.nowMs) return;
+    if (vm.pausedUntilMs > 0) {
+      vm.pausedUntilMs = 0;
+      vm.reports.clearConfirmations();
+      vm.controller.requireRead();
+      vm.hasReadMap = false;
     }
-    this.#noteOwnWord(keeper);
-    if (this.nowMs - keeper.statusMs >= STATUS_MS) this.#tellStatus(keeper);
-    if (!keeper.isSettled) this.#read(keeper);
-    this.#renew(keeper);
-    if (this.#isMover(keeper)) this.#move(keeper);
+    this.#noteOwnReport(vm);
+    if (this.nowMs - vm.statusMs >= STATUS_MS) this.#sendStatus(vm);
+    if (!vm.hasReadMap) this.#read(vm);
+    this.#renew(vm);
+    if (this.#isLeader(vm)) this.#move(vm);
   }
 
-  #isMover(keeper: ModelKeeper): boolean {
-    return keeper.hasStore &&
-      this.keepers.every((other) =>
-        other === keeper || !other.hasStore || !other.hasPeers ||
-        !keeper.hasPeers || keeper.vm < other.vm
+  #isLeader(vm: ModelVm): boolean {
+    return vm.hasStore &&
+      this.vms.every((other) =>
+        other === vm || !other.hasStore || !other.hasPeers ||
+        !vm.hasPeers || vm.vm < other.vm
       );
   }
 
-  #word(keeper: ModelKeeper, askedAtMs: number): grants.KeeperWord {
+  #reportOf(vm: ModelVm, requestedAtMs: number): grants.VoterReport {
     const last = new Map<contracts.ServerId, number>();
     const unanswered = new Map<contracts.ServerId, number>();
-    for (const [server, grant] of keeper.sent) {
-      last.set(server, grant.isUnderWay ? this.nowMs : grant.endMs);
-      if (this.#traps.unansweredForgotten) continue;
-      if (grant.isUnderWay) unanswered.set(server, this.nowMs);
+    for (const [server, grant] of vm.sent) {
+      last.set(server, grant.isInFlight ? this.nowMs : grant.endMs);
+      if (this.#faults.forgetsUnanswered) continue;
+      if (grant.isInFlight) unanswered.set(server, this.nowMs);
       else if (grant.unansweredMs !== undefined) {
         unanswered.set(server, grant.unansweredMs);
       }
     }
     return {
-      vm: keeper.vm,
-      revision: keeper.map?.revision ?? 0,
-      isSettled: keeper.isSettled,
-      askedAtMs,
+      vm: vm.vm,
+      revision: vm.map?.revision ?? 0,
+      hasReadMap: vm.hasReadMap,
+      requestedAtMs,
       receivedAtMs: this.nowMs,
-      startedAtMs: keeper.startedMs,
+      startedAtMs: vm.startedMs,
       lastGrantMs: last,
       lastUnansweredMs: unanswered,
     };
   }
 
-  #noteOwnWord(keeper: ModelKeeper): void {
-    keeper.book.noteWord(this.#word(keeper, this.nowMs));
+  #noteOwnReport(vm: ModelVm): void {
+    vm.reports.noteReport(this.#reportOf(vm, this.nowMs));
   }
 
-  #tellStatus(keeper: ModelKeeper): void {
-    keeper.statusMs = this.nowMs;
-    const leftMs = this.nowMs;
-    for (const other of this.keepers) {
-      const isLost = !keeper.hasPeers || !other.hasPeers || this.#chance(0.1);
-      if (other === keeper || isLost) continue;
-      const echoMs = keeper.echoes.get(other.vm) ?? Number.NEGATIVE_INFINITY;
-      const word = this.#word(keeper, echoMs);
-      const run = other.startedMs;
+  #sendStatus(vm: ModelVm): void {
+    vm.statusMs = this.nowMs;
+    const sentAtMs = this.nowMs;
+    for (const other of this.vms) {
+      const isLost = !vm.hasPeers || !other.hasPeers || this.#chance(0.1);
+      if (other === vm || isLost) continue;
+      const echoMs = vm.echoes.get(other.vm) ?? Number.NEGATIVE_INFINITY;
+      const report = this.#reportOf(vm, echoMs);
+      const receiverStartedMs = other.startedMs;
       this.#after(this.#between(1, 40), () => {
-        if (other.startedMs !== run || other.frozenUntilMs > this.nowMs) return;
-        other.echoes.set(keeper.vm, leftMs);
-        const askedAtMs = echoMs >= other.startedMs ? echoMs : -Infinity;
-        other.book.noteWord({ ...word, askedAtMs });
+        if (
+          other.startedMs !== receiverStartedMs ||
+          other.pausedUntilMs > this.nowMs
+        ) return;
+        other.echoes.set(vm.vm, sentAtMs);
+        const requestedAtMs = echoMs >= other.startedMs ? echoMs : -Infinity;
+        other.reports.noteReport({ ...report, requestedAtMs });
       });
     }
   }
 
-  #read(keeper: ModelKeeper): void {
-    if (!keeper.hasStore || this.nowMs - keeper.readMs < 250) return;
-    keeper.readMs = this.nowMs;
+  #read(vm: ModelVm): void {
+    if (!vm.hasStore || this.nowMs - vm.readMs < 250) return;
+    vm.readMs = this.nowMs;
     const stored = this.#stored;
     if (stored === undefined) return;
-    const askedAtMs = this.nowMs;
-    const run = keeper.startedMs;
+    const requestedAtMs = this.nowMs;
+    const startedMs = vm.startedMs;
     this.#after(this.#between(5, 60), () => {
-      if (keeper.startedMs !== run) return;
-      keeper.isSettled = true;
-      keeper.book.noteRead(stored.map.revision, askedAtMs);
-      keeper.adopt(stored.map);
+      if (vm.startedMs !== startedMs) return;
+      vm.hasReadMap = true;
+      vm.reports.noteRead(stored.map.revision, requestedAtMs);
+      vm.adopt(stored.map);
     });
   }
 
-  #renew(keeper: ModelKeeper): void {
-    const { map } = keeper;
+  #renew(vm: ModelVm): void {
+    const { map } = vm;
     if (map === undefined) return;
     for (const range of map.ranges) {
       if (range.vacating !== undefined) continue;
       const { server } = range.owner;
-      if (keeper.sent.get(server)?.isUnderWay) continue;
+      if (vm.sent.get(server)?.isInFlight) continue;
       const name = `${range.fromKey}/${range.fence}`;
-      const renewedMs = keeper.renewedMs.get(name) ?? -Infinity;
+      const renewedMs = vm.renewedMs.get(name) ?? -Infinity;
       if (this.nowMs - renewedMs < TIMINGS.renewMs) continue;
-      const evidenceMs = this.nowMs - keeper.book.evidenceAtMs(map);
-      const isGood = this.#traps.noEvidenceEnd ||
-        evidenceMs < TIMINGS.evidenceMs;
-      if (!isGood) return this.#read(keeper);
-      keeper.renewedMs.set(name, this.nowMs);
-      this.#grant(keeper, range);
+      const confirmationAgeMs = this.nowMs - vm.reports.confirmedAtMs(map);
+      const isConfirmed = this.#faults.noConfirmationTtl ||
+        confirmationAgeMs < TIMINGS.confirmationTtlMs;
+      if (!isConfirmed) return this.#read(vm);
+      vm.renewedMs.set(name, this.nowMs);
+      this.#grant(vm, range);
     }
   }
 
-  /** One grant call: sent late, answered, lost, or taken late after its end. */
-  #grant(keeper: ModelKeeper, range: contracts.RangeState): void {
+  /** One grant call: sent late, answered, lost, or applied after its timeout. */
+  #grant(vm: ModelVm, range: contracts.RangeState): void {
     const server = this.servers.find(({ owner }) =>
       owner.server === range.owner.server
     )!;
-    const state: SentGrant = keeper.sent.get(range.owner.server) ??
-      { isUnderWay: false, endMs: 0, unansweredMs: undefined };
-    keeper.sent.set(range.owner.server, state);
-    state.isUnderWay = true;
-    const holdMs = grants.holdOf(keeper.map, TIMINGS);
+    const state: SentGrant = vm.sent.get(range.owner.server) ??
+      { isInFlight: false, endMs: 0, unansweredMs: undefined };
+    vm.sent.set(range.owner.server, state);
+    state.isInFlight = true;
+    const holdMs = grants.leaseDurationMs(vm.map, TIMINGS);
     const end = (isAnswered: boolean) => {
-      state.isUnderWay = false;
+      state.isInFlight = false;
       state.endMs = this.nowMs;
       if (!isAnswered) state.unansweredMs = this.nowMs;
     };
-    const wayMs = this.#between(1, 120);
+    const transitMs = this.#between(1, 120);
     const waitMs = this.#chance(0.3)
-      ? this.#between(0, TIMINGS.orderTimeoutMs)
+      ? this.#between(0, TIMINGS.grantTimeoutMs)
       : 0;
     const isLate = this.#chance(0.1);
-    this.#after(waitMs + wayMs, () => {
+    this.#after(waitMs + transitMs, () => {
       const arrived = { arrivedMs: this.nowMs, holdMs };
-      if (server.silentUntilMs > this.nowMs) return;
+      if (server.unresponsiveUntilMs > this.nowMs) return;
       if (isLate) {
-        const takenMs = this.#between(200, 3_000);
-        return this.#after(takenMs, () => server.grant(range, arrived));
+        const delayMs = this.#between(200, 3_000);
+        return this.#after(delayMs, () => server.grant(range, arrived));
       }
       server.grant(range, arrived);
       this.#after(this.#between(1, 40), () => end(true));
     });
     const giveUp = () => {
-      if (state.isUnderWay) end(false);
+      if (state.isInFlight) end(false);
     };
-    this.#after(TIMINGS.orderTimeoutMs, giveUp);
+    this.#after(TIMINGS.grantTimeoutMs, giveUp);
   }
 
-  #move(keeper: ModelKeeper): void {
-    const { mover } = keeper;
+  #move(vm: ModelVm): void {
+    const { controller } = vm;
     const tick = this.#tick();
-    mover.checkPromises(this.nowMs, tick.gone);
+    controller.checkAcknowledgements(this.nowMs, tick.removedVoters);
     const neverEnded = () => false;
-    for (const call of mover.takeReleases(this.nowMs, neverEnded)) {
-      this.#release(keeper, call);
+    for (const call of controller.takeReleases(this.nowMs, neverEnded)) {
+      this.#release(vm, call);
     }
-    const call = mover.nextCall(tick);
+    const call = controller.nextCall(tick);
     if (call === undefined) return;
-    const run = keeper.startedMs;
+    const startedMs = vm.startedMs;
     const isLost = this.#chance(0.1);
     this.#after(this.#between(2, 60), () => {
-      const end = this.#store(call, keeper.hasStore);
-      const isSeen = !isLost && keeper.startedMs === run;
+      const end = this.#store(call, vm.hasStore);
+      const isSeen = !isLost && vm.startedMs === startedMs;
       if (!isSeen) {
-        if (keeper.startedMs === run) {
-          keeper.mover.noteCallEnd({ kind: "unsure" }, this.nowMs);
+        if (vm.startedMs === startedMs) {
+          vm.controller.noteCallResult({ kind: "unsure" }, this.nowMs);
         }
         return;
       }
-      keeper.mover.noteCallEnd(end, this.nowMs);
+      vm.controller.noteCallResult(end, this.nowMs);
       if (end.kind !== "written" && end.kind !== "found") return;
-      keeper.isSettled = true;
-      keeper.adopt(end.stored.map);
-      for (const other of this.keepers) {
-        const isTold = keeper.hasPeers && other.hasPeers && !this.#chance(0.2);
-        if (!isTold) continue;
-        const otherRun = other.startedMs;
+      vm.hasReadMap = true;
+      vm.adopt(end.stored.map);
+      for (const other of this.vms) {
+        const isDelivered = vm.hasPeers && other.hasPeers && !this.#chance(0.2);
+        if (!isDelivered) continue;
+        const otherStartedMs = other.startedMs;
         this.#after(this.#between(1, 40), () => {
-          if (other.startedMs === otherRun) other.adopt(end.stored.map);
+          if (other.startedMs === otherStartedMs) other.adopt(end.stored.map);
         });
       }
     });
   }
 
-  #release(keeper: ModelKeeper, { range, old }: grants.ReleaseCall): void {
+  #release(
+    vm: ModelVm,
+    { range, oldOwner }: grants.ReleaseCall,
+  ): void {
     const server = this.servers.find(({ owner }) =>
-      owner.server === old.server
+      owner.server === oldOwner.server
     )!;
-    const run = keeper.startedMs;
+    const startedMs = vm.startedMs;
     const note = (end: { readonly handover: undefined } | "failed") => {
-      if (keeper.startedMs !== run) return;
-      keeper.mover.noteRelease(range.fence, end, this.nowMs);
+      if (vm.startedMs !== startedMs) return;
+      vm.controller.noteReleaseResult(range.fence, end, this.nowMs);
     };
     this.#after(this.#between(1, 60), () => {
-      if (server.silentUntilMs > this.nowMs) {
+      if (server.unresponsiveUntilMs > this.nowMs) {
         return this.#after(500, () => note("failed"));
       }
       server.release(range);
@@ -390,7 +396,7 @@
     });
   }
 
-  #tick(): grants.RangeMoverTick {
+  #tick(): grants.HandoverTick {
     const usable = new Map(
       this.servers.map(({ owner }) => [
         owner.server,
@@ -398,17 +404,17 @@
       ]),
     );
     return {
-      nowMs: this.#traps.noWait ? this.nowMs + 1e6 : this.nowMs,
+      nowMs: this.#faults.noLeaseWait ? this.nowMs + 1e6 : this.nowMs,
       usable,
       hasEnded: () => false,
-      keepers: this.keepers.map(({ vm }) => vm),
-      gone: this.#traps.noPromise
-        ? new Set(this.keepers.map(({ vm }) => vm))
+      voters: this.vms.map(({ vm }) => vm),
+      removedVoters: this.#faults.noQuorum
+        ? new Set(this.vms.map(({ vm }) => vm))
         : new Set(),
       plan: () => this.#plan(),
       nonce: () => String(this.#version),
-      // The service's work turns out to be long after half of the run.
-      holdMs: this.nowMs < RUN_MS / 2 ? TIMINGS.holdMs : LONG_HOLD_MS,
+      // The service's requests need longer leases in the second half of the run.
+      leaseMs: this.nowMs < RUN_MS / 2 ? TIMINGS.holdMs : LONG_HOLD_MS,
     };
   }
 
@@ -423,7 +429,7 @@
     }];
   }
 
-  #store(call: grants.MapCall, isReached: boolean): grants.MapCallEnd {
+  #store(call: grants.MapCall, isReached: boolean): grants.MapCallResult {
     if (!isReached) return { kind: "unsure" };
     if (call.kind === "read") {
       return this.#stored === undefined
@@ -446,13 +452,13 @@
 const SEED = Number(process.env["GRANT_MODEL_SEED"] ?? 1);
 
 function play(
-  traps: Traps,
+  faults: Faults,
   runs: number,
 ): { violations: number; moves: number } {
   let violations = 0;
   let moves = 0;
   for (let index = 0; index < runs; index++) {
-    const model = new Model(SEED * 1_000 + index, traps);
+    const model = new Model(SEED * 1_000 + index, faults);
     model.run();
     violations += model.violations;
     moves += model.moves;
@@ -466,26 +472,29 @@
   expect(moves > RUNS * 5).toEqual(true);
 });
 
-/** Guards against two holders when only the mover reaches the store. */
-test("should not move keys while a majority can't be told", () => {
-  expect(play({ isFirstApart: true }, 20).violations).toEqual(0);
+/** Guards against two holders when only the leader reaches the store. */
+test("should not move keys without a reachable majority", () => {
+  expect(play({ isolateFirst: true }, 20).violations).toEqual(0);
 });
 
-/** Guards against renewals by a keeper that nobody reaches but the servers. */
-test("should wait for a keeper that is cut off from its peers and the store", () => {
-  expect(play({ isLastApart: true }, 20).violations).toEqual(0);
+/** Guards against renewals by a voter that reaches nothing but the servers. */
+test("should wait for a voter that is partitioned from its peers and the store", () => {
+  expect(play({ isolateLast: true }, 20).violations).toEqual(0);
 });
 
-/** Each row leaves one rule out; the model has to show what it prevents. */
-const TRAPS: readonly [string, Traps][] = [
-  ["evidence ends", { noEvidenceEnd: true, isLastApart: true }],
-  ["a mover waits for the last grant", { noWait: true }],
-  ["a majority has to know the move", { noPromise: true, isFirstApart: true }],
-  ["unanswered grants count after a release", { unansweredForgotten: true }],
+/** Each row disables one safeguard; the model must show the failure it prevents. */
+const DISABLED_SAFEGUARDS: readonly [string, Faults][] = [
+  ["confirmations expire", { noConfirmationTtl: true, isolateLast: true }],
+  ["a handover waits for the last lease", { noLeaseWait: true }],
+  ["a quorum acknowledges the handover", {
+    noQuorum: true,
+    isolateFirst: true,
+  }],
+  ["unanswered grants outlast a release", { forgetsUnanswered: true }],
 ];
 
-for (const [rule, traps] of TRAPS) {
-  test(`should see two holders without the rule that ${rule}`, () => {
-    expect(play(traps, 60).violations > 0).toEqual(true);
+for (const [safeguard, faults] of DISABLED_SAFEGUARDS) {
+  test(`should detect two holders without the safeguard that ${safeguard}`, () => {
+    expect(play(faults, 60).violations > 0).toEqual(true);
   });
 }
--- a/packages/decisions/src/grants/grant_timings.ts
+++ b/packages/decisions/src/grants/grant_timings.ts
@@ -1,42 +1,45 @@
-/** Times of ownership by grants. */
+/** Timings of grants and handovers of key ranges. */
 
-/** Times that grants and moves of key ranges work with. */
+/** Timings in milliseconds, and the allowed clock drift. */
 export interface GrantTimings {
-  /** Length of time that a grant gives at least. */
+  /** Minimum lease duration of a grant. */
   readonly holdMs: number;
-  /** Between two renewals of a range by one keeper. */
+  /** Interval between two renewals of a range by one entry VM. */
   readonly renewMs: number;
-  /** How long evidence for a map revision is good. */
-  readonly evidenceMs: number;
   /**
-   * A grant without an answer is given up after this time and its connection
-   * reset, so that its bytes leave by then or never.
+   * How long a VM may act on the confirmation that a map revision is current,
+   * counted from when it asked for it.
    */
-  readonly orderTimeoutMs: number;
-  /** Longest time that bytes which have left are on their way. */
+  readonly confirmationTtlMs: number;
+  /**
+   * Timeout of a grant call. Its connection is then reset, so that no byte of
+   * the call leaves later.
+   */
+  readonly grantTimeoutMs: number;
+  /** Longest network transit time of bytes that were sent. */
   readonly transitMs: number;
-  /** A server counts as lost after so long without an answer to a grant. */
-  readonly silentMs: number;
-  /** Largest relative difference in rate between two clocks. */
+  /** A server counts as lost after this time without an answer to a grant. */
+  readonly unresponsiveAfterMs: number;
+  /** Largest relative drift between two clocks; 0.02 is 2 %. */
   readonly clockRateMargin: number;
 }
 
 /**
- * Defaults. They keep the time without an owner after the loss of a server
- * below the 4 s required; a hold outlasts two lost renewals.
+ * Default timings. The keys of a lost server are without an owner for less than
+ * the 4 s required, and a lease outlasts two lost renewals.
  */
 export const DEFAULT_GRANT_TIMINGS: GrantTimings = {
   holdMs: 1_500,
   renewMs: 450,
-  evidenceMs: 700,
-  orderTimeoutMs: 300,
+  confirmationTtlMs: 700,
+  grantTimeoutMs: 300,
   transitMs: 100,
-  silentMs: 700,
+  unresponsiveAfterMs: 700,
   clockRateMargin: 0.02,
 };
 
-/** Longest time from the end of a grant call until what it gave is over. */
-export function grantLifeMs(
+/** Longest time from the end of a grant call until its lease has expired. */
+export function maxLeaseLifetimeMs(
   { transitMs, clockRateMargin }: GrantTimings,
   holdMs: number,
 ): number {
--- a/packages/decisions/src/grants/keeper_book.ts
+++ b/packages/decisions/src/grants/keeper_book.ts
@@ -1,97 +1,98 @@
 /**
- * What keepers have told: evidence that no newer map is in force, for renewals,
- * and the promise of a majority that it knows the newer map, for moves.
+ * Tracks what the voters of a range map reported. Renewals need confirmation
+ * that the map is still current; handovers need a quorum that has acknowledged
+ * the newer map.
  */
 import type * as contracts from "@guavatide/contracts";
 
-/** What one keeper said of one service's map, in answer to a question. */
-export interface KeeperWord {
+/** A voter's reply to a status request, for the map of one service. */
+export interface VoterReport {
   readonly vm: contracts.VmId;
-  /** Highest revision that it knows; 0 for none. */
+  /** Highest revision that the voter knows; 0 for none. */
   readonly revision: number;
-  /** Whether it has read the map from the store in this run of its process. */
-  readonly isSettled: boolean;
-  /** When the question left that this answers, on this VM's clock. */
-  readonly askedAtMs: number;
+  /** Whether its process has read the map from the store since it started. */
+  readonly hasReadMap: boolean;
+  /** When the request that this answers was sent, on this VM's clock. */
+  readonly requestedAtMs: number;
   readonly receivedAtMs: number;
-  /** When its run began, on this VM's clock, at the latest. */
+  /** Latest possible start of its process, on this VM's clock. */
   readonly startedAtMs: number;
   /**
-   * End of its last grant call to a server, on this VM's clock at the latest;
-   * the word's own time while one is under way.
+   * Latest possible end of its last grant call to each server, on this VM's
+   * clock; `receivedAtMs` while a call is in flight.
    */
   readonly lastGrantMs: ReadonlyMap<contracts.ServerId, number>;
-  /** The same for grants that were not answered. */
+  /** The same for grant calls that were not answered. */
   readonly lastUnansweredMs: ReadonlyMap<contracts.ServerId, number>;
 }
 
-/** Words of all keepers of one service's map. */
-export class KeeperBook {
-  readonly #words = new Map<contracts.VmId, KeeperWord>();
+/** The latest reports of all voters of one service's map. */
+export class VoterReports {
+  readonly #reports = new Map<contracts.VmId, VoterReport>();
   #readRevision = 0;
-  #readAskedAtMs = Number.NEGATIVE_INFINITY;
+  #readSentAtMs = Number.NEGATIVE_INFINITY;
 
-  /** A keeper's word; the own VM's word is noted like the others'. */
-  noteWord(word: KeeperWord): void {
-    this.#words.set(word.vm, word);
+  /** Notes a voter's report; this VM's own state is noted the same way. */
+  noteReport(report: VoterReport): void {
+    this.#reports.set(report.vm, report);
   }
 
-  /** The store answered a read that left at `askedAtMs` with a revision. */
-  noteRead(revision: number, askedAtMs: number): void {
+  /** Notes the revision that the store returned to a read sent at `sentAtMs`. */
+  noteRead(revision: number, sentAtMs: number): void {
     if (revision < this.#readRevision) return;
     this.#readRevision = revision;
-    this.#readAskedAtMs = askedAtMs;
+    this.#readSentAtMs = sentAtMs;
   }
 
-  /** The latest word of a keeper. */
-  word(vm: contracts.VmId): KeeperWord | undefined {
-    return this.#words.get(vm);
+  /** The latest report of a voter. */
+  reportOf(vm: contracts.VmId): VoterReport | undefined {
+    return this.#reports.get(vm);
   }
 
-  /** Forgets all evidence, as after the process stood still. */
-  forgetEvidence(): void {
-    this.#words.clear();
-    this.#readAskedAtMs = Number.NEGATIVE_INFINITY;
+  /** Drops all confirmations, for example after the process was paused. */
+  clearConfirmations(): void {
+    this.#reports.clear();
+    this.#readSentAtMs = Number.NEGATIVE_INFINITY;
   }
 
   /**
-   * The latest moment at which the map is known to have been in force: a read
-   * of the store, or the word of a majority of its keepers that they know none
-   * newer. A restarted keeper may have forgotten one, so it counts after its
-   * first read.
+   * The latest time at which the map is confirmed to have been current, by a
+   * read of the store or by a majority of its voters that know no newer
+   * revision. A restarted voter may have forgotten a newer one, so it counts
+   * only after its first read. Negative infinity without confirmation.
    */
-  evidenceAtMs(map: contracts.RangeMap): number {
+  confirmedAtMs(map: contracts.RangeMap): number {
     const readMs = this.#readRevision === map.revision
-      ? this.#readAskedAtMs
+      ? this.#readSentAtMs
       : Number.NEGATIVE_INFINITY;
-    const keepers = map.keeperSets.at(-1)!;
-    const asked: number[] = [];
-    for (const vm of keepers) {
-      const word = this.#words.get(vm);
-      if (word === undefined || !word.isSettled) continue;
-      if (word.revision <= map.revision) asked.push(word.askedAtMs);
+    const voters = map.keeperSets.at(-1)!;
+    const timesMs: number[] = [];
+    for (const vm of voters) {
+      const report = this.#reports.get(vm);
+      if (report === undefined || !report.hasReadMap) continue;
+      if (report.revision <= map.revision) timesMs.push(report.requestedAtMs);
     }
-    asked.sort((a, b) => b - a);
-    const majority = Math.floor(keepers.length / 2) + 1;
-    const wordMs = asked[majority - 1] ?? Number.NEGATIVE_INFINITY;
-    return Math.max(readMs, wordMs);
+    timesMs.sort((a, b) => b - a);
+    const majority = Math.floor(voters.length / 2) + 1;
+    const quorumMs = timesMs[majority - 1] ?? Number.NEGATIVE_INFINITY;
+    return Math.max(readMs, quorumMs);
   }
 
   /**
-   * Whether a majority of every keeper set knows the revision. Keepers gone for
-   * good count as knowing it, or a map that lost its majority could never
-   * change.
+   * Whether a majority of every voter set knows the revision. Voters that are
+   * removed for good count as knowing it: a map that lost its majority could
+   * never change otherwise.
    */
-  hasPromise(
+  isAcknowledged(
     map: contracts.RangeMap,
     revision: number,
-    gone: ReadonlySet<contracts.VmId>,
+    removed: ReadonlySet<contracts.VmId>,
   ): boolean {
-    return map.keeperSets.every((keepers) => {
-      const known = keepers.filter((vm) =>
-        gone.has(vm) || (this.#words.get(vm)?.revision ?? 0) >= revision
+    return map.keeperSets.every((voters) => {
+      const acknowledged = voters.filter((vm) =>
+        removed.has(vm) || (this.#reports.get(vm)?.revision ?? 0) >= revision
       );
-      return known.length > keepers.length / 2;
+      return acknowledged.length > voters.length / 2;
     });
   }
 }
--- a/packages/decisions/src/grants/keeper_review.ts
+++ b/packages/decisions/src/grants/keeper_review.ts
@@ -1,53 +1,58 @@
-/** Which entry VMs are to be the keepers of a range map, and which are gone. */
+/**
+ * Chooses the voters of a range map: entry VMs whose majority confirms that a
+ * revision is current and acknowledges the next one.
+ */
 import type * as contracts from "@guavatide/contracts";
 
-/** Entry VMs that answer for a map: a majority of them is asked. */
-const KEEPER_COUNT = 7;
-/** A keeper silent for this long is replaced by another VM. */
-const KEEPER_REPLACE_AFTER_MS = 3_000;
+/** Voters of a map, as long as there are so many VMs. */
+const VOTER_COUNT = 7;
+/** A voter that sent no message for this long is replaced by another VM. */
+const VOTER_REPLACE_AFTER_MS = 3_000;
 /**
- * A keeper silent for this long counts as gone for good: a map that lost the
- * majority of its keepers could not change otherwise.
+ * A voter that sent no message for this long counts as removed for good: a map
+ * that lost the majority of its voters could not change otherwise.
  */
-const KEEPER_GONE_AFTER_MS = 10_000;
+const VOTER_REMOVE_AFTER_MS = 10_000;
 
-/** What a VM knows of the keepers. */
-export interface KeeperReviewInput {
+/** What a VM knows of the voters and of its peers. */
+export interface VoterSelectionInput {
   readonly vm: contracts.VmId;
   readonly map: contracts.RangeMap | undefined;
-  /** VMs that are up, in the order in which they become keepers. */
+  /** VMs that are up, in the order in which they become voters. */
   readonly live: readonly contracts.VmId[];
-  /** Time since a VM's last message; infinite for one never heard. */
-  readonly silentMs: (vm: contracts.VmId) => number;
-  /** How long the process has run. */
-  readonly lifeMs: number;
+  /** Time since a VM's last message; infinite when there was none. */
+  readonly sinceLastMessageMs: (vm: contracts.VmId) => number;
+  /** Uptime of this process. */
+  readonly uptimeMs: number;
 }
 
-/** Keepers to have: those that serve now stay, silent ones are replaced. */
-export function wishedKeepers(input: KeeperReviewInput): contracts.VmId[] {
-  const present = input.map?.keeperSets.at(-1) ?? [];
-  const kept = present.filter((keeper) =>
-    silenceMs(input, keeper) < KEEPER_REPLACE_AFTER_MS
+/** Voters of the next map: responsive ones stay, the others are replaced. */
+export function selectVoters(input: VoterSelectionInput): contracts.VmId[] {
+  const current = input.map?.keeperSets.at(-1) ?? [];
+  const kept = current.filter((voter) =>
+    unresponsiveMs(input, voter) < VOTER_REPLACE_AFTER_MS
   );
   const added = input.live.filter((vm) => !kept.includes(vm));
-  return [...kept, ...added].slice(0, Math.max(KEEPER_COUNT, kept.length));
+  return [...kept, ...added].slice(0, Math.max(VOTER_COUNT, kept.length));
 }
 
-/** Keepers that are gone for good. */
-export function goneKeepers(input: KeeperReviewInput): Set<contracts.VmId> {
-  const keepers = input.map?.keeperSets.flat() ?? [];
+/** Voters that count as removed for good. */
+export function removedVoters(input: VoterSelectionInput): Set<contracts.VmId> {
+  const voters = input.map?.keeperSets.flat() ?? [];
   return new Set(
-    keepers.filter((keeper) => silenceMs(input, keeper) > KEEPER_GONE_AFTER_MS),
+    voters.filter((voter) =>
+      unresponsiveMs(input, voter) > VOTER_REMOVE_AFTER_MS
+    ),
   );
 }
 
 /**
- * Silence that this process has witnessed itself: just after its start, live
- * keepers that it has not heard yet would count as gone.
+ * Time without a message that this process has witnessed itself. Without the
+ * limit, a process that has just started would take live voters for removed.
  */
-function silenceMs(
-  { vm, silentMs, lifeMs }: KeeperReviewInput,
-  keeper: contracts.VmId,
+function unresponsiveMs(
+  { vm, sinceLastMessageMs, uptimeMs }: VoterSelectionInput,
+  voter: contracts.VmId,
 ): number {
-  return keeper === vm ? 0 : Math.min(silentMs(keeper), lifeMs);
+  return voter === vm ? 0 : Math.min(sinceLastMessageMs(voter), uptimeMs);
 }
--- a/packages/decisions/src/grants/keeper_review_test.ts
+++ b/packages/decisions/src/grants/keeper_review_test.ts
@@ -3,11 +3,11 @@
 import { test } from "node:test";
 import * as grants from "./mod.ts";
 
-const KEEPERS = ["a", "b", "c"] as contracts.VmId[];
+const VOTERS = ["a", "b", "c"] as contracts.VmId[];
 
 function input(
-  options: Partial<grants.KeeperReviewInput>,
-): grants.KeeperReviewInput {
+  options: Partial<grants.VoterSelectionInput>,
+): grants.VoterSelectionInput {
   return {
     vm: "a" as contracts.VmId,
     map: {
@@ -15,33 +15,35 @@
       revision: 1,
       lastFence: 1,
       nonce: "n",
-      keeperSets: [KEEPERS],
+      keeperSets: [VOTERS],
       ranges: [],
     },
     live: ["a", "d"] as contracts.VmId[],
-    silentMs: () => Number.POSITIVE_INFINITY,
-    lifeMs: 60_000,
+    sinceLastMessageMs: () => Number.POSITIVE_INFINITY,
+    uptimeMs: 60_000,
     ...options,
   };
 }
 
-/** Guards against a fresh, cut-off process that gives away keys in use. */
-test("should take no keeper for gone that it had no time to hear", () => {
-  const fresh = input({ lifeMs: 400 });
-  expect(grants.goneKeepers(fresh).size).toEqual(0);
-  expect(grants.wishedKeepers(fresh)).toEqual(
-    [...KEEPERS, "d"] as contracts.VmId[],
+/** Guards against a new, partitioned process that reassigns keys in use. */
+test("should not remove voters before the process has run long enough", () => {
+  const justStarted = input({ uptimeMs: 400 });
+  expect(grants.removedVoters(justStarted).size).toEqual(0);
+  expect(grants.selectVoters(justStarted)).toEqual(
+    [...VOTERS, "d"] as contracts.VmId[],
   );
 });
 
-/** Guards against a map that can't change once its keepers are replaced. */
-test("should replace silent keepers and count them as gone in time", () => {
-  expect(grants.wishedKeepers(input({ silentMs: () => 4_000 }))).toEqual(
-    ["a", "d"] as contracts.VmId[],
-  );
-  expect(grants.goneKeepers(input({ silentMs: () => 4_000 })).size)
+/** Guards against a map that can't change after the loss of its majority. */
+test("should replace unresponsive voters and remove them later", () => {
+  expect(grants.selectVoters(input({ sinceLastMessageMs: () => 4_000 })))
+    .toEqual(
+      ["a", "d"] as contracts.VmId[],
+    );
+  expect(grants.removedVoters(input({ sinceLastMessageMs: () => 4_000 })).size)
     .toEqual(0);
-  expect([...grants.goneKeepers(input({ silentMs: () => 11_000 }))]).toEqual(
-    ["b", "c"] as contracts.VmId[],
-  );
+  expect([...grants.removedVoters(input({ sinceLastMessageMs: () => 11_000 }))])
+    .toEqual(
+      ["b", "c"] as contracts.VmId[],
+    );
 });
--- a/packages/decisions/src/grants/key_loads.ts
+++ b/packages/decisions/src/grants/key_loads.ts
@@ -1,20 +1,20 @@
-/** Request rates by key, from the counts of all entry VMs. */
+/** Estimates request rates by key from the counts of all entry VMs. */
 
-/** Time constant of the decay: hot keys show, and are forgotten, within it. */
+/** Time constant of the exponential decay: how fast a hot key shows and fades. */
 const DECAY_MS = 1_000;
-/** Counts of a shorter time than this say too little about rates. */
+/** Shortest window that rates are computed over: shorter counts are noise. */
 const MIN_WINDOW_MS = 300;
-/** Rates below this are dropped, in requests a second. */
+/** Rates below this are dropped, in requests per second. */
 const MIN_PER_SECOND = 0.02;
 
-/** Standard deviation of a decayed rate of random arrivals, a second. */
+/** Standard deviation of a decayed rate of Poisson arrivals, in requests/s. */
 export function rateDeviation(perSecond: number): number {
   return Math.sqrt(perSecond / (2 * DECAY_MS / 1000));
 }
 
-/** Decaying request rates of the keys that were asked for lately. */
-export class KeyLoads {
-  /** Weight of each key; a rate once divided by the decay time. */
+/** Exponentially decaying request rates of recently requested keys. */
+export class KeyRateTracker {
+  /** Decayed request count of each key; divided by the window it is a rate. */
   readonly #weights = new Map<number, number>();
   #updatedMs: number | undefined;
   #startedMs: number | undefined;
@@ -26,7 +26,7 @@
     }
   }
 
-  /** Lets earlier counts weigh less; called before reading. */
+  /** Decays the counts up to now; call it before {@link rates}. */
   decay(nowMs: number): void {
     this.#startedMs ??= nowMs;
     const elapsedMs = nowMs - (this.#updatedMs ?? nowMs);
@@ -34,24 +34,24 @@
     if (elapsedMs <= 0) return;
     const factor = Math.exp(-elapsedMs / DECAY_MS);
     for (const [key, weight] of this.#weights) {
-      const left = weight * factor;
-      if (left < MIN_PER_SECOND * DECAY_MS / 1000) this.#weights.delete(key);
-      else this.#weights.set(key, left);
+      const decayed = weight * factor;
+      if (decayed < MIN_PER_SECOND * DECAY_MS / 1000) this.#weights.delete(key);
+      else this.#weights.set(key, decayed);
     }
   }
 
-  /** Keys in order with their rates in requests a second. */
+  /** Keys in ascending order, with their rates in requests per second. */
   rates(): { readonly key: number; readonly perSecond: number }[] {
-    const seconds = this.#countedMs() / 1000;
+    const seconds = this.#windowMs() / 1000;
     return [...this.#weights]
       .map(([key, weight]) => ({ key, perSecond: weight / seconds }))
       .sort((a, b) => a.key - b.key);
   }
 
-  /** Time that the weights stand for; shorter than the decay at first. */
-  #countedMs(): number {
+  /** Window that the weights cover; shorter than the decay time at first. */
+  #windowMs(): number {
     const ageMs = (this.#updatedMs ?? 0) - (this.#startedMs ?? 0);
-    const countedMs = DECAY_MS * (1 - Math.exp(-ageMs / DECAY_MS));
-    return Math.max(MIN_WINDOW_MS, countedMs);
+    const windowMs = DECAY_MS * (1 - Math.exp(-ageMs / DECAY_MS));
+    return Math.max(MIN_WINDOW_MS, windowMs);
   }
 }
--- a/packages/decisions/src/grants/lone_keys.ts
+++ b/packages/decisions/src/grants/lone_keys.ts
@@ -1,21 +1,21 @@
 /**
- * Keys too hot for their server: a key can't be split, so it goes to the server
- * that can serve most of its requests.
+ * Plans moves of single keys that are too hot for their server. A key can't be
+ * split, so it goes to the server with the most capacity.
  */
 import type * as contracts from "@guavatide/contracts";
 import type { RangeMove } from "./range_edit.ts";
 import {
   type KeyRate,
   type RangePlanInput,
+  ratesWithin,
   type Utilization,
-  within,
 } from "./range_load.ts";
 
-/** Busy part of its owner that a key alone takes when it is too hot for it. */
+/** Utilization of its owner by one key above which the key is too hot for it. */
 const HOT_KEY_UTILIZATION = 0.8;
 /**
- * How much more the next owner must carry: a full server measures slower than
- * an idle one, and a key would wander.
+ * Least ratio of the next owner's capacity to the present one's. A loaded server
+ * measures slower than an idle one, so with less the key would move to and fro.
  */
 const MIN_CAPACITY_RATIO = 1.6;
 
@@ -23,25 +23,25 @@
   readonly owner: contracts.ServerId;
 }
 
-/** Moves of the hottest keys to servers that can carry more of their requests. */
-export function planLoneKeys(
+/** Plans moves of the hottest keys to servers with more capacity. */
+export function planHotKeys(
   input: RangePlanInput,
-  use: Utilization,
+  utilization: Utilization,
 ): RangeMove[] {
   const hottest = hottestKeys(input);
   const moves: RangeMove[] = [];
-  const lone = [...hottest.values()]
-    .filter((it) => isTooHot(it, input))
+  const tooHot = [...hottest.values()]
+    .filter((key) => isTooHot(key, input))
     .sort((a, b) => b.perSecond - a.perSecond);
-  const taken = new Set(lone.map(({ owner }) => owner));
-  for (const { key, perSecond, owner } of lone) {
-    const to = fastest(input, taken);
+  const taken = new Set(tooHot.map(({ owner }) => owner));
+  for (const { key, perSecond, owner } of tooHot) {
+    const to = largestFreeServer(input, taken);
     if (to === undefined) break;
     const gain = capacityOf(input, to) / capacityOf(input, owner);
     if (gain < MIN_CAPACITY_RATIO) continue;
     taken.add(to);
-    use.add(owner, -perSecond);
-    use.add(to, perSecond);
+    utilization.add(owner, -perSecond);
+    utilization.add(to, perSecond);
     moves.push({
       fromKey: key,
       toKey: key,
@@ -51,7 +51,7 @@
   return moves;
 }
 
-/** The key of each server that is asked for most. */
+/** The most requested key of each server. */
 function hottestKeys(
   { ranges, rates, servers }: RangePlanInput,
 ): Map<contracts.ServerId, HotKey> {
@@ -59,7 +59,7 @@
   for (const range of ranges) {
     const owner = range.owner.server;
     if (!servers.has(owner) || range.vacating !== undefined) continue;
-    for (const rate of within(rates, range)) {
+    for (const rate of ratesWithin(rates, range)) {
       const known = hottest.get(owner);
       if (known !== undefined && known.perSecond >= rate.perSecond) continue;
       hottest.set(owner, { ...rate, owner });
@@ -82,8 +82,8 @@
   return servers.get(server)!.capacityPerSecond;
 }
 
-/** The server that carries most, of those without such a key. */
-function fastest(
+/** The server with the most capacity, of those not taken by a hot key. */
+function largestFreeServer(
   input: RangePlanInput,
   taken: ReadonlySet<contracts.ServerId>,
 ): contracts.ServerId | undefined {
--- a/packages/decisions/src/grants/lone_keys_test.ts
+++ b/packages/decisions/src/grants/lone_keys_test.ts
@@ -9,7 +9,7 @@
   return { server: `s${index}` as contracts.ServerId, bornMs: 1 };
 }
 
-/** Servers that carry so many requests a second. */
+/** Servers with these capacities, in requests per second. */
 function serversOf(
   capacities: readonly number[],
 ): Map<contracts.ServerId, grants.RangeServer> {
@@ -22,7 +22,7 @@
 }
 
 function evenRanges(count: number): contracts.RangeState[] {
-  return grants.firstRanges(
+  return grants.initialRanges(
     Array.from({ length: count }, (_, index) => ({
       ...owner(index),
       slots: 6,
@@ -30,7 +30,7 @@
   );
 }
 
-/** One key asked for 200 times a second, and an even load besides. */
+/** One key with 200 requests per second, and an even load on other keys. */
 function hotRates(evenPerSecond: number): grants.KeyRate[] {
   const rates: grants.KeyRate[] = [{ key: KEY, perSecond: 200 }];
   for (let key = 1_024; key < contracts.KEY_COUNT; key += 256) {
@@ -40,7 +40,7 @@
 }
 
 function movesOfKey(capacities: readonly number[], evenPerSecond = 60) {
-  return grants.planRanges({
+  return grants.planRangeMoves({
     ranges: evenRanges(capacities.length),
     servers: serversOf(capacities),
     rates: hotRates(evenPerSecond),
@@ -48,32 +48,32 @@
   }).filter(({ fromKey, toKey }) => fromKey <= KEY && KEY <= toKey);
 }
 
-/** Guards against a hot key that stays at a slow server. */
-test("should give a key that is too hot for its owner to the fastest server", () => {
+/** Guards against a hot key that stays on a server with too little capacity. */
+test("should move a key that is too hot for its owner to the largest server", () => {
   expect(movesOfKey([32, 64, 95, 64])).toEqual([
     { fromKey: KEY, toKey: KEY, to: owner(2) },
   ]);
 });
 
-test("should leave a hot key with an owner that is nearly as fast as any", () => {
+test("should leave a hot key on an owner with nearly the largest capacity", () => {
   expect(movesOfKey([64, 64, 95, 64])).toEqual([]);
 });
 
-test("should clear the fastest server of other keys for the hot one", () => {
-  const moves = grants.planRanges({
+test("should move other keys off the largest server for the hot one", () => {
+  const moves = grants.planRangeMoves({
     ranges: evenRanges(4),
     servers: serversOf([32, 64, 95, 64]),
     rates: hotRates(120),
     mayBalance: true,
   });
-  const fromFastest = moves.filter(({ fromKey }) =>
+  const fromLargest = moves.filter(({ fromKey }) =>
     fromKey >= contracts.KEY_COUNT / 2 && fromKey < contracts.KEY_COUNT * 3 / 4
   );
-  expect(fromFastest.length > 0).toEqual(true);
+  expect(fromLargest.length > 0).toEqual(true);
 });
 
-/** Guards against keys that move because short counts scatter. */
-test("should not take chance for load", () => {
+/** Guards against moves caused by noise in rates over a short window. */
+test("should make no moves for random noise", () => {
   let seed = 7;
   const random = () => (seed = seed * 16_807 % 2_147_483_647) / 2_147_483_647;
   const counts = new Map<number, number>();
@@ -81,7 +81,7 @@
     const key = Math.floor(random() * contracts.KEY_COUNT);
     counts.set(key, (counts.get(key) ?? 0) + 1);
   }
-  const moves = grants.planRanges({
+  const moves = grants.planRangeMoves({
     ranges: evenRanges(26),
     servers: serversOf(Array.from({ length: 26 }, () => 60)),
     rates: [...counts].map(([key, perSecond]) => ({ key, perSecond }))
@@ -91,12 +91,12 @@
   expect(moves).toEqual([]);
 });
 
-/** Guards against a hot key that waits for the keys of a lost server. */
-test("should move a hot key while a few keys wait for their owner", () => {
+/** Guards against a hot key that is stuck behind the handover of other keys. */
+test("should move a hot key while a few other keys are in handover", () => {
   const ranges = evenRanges(4);
   const last = ranges.at(-1)!;
   const start = contracts.KEY_COUNT - 2_048;
-  const moves = grants.planRanges({
+  const moves = grants.planRangeMoves({
     ranges: [
       ...ranges.slice(0, -1),
       { ...last, toKey: start - 1 },
--- a/packages/decisions/src/grants/lost_servers.ts
+++ b/packages/decisions/src/grants/lost_servers.ts
@@ -1,57 +1,60 @@
-/** Servers that all their renewers suspect, and their quarantine. */
+/** Detects lost servers by the votes of the VMs that renew their grants. */
 import type * as contracts from "@guavatide/contracts";
 
-/** A server that left a grant unanswered gets no new range for this time. */
+/** A lost server gets no new range for this time. */
 const QUARANTINE_MIN_MS = 3_000;
 /**
- * Quarantine doubles with each loss in a row: a server that reaches the store
- * but not the VMs keeps its entry there.
+ * Upper limit of the quarantine, which doubles with each further loss: a server
+ * that reaches the store but not the VMs stays registered, and would be given
+ * keys over and over.
  */
 const QUARANTINE_MAX_MS = 24_000;
 /** A loss is forgotten after this time. */
 const LOSS_TTL_MS = 60_000;
 
 interface Loss {
-  /** When all renewers last suspected it. */
+  /** When all its renewers last reported it as unresponsive. */
   lastMs: number;
   quarantineMs: number;
 }
 
-/** Votes on suspected servers, and the servers lost by them. */
+/** Counts the renewers' votes and keeps lost servers in quarantine. */
 export class LostServers {
-  readonly #silentByVm = new Map<contracts.VmId, ReadonlySet<string>>();
+  readonly #unresponsiveByVm = new Map<contracts.VmId, ReadonlySet<string>>();
   readonly #losses = new Map<contracts.ServerId, Loss>();
   readonly #quarantined = new Set<contracts.ServerId>();
 
-  /** A VM reported which servers leave its grants unanswered. */
-  noteSilent(vm: contracts.VmId, servers: readonly string[]): void {
-    this.#silentByVm.set(vm, new Set(servers));
+  /** Notes the servers that left a VM's grants unanswered. */
+  noteUnresponsive(vm: contracts.VmId, servers: readonly string[]): void {
+    this.#unresponsiveByVm.set(vm, new Set(servers));
   }
 
-  /** Counts the votes. Returns servers that are newly lost. */
-  count(
+  /** Counts the votes. Returns the servers that are newly lost. */
+  countVotes(
     nowMs: number,
     renewersOf: (server: contracts.ServerId) => readonly contracts.VmId[],
   ): contracts.ServerId[] {
-    const newly: contracts.ServerId[] = [];
-    const named = new Set(
-      [...this.#silentByVm.values()].flatMap((it) => [...it]),
+    const newlyLost: contracts.ServerId[] = [];
+    const reported = new Set(
+      [...this.#unresponsiveByVm.values()].flatMap((it) => [...it]),
     );
-    for (const name of named) {
+    for (const name of reported) {
       const server = name as contracts.ServerId;
       const renewers = renewersOf(server);
-      // One slow path is no loss: every renewer has to suspect the server.
-      const isSilent = renewers.length > 0 &&
-        renewers.every((vm) => this.#silentByVm.get(vm)?.has(name) ?? false);
-      if (!isSilent) continue;
-      if (!this.#quarantined.has(server)) newly.push(server);
+      // One broken path is no loss: every renewer has to report the server.
+      const isUnresponsive = renewers.length > 0 &&
+        renewers.every((vm) =>
+          this.#unresponsiveByVm.get(vm)?.has(name) ?? false
+        );
+      if (!isUnresponsive) continue;
+      if (!this.#quarantined.has(server)) newlyLost.push(server);
       this.#noteLoss(server, nowMs);
     }
     for (const [server, { lastMs, quarantineMs }] of this.#losses) {
       if (nowMs - lastMs > quarantineMs) this.#quarantined.delete(server);
       if (nowMs - lastMs > LOSS_TTL_MS) this.#losses.delete(server);
     }
-    return newly;
+    return newlyLost;
   }
 
   #noteLoss(server: contracts.ServerId, nowMs: number): void {
@@ -67,8 +70,8 @@
     this.#quarantined.add(server);
   }
 
-  /** Whether a server is lost, or was until a short while ago. */
-  has(server: contracts.ServerId): boolean {
+  /** Whether a server is lost or still in quarantine after a loss. */
+  isQuarantined(server: contracts.ServerId): boolean {
     return this.#quarantined.has(server);
   }
 }
--- a/packages/decisions/src/grants/lost_servers_test.ts
+++ b/packages/decisions/src/grants/lost_servers_test.ts
@@ -6,24 +6,26 @@
 const SERVER = "s1" as contracts.ServerId;
 const RENEWERS = ["vm1", "vm2"] as contracts.VmId[];
 
-/** How long a server is lost after its renewers found it silent at a moment. */
-function restAfterLoss(lost: grants.LostServers, atMs: number): number {
-  for (const vm of RENEWERS) lost.noteSilent(vm, [SERVER]);
-  lost.count(atMs, () => RENEWERS);
-  for (const vm of RENEWERS) lost.noteSilent(vm, []);
+/** Quarantine after all renewers reported the server as unresponsive once. */
+function quarantineAfterLoss(lost: grants.LostServers, atMs: number): number {
+  for (const vm of RENEWERS) lost.noteUnresponsive(vm, [SERVER]);
+  lost.countVotes(atMs, () => RENEWERS);
+  for (const vm of RENEWERS) lost.noteUnresponsive(vm, []);
   let nowMs = atMs;
-  while (lost.has(SERVER)) {
+  while (lost.isQuarantined(SERVER)) {
     nowMs += 100;
-    lost.count(nowMs, () => RENEWERS);
+    lost.countVotes(nowMs, () => RENEWERS);
   }
   return nowMs - atMs;
 }
 
-/** Guards against keys given again and again to a server that is cut off. */
-test("should leave a server alone for longer each time that it is lost", () => {
+/** Guards against ranges moved over and over to a partitioned server. */
+test("should extend the quarantine with each loss", () => {
   const lost = new grants.LostServers();
-  const rests = [0, 10_000, 20_000].map((atMs) => restAfterLoss(lost, atMs));
-  expect(rests).toEqual([3_100, 6_100, 12_100]);
-  // Sound for a long time, it is lost as if for the first time.
-  expect(restAfterLoss(lost, 120_000)).toEqual(3_100);
+  const quarantines = [0, 10_000, 20_000].map((atMs) =>
+    quarantineAfterLoss(lost, atMs)
+  );
+  expect(quarantines).toEqual([3_100, 6_100, 12_100]);
+  // After a long time without a loss the quarantine starts over.
+  expect(quarantineAfterLoss(lost, 120_000)).toEqual(3_100);
 });
--- a/packages/decisions/src/grants/mod.ts
+++ b/packages/decisions/src/grants/mod.ts
@@ -1,4 +1,7 @@
-/** Ownership of key ranges by grants without a stamp of the server's clock. */
+/**
+ * Ownership of key ranges by time-limited grants (leases). Servers measure a
+ * lease from its arrival, so no clock of a server is compared with another.
+ */
 export * from "./duty_order.ts";
 export * from "./first_map_wait.ts";
 export * from "./grant_hold.ts";
--- a/packages/decisions/src/grants/range_difference.ts
+++ b/packages/decisions/src/grants/range_difference.ts
@@ -1,4 +1,4 @@
-/** What differs between two revisions of a range map. */
+/** Computes and applies differences between two revisions of a range map. */
 import {
   KEY_COUNT,
   type RangeMap,
@@ -8,26 +8,27 @@
 
 /**
  * Ranges of the later map that the earlier one lacks. They cover all changed
- * keys: fences only rise, so a range never returns to an earlier state.
+ * keys: fences only increase, so a range never returns to an earlier state.
  */
 export function changedRanges(
   earlier: RangeMap,
   later: RangeMap,
 ): RangeState[] {
-  const known = new Set(earlier.ranges.map(stateName));
-  return later.ranges.filter((range) => !known.has(stateName(range)));
+  const known = new Set(earlier.ranges.map(stateKey));
+  return later.ranges.filter((range) => !known.has(stateKey(range)));
 }
 
 /**
- * The ranges of a map with the changed ones in place of those that they cover;
- * undefined when the result has a gap or an overlap, as with another base map.
+ * Replaces the known ranges that the changed ones overlap. Returns undefined
+ * when the result has a gap or an overlap, as when the changes were computed
+ * from another base map.
  */
-export function withChanges(
+export function applyChanges(
   known: readonly RangeState[],
   changed: readonly RangeState[],
 ): RangeState[] | undefined {
   const kept = known.filter((range) =>
-    !changed.some((it) => overlaps(it, range))
+    !changed.some((change) => overlaps(change, range))
   );
   const ranges = [...kept, ...changed].sort((a, b) => a.fromKey - b.fromKey);
   let nextKey = 0;
@@ -38,7 +39,7 @@
   return nextKey === KEY_COUNT ? ranges : undefined;
 }
 
-function stateName(range: RangeState): string {
+function stateKey(range: RangeState): string {
   const { fromKey, toKey, owner, fence, vacating } = range;
   const from = vacating === undefined
     ? ""
--- a/packages/decisions/src/grants/range_edit.ts
+++ b/packages/decisions/src/grants/range_edit.ts
@@ -1,12 +1,12 @@
-/** Changes to a range map: pure functions from one map to the next. */
+/** Pure functions that compute the next ranges of a range map. */
 import * as contracts from "@guavatide/contracts";
 
-/** A piece of the key space and the server it shall go to. */
+/** A part of the key space and the server that is to own it. */
 export interface RangeMove extends contracts.KeyRange {
   readonly to: contracts.RangeOwner;
 }
 
-/** Whether two owners are the same life of the same server. */
+/** Whether two owners are the same incarnation of the same server. */
 export function isSameOwner(
   a: contracts.RangeOwner,
   b: contracts.RangeOwner,
@@ -22,7 +22,7 @@
   return a.fromKey <= b.toKey && b.fromKey <= a.toKey;
 }
 
-/** Index of the range that holds a key. */
+/** Index of the range that contains a key. */
 export function rangeIndex(
   ranges: readonly contracts.RangeState[],
   key: number,
@@ -37,17 +37,17 @@
   return low;
 }
 
-/** The first map: ranges of a width by the servers' slots. */
-export function firstRanges(
+/** Ranges of the initial map, as wide as the servers' slots are many. */
+export function initialRanges(
   owners: readonly (contracts.RangeOwner & { readonly slots: number })[],
 ): contracts.RangeState[] {
   const total = owners.reduce((sum, { slots }) => sum + slots, 0);
   const ranges: contracts.RangeState[] = [];
-  let given = 0;
+  let assignedSlots = 0;
   let fromKey = 0;
   for (const [index, { server, bornMs, slots }] of owners.entries()) {
-    given += slots;
-    const toKey = Math.round(contracts.KEY_COUNT * given / total) - 1;
+    assignedSlots += slots;
+    const toKey = Math.round(contracts.KEY_COUNT * assignedSlots / total) - 1;
     if (toKey < fromKey) continue;
     ranges.push({
       fromKey,
@@ -60,23 +60,24 @@
   return ranges;
 }
 
-/** Options of {@link vacate}. */
-export interface VacateOptions {
+/** Options of {@link startHandovers}. */
+export interface HandoverOptions {
   /** Revision of the map that takes the ranges from their owners. */
   readonly revision: number;
-  /** Highest fence given out before. */
+  /** Highest fence assigned before. */
   readonly lastFence: number;
 }
 
 /**
- * Takes ranges from their owners and names the next. Pieces of a split range
- * keep owner and fence; vacating keys only change their next owner. Returns the
- * ranges and the highest fence given out.
+ * Starts the handover of ranges to their next owners. The parts of a split
+ * range that do not move keep owner and fence; a range that is already in
+ * handover only changes its next owner. Returns the ranges and the highest
+ * fence assigned.
  */
-export function vacate(
+export function startHandovers(
   before: readonly contracts.RangeState[],
   moves: readonly RangeMove[],
-  { revision, lastFence }: VacateOptions,
+  { revision, lastFence }: HandoverOptions,
 ): { readonly ranges: contracts.RangeState[]; readonly lastFence: number } {
   let fence = lastFence;
   const split = moves.reduce(
@@ -84,8 +85,8 @@
     before,
   );
   const ranges = split.map((range) => {
-    const move = moves.find((it) =>
-      it.fromKey <= range.fromKey && range.toKey <= it.toKey
+    const move = moves.find((candidate) =>
+      candidate.fromKey <= range.fromKey && range.toKey <= candidate.toKey
     );
     if (move === undefined) return range;
     fence++;
@@ -97,8 +98,8 @@
   return { ranges: merge(ranges), lastFence: fence };
 }
 
-/** Gives ranges that nobody else can hold any more to their next owners. */
-export function settle(
+/** Finishes the handover of ranges whose old owner can hold no lease on them. */
+export function finishHandovers(
   before: readonly contracts.RangeState[],
   isFree: (range: contracts.RangeState) => boolean,
 ): contracts.RangeState[] {
@@ -125,7 +126,7 @@
   return split;
 }
 
-/** Joins neighbours that one grant can renew: same owner, fence and state. */
+/** Merges adjacent ranges with the same owner, fence and handover state. */
 function merge(
   ranges: readonly contracts.RangeState[],
 ): contracts.RangeState[] {
--- a/packages/decisions/src/grants/range_edit_test.ts
+++ b/packages/decisions/src/grants/range_edit_test.ts
@@ -22,28 +22,31 @@
     from: fc.integer({ min: 0, max: contracts.KEY_COUNT - 1 }),
     width: fc.integer({ min: 1, max: 9_000 }),
     to: fc.constantFrom("a", "b", "c"),
-    isSettled: fc.boolean(),
+    isFinished: fc.boolean(),
   });
   fc.assert(
     fc.property(fc.array(moveArbitrary, { maxLength: 12 }), (moves) => {
-      let ranges = grants.firstRanges([
+      let ranges = grants.initialRanges([
         { ...owner("a"), slots: 3 },
         { ...owner("b"), slots: 2 },
       ]);
       let lastFence = 2;
       let revision = 1;
-      for (const { from, width, to, isSettled } of moves) {
+      for (const { from, width, to, isFinished } of moves) {
         const before = ranges;
         const toKey = Math.min(contracts.KEY_COUNT - 1, from + width);
         const move = { fromKey: from, toKey, to: owner(to) };
         revision++;
-        const next = grants.vacate(ranges, [move], { revision, lastFence });
+        const next = grants.startHandovers(ranges, [move], {
+          revision,
+          lastFence,
+        });
         lastFence = next.lastFence;
-        ranges = isSettled
-          ? grants.settle(next.ranges, () => true)
+        ranges = isFinished
+          ? grants.finishHandovers(next.ranges, () => true)
           : next.ranges;
         if (!isWhole(ranges)) return false;
-        // Fences only rise for a key.
+        // The fence of a key only increases.
         for (const key of [from, toKey]) {
           const old = before[grants.rangeIndex(before, key)]!;
           const now = ranges[grants.rangeIndex(ranges, key)]!;
@@ -56,15 +59,15 @@
   );
 });
 
-/** Guards against keys given to a third server while the first holds them. */
-test("should keep who has to let go when the next owner changes", () => {
-  const first = grants.firstRanges([{ ...owner("a"), slots: 1 }]);
-  const moved = grants.vacate(
+/** Guards against a third owner while the first still holds a lease. */
+test("should keep the old owner when the next owner changes", () => {
+  const first = grants.initialRanges([{ ...owner("a"), slots: 1 }]);
+  const moved = grants.startHandovers(
     first,
     [{ fromKey: 0, toKey: 9, to: owner("b") }],
     { revision: 2, lastFence: 1 },
   );
-  const again = grants.vacate(
+  const again = grants.startHandovers(
     moved.ranges,
     [{ fromKey: 0, toKey: 9, to: owner("c") }],
     { revision: 3, lastFence: moved.lastFence },
--- a/packages/decisions/src/grants/range_load.ts
+++ b/packages/decisions/src/grants/range_load.ts
@@ -1,37 +1,37 @@
-/** Load of key ranges and of the servers that own them, as a plan sees it. */
+/** Load of key ranges and of the servers that own them, for planning moves. */
 import type * as contracts from "@guavatide/contracts";
 import { rateDeviation } from "./key_loads.ts";
 
-/** A server that can take ranges. */
+/** A server that can own ranges. */
 export interface RangeServer {
   readonly owner: contracts.RangeOwner;
-  /** Requests a second that it can carry. */
+  /** Requests per second that it can serve. */
   readonly capacityPerSecond: number;
-  /** It bears little load for now, and is given no keys of its own accord. */
+  /** It is in slow start: it serves little yet and gets no initial share. */
   readonly isCold?: boolean;
 }
 
-/** A key with its rate. */
+/** Request rate of one key. */
 export interface KeyRate {
   readonly key: number;
   readonly perSecond: number;
 }
 
-/** What a plan is made from. */
+/** Input of a plan. */
 export interface RangePlanInput {
   readonly ranges: readonly contracts.RangeState[];
   /** Servers that may own ranges, by id. */
   readonly servers: ReadonlyMap<contracts.ServerId, RangeServer>;
-  /** In order of the keys. */
+  /** In ascending order of the keys. */
   readonly rates: readonly KeyRate[];
-  /** Whether to even out load; otherwise only losses are planned. */
+  /** Whether to rebalance load; otherwise only keys of lost servers move. */
   readonly mayBalance: boolean;
 }
 
-/** Rate that stands for the width of a range no key of which is asked for. */
+/** Nominal rate per key, so that the width of an idle range counts a little. */
 export const WIDTH_RATE_PER_KEY = 1e-4;
 
-/** Load of the servers while a plan is made. */
+/** Utilization of the servers, updated while a plan is made. */
 export class Utilization {
   readonly #perSecond = new Map<contracts.ServerId, number>();
   readonly #servers: ReadonlyMap<contracts.ServerId, RangeServer>;
@@ -41,24 +41,27 @@
     for (const server of servers.keys()) this.#perSecond.set(server, 0);
   }
 
+  /** Adds load to a server; servers outside the plan are ignored. */
   add(server: contracts.ServerId, perSecond: number): void {
     const known = this.#perSecond.get(server);
     if (known !== undefined) this.#perSecond.set(server, known + perSecond);
   }
 
+  /** Load of a server as a fraction of its capacity. */
   of(server: contracts.ServerId): number {
     const { capacityPerSecond } = this.#servers.get(server)!;
     return this.#perSecond.get(server)! / capacityPerSecond;
   }
 
-  /** Lower bound of the server's busy part: short counts scatter. */
-  atLeast(server: contracts.ServerId, deviations: number): number {
+  /** Lower bound of a server's utilization, as rates are estimates. */
+  lowerBound(server: contracts.ServerId, deviations: number): number {
     const { capacityPerSecond } = this.#servers.get(server)!;
     const perSecond = this.#perSecond.get(server)!;
     const deviation = rateDeviation(perSecond);
     return (perSecond - deviations * deviation) / capacityPerSecond;
   }
 
+  /** Total load as a fraction of the total capacity. */
   get mean(): number {
     let load = 0;
     let capacity = 0;
@@ -69,32 +72,32 @@
     return capacity === 0 ? 0 : load / capacity;
   }
 
-  /** Whether some server is likely to be busier than a level. */
+  /** Whether some server's utilization is above a level with confidence. */
   exceeds(level: number, deviations: number): boolean {
     return [...this.#servers.keys()].some((server) =>
-      this.atLeast(server, deviations) > level
+      this.lowerBound(server, deviations) > level
     );
   }
 
-  /** The server that is least busy. */
-  coldest(): contracts.ServerId | undefined {
+  /** The server with the lowest utilization. */
+  leastUtilized(): contracts.ServerId | undefined {
     return this.#extreme((a, b) => a < b);
   }
 
-  /** The server that is most busy, of those not left out. */
-  hottest(
-    leftOut: ReadonlySet<contracts.ServerId>,
+  /** The server with the highest utilization, of those not excluded. */
+  mostUtilized(
+    excluded: ReadonlySet<contracts.ServerId>,
   ): contracts.ServerId | undefined {
-    return this.#extreme((a, b) => a > b, leftOut);
+    return this.#extreme((a, b) => a > b, excluded);
   }
 
   #extreme(
     isBetter: (a: number, b: number) => boolean,
-    leftOut: ReadonlySet<contracts.ServerId> = new Set(),
+    excluded: ReadonlySet<contracts.ServerId> = new Set(),
   ): contracts.ServerId | undefined {
     let best: contracts.ServerId | undefined;
     for (const server of this.#perSecond.keys()) {
-      if (leftOut.has(server)) continue;
+      if (excluded.has(server)) continue;
       if (best === undefined || isBetter(this.of(server), this.of(best))) {
         best = server;
       }
@@ -103,24 +106,25 @@
   }
 }
 
-/** Rate of a range, with a little for its width. */
-export function rateOf(
+/** Rate of a range in requests per second, with a little for its width. */
+export function rangeRate(
   rates: readonly KeyRate[],
   range: contracts.KeyRange,
 ): number {
   let sum = (range.toKey - range.fromKey + 1) * WIDTH_RATE_PER_KEY;
-  for (const { perSecond } of within(rates, range)) sum += perSecond;
+  for (const { perSecond } of ratesWithin(rates, range)) sum += perSecond;
   return sum;
 }
 
-export function within(
+/** Rates of the keys in a range. */
+export function ratesWithin(
   rates: readonly KeyRate[],
   { fromKey, toKey }: contracts.KeyRange,
 ): readonly KeyRate[] {
   return rates.slice(firstFrom(rates, fromKey), firstFrom(rates, toKey + 1));
 }
 
-/** Index of the first rate at a key or behind it: a plan asks for each range. */
+/** Index of the first rate at or after a key. */
 function firstFrom(rates: readonly KeyRate[], key: number): number {
   let low = 0;
   let high = rates.length;
--- a/packages/decisions/src/grants/range_mover.ts
+++ b/packages/decisions/src/grants/range_mover.ts
@@ -1,38 +1,38 @@
 /**
- * Moves key ranges of one service by two conditional updates of the range map:
- * the first takes a range from its owner, the second gives it to the next once
- * nobody else can hold it. After a lost reply, a lost mover or a second mover,
- * the work goes on from what the store holds.
+ * Hands key ranges of one service over by two conditional writes of the range
+ * map: the first starts the handover, the second finishes it once the old owner
+ * can hold no lease. All state that matters is in the store, so a lost reply,
+ * a failed leader or a second leader does no harm.
  */
 import type * as contracts from "@guavatide/contracts";
 import { FencingReleases } from "./fencing_releases.ts";
-import { holdOf } from "./grant_hold.ts";
+import { leaseDurationMs } from "./grant_hold.ts";
 import type { GrantTimings } from "./grant_timings.ts";
-import type { KeeperBook } from "./keeper_book.ts";
+import type { VoterReports } from "./keeper_book.ts";
 import * as edit from "./range_edit.ts";
 import { RELEASE_RETRY_MS, type ReleaseCall } from "./release_call.ts";
 import {
   type AnsweredRelease,
   freeAtMs,
+  type HandoverFacts,
   isReleaseVoid,
-  type RangeWaitFacts,
 } from "./range_wait.ts";
 
-/** A range map with the store's version of it. */
+/** A range map with its version in the store. */
 export interface StoredRangeMap {
   readonly map: contracts.RangeMap;
   readonly version: string;
 }
 
-/** What came of a call to the store. */
-export type MapCallEnd =
+/** Result of a call to the store. */
+export type MapCallResult =
   | { readonly kind: "found"; readonly stored: StoredRangeMap }
   | { readonly kind: "absent" }
   | { readonly kind: "written"; readonly stored: StoredRangeMap }
-  /** Another write came first, or whether this one was done is not known. */
+  /** A write conflicted, or its outcome is unknown; a read failed. */
   | { readonly kind: "unsure" };
 
-/** What the mover asks of the task around it. */
+/** A call to the store that the caller is to make. */
 export type MapCall =
   | { readonly kind: "read" }
   | {
@@ -41,182 +41,187 @@
     readonly condition: contracts.WriteCondition;
   };
 
-/** The world as the task sees it at a tick. */
-export interface RangeMoverTick {
+/** Input of one reconciliation. */
+export interface HandoverTick {
   readonly nowMs: number;
-  /** Servers that can take ranges now. */
+  /** Servers that can own ranges now. */
   readonly usable: ReadonlyMap<contracts.ServerId, contracts.ServerEntry>;
-  /** Whether this run of a server is known to have ended. */
+  /** Whether this incarnation of a server is known to have ended. */
   hasEnded(owner: contracts.RangeOwner): boolean;
-  /** Entry VMs that shall be keepers, in any order. */
-  readonly keepers: readonly contracts.VmId[];
-  /** Length of grants that the service's work needs. */
-  readonly holdMs: number;
-  /** Keepers that are gone for good. */
-  readonly gone: ReadonlySet<contracts.VmId>;
-  /** Moves that placement asks for. */
+  /** Entry VMs that are to vote on the map, in any order. */
+  readonly voters: readonly contracts.VmId[];
+  /** Lease duration that the service's requests need. */
+  readonly leaseMs: number;
+  /** Voters that are removed for good. */
+  readonly removedVoters: ReadonlySet<contracts.VmId>;
+  /** Moves that placement plans for the map. */
   plan(map: contracts.RangeMap): readonly edit.RangeMove[];
   nonce(): string;
 }
 
 interface Release {
-  /** When the call under way left; undefined when none is. */
-  underWayMs: number | undefined;
+  /** When the call in flight was sent; undefined when there is none. */
+  sentAtMs: number | undefined;
   answered: AnsweredRelease | undefined;
-  /** A failed one is not sent again before. */
+  /** Earliest retry after a failure. */
   notBeforeMs: number;
+  /** Opaque value that the old owner returned for the next owner. */
   handover: string | undefined;
 }
 
 /**
- * Longest wait of releases until all keepers that are heard know of the move: a
- * renewal that crosses a release makes it void.
+ * Longest delay of a release until all voters have acknowledged the handover: a
+ * renewal that crosses the release would invalidate it.
  */
 const RELEASE_WAIT_MS = 120;
 /**
- * Ends of moves within this time are written together: each write is a call to
+ * Handovers that finish within this time share a write: each write is a call to
  * the store and an update to all VMs.
  */
-const SETTLE_BATCH_MS = 60;
+const FINISH_BATCH_MS = 60;
 const RETRY_MIN_MS = 100;
 const RETRY_MAX_MS = 1_000;
 
-/** Moves the ranges of one service. */
-export class RangeMover {
+/** Reconciles the range map of one service and hands its ranges over. */
+export class HandoverController {
   readonly #service: contracts.ServiceId;
   readonly #timings: GrantTimings;
-  readonly #keepers: KeeperBook;
+  readonly #reports: VoterReports;
   #stored: StoredRangeMap | undefined;
   #isAbsent = false;
   #mustRead = true;
-  #isCalling = false;
+  #isBusy = false;
   #notBeforeMs = Number.NEGATIVE_INFINITY;
   #failures = 0;
-  /** When each revision was known to a majority of all keeper sets. */
-  readonly #promisedAtMs = new Map<number, number>();
-  /** Since when a range is free whose end is not written yet. */
-  #freeSinceMs: number | undefined;
+  /** When a majority of every voter set had acknowledged each revision. */
+  readonly #acknowledgedAtMs = new Map<number, number>();
+  /** Since when a finished handover has not been written. */
+  #finishedSinceMs: number | undefined;
   readonly #fencing = new FencingReleases();
-  /** Releases by the fence that the range's next owner gets. */
+  /** Releases by the fence of the range's next owner. */
   readonly #releases = new Map<number, Release>();
 
   constructor(
     service: contracts.ServiceId,
-    keepers: KeeperBook,
+    reports: VoterReports,
     timings: GrantTimings,
   ) {
     this.#service = service;
-    this.#keepers = keepers;
+    this.#reports = reports;
     this.#timings = timings;
   }
 
-  /** The map as last read or written. */
+  /** The map as last read or written; undefined before. */
   get map(): contracts.RangeMap | undefined {
     return this.#stored?.map;
   }
 
-  /** Reads anew before the next decision, for example after taking over. */
-  forget(): void {
+  /** Forces a read before the next decision, for example by a new leader. */
+  requireRead(): void {
     this.#mustRead = true;
   }
 
-  /** A newer revision than the one known here is said to exist. */
-  noteNewer(revision: number): void {
+  /** Notes a revision that a peer knows; a newer one forces a read. */
+  noteNewerRevision(revision: number): void {
     if (revision > (this.map?.revision ?? 0)) this.#mustRead = true;
   }
 
-  /** The handover that the last owner gave for a range with this fence. */
+  /** Value that the old owner returned for the range with this fence, if any. */
   handover(fence: number): string | undefined {
     return this.#releases.get(fence)?.handover;
   }
 
-  /** The next call to the store; at most one is under way. */
-  nextCall(tick: RangeMoverTick): MapCall | undefined {
-    if (this.#isCalling || tick.nowMs < this.#notBeforeMs) return undefined;
+  /** The next call to the store; undefined while one is in flight. */
+  nextCall(tick: HandoverTick): MapCall | undefined {
+    if (this.#isBusy || tick.nowMs < this.#notBeforeMs) return undefined;
     const call = this.#mustRead ? { kind: "read" } as const : this.#write(tick);
-    this.#isCalling = call !== undefined;
+    this.#isBusy = call !== undefined;
     return call;
   }
 
-  /** The call that `nextCall` asked for has ended. */
-  noteCallEnd(end: MapCallEnd, nowMs: number): void {
-    this.#isCalling = false;
-    if (end.kind === "unsure") return this.#backOff(nowMs);
+  /** Takes the result of the call that {@link nextCall} returned. */
+  noteCallResult(result: MapCallResult, nowMs: number): void {
+    this.#isBusy = false;
+    if (result.kind === "unsure") return this.#backOff(nowMs);
     this.#failures = 0;
-    if (end.kind === "absent") {
+    if (result.kind === "absent") {
       this.#mustRead = false;
-      // An object that was there once is never written anew from nothing.
+      // A map that was read before is never replaced by an initial map.
       this.#isAbsent = this.#stored === undefined;
       return;
     }
     const known = this.map?.revision ?? 0;
-    if (end.stored.map.revision < known) return this.#backOff(nowMs);
+    if (result.stored.map.revision < known) return this.#backOff(nowMs);
     this.#isAbsent = false;
     this.#mustRead = false;
-    if (end.kind === "written") this.#noteGiven(end.stored.map, nowMs);
-    this.#fencing.noteRanges(end.stored.map.ranges);
-    this.#stored = end.stored;
-    this.#forgetOldMoves();
+    if (result.kind === "written") this.#addFencing(result.stored.map, nowMs);
+    this.#fencing.noteRanges(result.stored.map.ranges);
+    this.#stored = result.stored;
+    this.#dropFinishedHandovers();
   }
 
-  /** Takes note of promises; called after each keeper's status. */
-  checkPromises(nowMs: number, gone: ReadonlySet<contracts.VmId>): void {
+  /** Notes quorum acknowledgements; called after each voter's report. */
+  checkAcknowledgements(
+    nowMs: number,
+    removedVoters: ReadonlySet<contracts.VmId>,
+  ): void {
     const map = this.map;
     if (map === undefined) return;
-    for (const revision of this.#openRevisions(map)) {
-      if (this.#promisedAtMs.has(revision)) continue;
-      if (!this.#keepers.hasPromise(map, revision, gone)) continue;
-      this.#promisedAtMs.set(revision, nowMs);
+    for (const revision of this.#revisionsInHandover(map)) {
+      if (this.#acknowledgedAtMs.has(revision)) continue;
+      if (!this.#reports.isAcknowledged(map, revision, removedVoters)) continue;
+      this.#acknowledgedAtMs.set(revision, nowMs);
     }
   }
 
-  /** Releases to send now; each is returned once until its end is noted. */
+  /** Releases to send now; each is returned once until its result is noted. */
   takeReleases(
     nowMs: number,
     hasEnded: (owner: contracts.RangeOwner) => boolean,
   ): ReleaseCall[] {
-    // By an old map, keys might be released that their owner has got again.
+    // By a stale map, keys might be released that their owner owns again.
     if (this.#mustRead) return [];
     const calls: ReleaseCall[] = [];
     const { map } = this;
     for (const range of map?.ranges ?? []) {
-      const old = range.vacating;
-      if (old === undefined || hasEnded(old)) continue;
+      const oldOwner = range.vacating;
+      if (oldOwner === undefined || hasEnded(oldOwner)) continue;
       if (!this.#mayRelease(map!, range, nowMs)) continue;
-      this.#release(range.fence).underWayMs = nowMs;
-      calls.push({ range, old });
+      this.#release(range.fence).sentAtMs = nowMs;
+      calls.push({ range, oldOwner });
     }
-    return [...calls, ...this.#fencing.take(nowMs, hasEnded)];
+    return [...calls, ...this.#fencing.takeDue(nowMs, hasEnded)];
   }
 
-  /** A release was answered, or failed and may be sent again. */
-  noteRelease(
+  /** Takes the result of a release; a failed one is retried. */
+  noteReleaseResult(
     fence: number,
-    end: { readonly handover: string | undefined } | "failed",
+    result: { readonly handover: string | undefined } | "failed",
     nowMs: number,
   ): void {
-    if (this.#fencing.noteEnd(fence, end !== "failed", nowMs)) return;
+    if (this.#fencing.noteResult(fence, result !== "failed", nowMs)) return;
     const release = this.#release(fence);
-    const leftAtMs = release.underWayMs ?? nowMs;
-    release.underWayMs = undefined;
-    if (end === "failed") {
+    const releaseSentAtMs = release.sentAtMs ?? nowMs;
+    release.sentAtMs = undefined;
+    if (result === "failed") {
       release.notBeforeMs = nowMs + RELEASE_RETRY_MS;
       return;
     }
-    release.answered = { leftAtMs, doneAtMs: nowMs };
-    release.handover = end.handover ?? release.handover;
+    release.answered = { sentAtMs: releaseSentAtMs, answeredAtMs: nowMs };
+    release.handover = result.handover ?? release.handover;
   }
 
-  /** Ranges that a map gives on without an answer of their old owner. */
-  #noteGiven({ ranges }: contracts.RangeMap, nowMs: number): void {
-    const settled = new Set(
-      ranges.filter((it) => it.vacating === undefined).map((it) => it.fence),
+  /** Keeps releasing ranges reassigned without an answer of the old owner. */
+  #addFencing({ ranges }: contracts.RangeMap, nowMs: number): void {
+    const finished = new Set(
+      ranges.filter((range) => range.vacating === undefined)
+        .map((range) => range.fence),
     );
     for (const range of this.map?.ranges ?? []) {
-      const { fence, vacating: old } = range;
-      if (old === undefined || !settled.has(fence)) continue;
+      const { fence, vacating: oldOwner } = range;
+      if (oldOwner === undefined || !finished.has(fence)) continue;
       if (this.#releases.get(fence)?.answered !== undefined) continue;
-      this.#fencing.add({ range, old, isFencing: true }, nowMs);
+      this.#fencing.add({ range, oldOwner, isFencing: true }, nowMs);
     }
   }
 
@@ -226,88 +231,92 @@
     nowMs: number,
   ): boolean {
     const { revision, server } = range.vacating!;
-    const promisedAtMs = this.#promisedAtMs.get(revision);
+    const acknowledgedAtMs = this.#acknowledgedAtMs.get(revision);
     const release = this.#release(range.fence);
-    const isUnderWay = release.underWayMs !== undefined;
-    if (promisedAtMs === undefined || isUnderWay) return false;
+    const isInFlight = release.sentAtMs !== undefined;
+    if (acknowledgedAtMs === undefined || isInFlight) return false;
     if (nowMs < release.notBeforeMs) return false;
     if (release.answered !== undefined) {
       return isReleaseVoid(this.#facts(map, range, false));
     }
-    const knows = (vm: contracts.VmId) => {
-      const word = this.#keepers.word(vm);
-      if (word === undefined || word.revision < revision) return false;
-      const endMs = word.lastGrantMs.get(server) ?? Number.NEGATIVE_INFINITY;
-      // A grant that is under way ends when the word is told.
-      return endMs < word.receivedAtMs;
+    const hasAcknowledged = (vm: contracts.VmId) => {
+      const report = this.#reports.reportOf(vm);
+      if (report === undefined || report.revision < revision) return false;
+      const endMs = report.lastGrantMs.get(server) ?? Number.NEGATIVE_INFINITY;
+      // The reported end of a grant in flight is the time of the report.
+      return endMs < report.receivedAtMs;
     };
-    const allKnow = [...new Set(map.keeperSets.flat())].every(knows);
-    return allKnow || nowMs - promisedAtMs >= RELEASE_WAIT_MS;
+    const allAcknowledged = [...new Set(map.keeperSets.flat())].every(
+      hasAcknowledged,
+    );
+    return allAcknowledged || nowMs - acknowledgedAtMs >= RELEASE_WAIT_MS;
   }
 
   #facts(
     map: contracts.RangeMap,
     range: contracts.RangeState,
     hasEnded: boolean,
-  ): RangeWaitFacts {
+  ): HandoverFacts {
     return {
       map,
       range,
-      keepers: this.#keepers,
-      promisedAtMs: this.#promisedAtMs.get(range.vacating!.revision),
+      reports: this.#reports,
+      acknowledgedAtMs: this.#acknowledgedAtMs.get(range.vacating!.revision),
       release: this.#releases.get(range.fence)?.answered,
       hasEnded,
       timings: this.#timings,
     };
   }
 
-  #write(tick: RangeMoverTick): MapCall | undefined {
-    if (this.#stored === undefined) return this.#firstWrite(tick);
+  #write(tick: HandoverTick): MapCall | undefined {
+    if (this.#stored === undefined) return this.#initialWrite(tick);
     const { map, version } = this.#stored;
     const revision = map.revision + 1;
-    let freed = 0;
-    const settled = edit.settle(map.ranges, (range) => {
+    let finishedCount = 0;
+    const finished = edit.finishHandovers(map.ranges, (range) => {
       const isFree = this.#isFree(map, range, tick);
-      if (isFree) freed++;
+      if (isFree) finishedCount++;
       return isFree;
     });
     const moves = tick.plan(map);
-    const vacated = edit.vacate(settled, moves, {
+    const started = edit.startHandovers(finished, moves, {
       revision,
       lastFence: map.lastFence,
     });
-    const keeperSets = this.#nextKeeperSets(map, tick);
-    const holdMs = Math.max(holdOf(map, this.#timings), tick.holdMs);
-    const isSettling = freed > 0 && !this.#awaitsMore(tick.nowMs);
-    const isChanged = isSettling || moves.length > 0 ||
-      keeperSets !== map.keeperSets || holdMs > holdOf(map, this.#timings);
+    const keeperSets = this.#nextVoterSets(map, tick);
+    const holdMs = Math.max(leaseDurationMs(map, this.#timings), tick.leaseMs);
+    const isFinishing = finishedCount > 0 &&
+      !this.#shouldWaitForMore(tick.nowMs);
+    const isChanged = isFinishing || moves.length > 0 ||
+      keeperSets !== map.keeperSets ||
+      holdMs > leaseDurationMs(map, this.#timings);
     if (!isChanged) return undefined;
-    this.#freeSinceMs = undefined;
-    const next = { ...map, ...vacated, revision, keeperSets, holdMs };
+    this.#finishedSinceMs = undefined;
+    const next = { ...map, ...started, revision, keeperSets, holdMs };
     return this.#writeCall(next, { kind: "version", version }, tick);
   }
 
-  /** Whether more moves are about to end, and the free ones can wait. */
-  #awaitsMore(nowMs: number): boolean {
-    this.#freeSinceMs ??= nowMs;
-    const isUnderWay = [...this.#releases.values()].some(({ underWayMs }) =>
-      underWayMs !== undefined
+  /** Whether finished handovers can wait for others that finish soon. */
+  #shouldWaitForMore(nowMs: number): boolean {
+    this.#finishedSinceMs ??= nowMs;
+    const isInFlight = [...this.#releases.values()].some(({ sentAtMs }) =>
+      sentAtMs !== undefined
     );
-    return isUnderWay && nowMs - this.#freeSinceMs < SETTLE_BATCH_MS;
+    return isInFlight && nowMs - this.#finishedSinceMs < FINISH_BATCH_MS;
   }
 
-  #firstWrite(tick: RangeMoverTick): MapCall | undefined {
+  #initialWrite(tick: HandoverTick): MapCall | undefined {
     const owners = [...tick.usable.values()];
     const isReady = this.#isAbsent && owners.length > 0 &&
-      tick.keepers.length > 0;
+      tick.voters.length > 0;
     if (!isReady) return undefined;
-    const ranges = edit.firstRanges(owners);
+    const ranges = edit.initialRanges(owners);
     const first = {
       service: this.#service,
       revision: 1,
       lastFence: owners.length,
-      keeperSets: [[...tick.keepers]],
-      holdMs: Math.max(this.#timings.holdMs, tick.holdMs),
+      keeperSets: [[...tick.voters]],
+      holdMs: Math.max(this.#timings.holdMs, tick.leaseMs),
       ranges,
     };
     return this.#writeCall(first, { kind: "absent" }, tick);
@@ -316,7 +325,7 @@
   #writeCall(
     map: Omit<contracts.RangeMap, "nonce">,
     condition: contracts.WriteCondition,
-    tick: RangeMoverTick,
+    tick: HandoverTick,
   ): MapCall {
     return { kind: "write", map: { ...map, nonce: tick.nonce() }, condition };
   }
@@ -324,36 +333,40 @@
   #isFree(
     map: contracts.RangeMap,
     range: contracts.RangeState,
-    tick: RangeMoverTick,
+    tick: HandoverTick,
   ): boolean {
     if (!tick.usable.has(range.owner.server)) return false;
-    const old = range.vacating!;
-    const atMs = freeAtMs(this.#facts(map, range, tick.hasEnded(old)));
+    const oldOwner = range.vacating!;
+    const atMs = freeAtMs(this.#facts(map, range, tick.hasEnded(oldOwner)));
     return atMs !== undefined && atMs <= tick.nowMs;
   }
 
-  /** Keeper sets of the next revision; the same object when none changes. */
-  #nextKeeperSets(
+  /** Voter sets of the next revision; the same object when nothing changes. */
+  #nextVoterSets(
     map: contracts.RangeMap,
-    tick: RangeMoverTick,
+    tick: HandoverTick,
   ): contracts.RangeMap["keeperSets"] {
     const last = map.keeperSets.at(-1)!;
-    const isPromised = this.#keepers.hasPromise(map, map.revision, tick.gone);
+    const isAcknowledged = this.#reports.isAcknowledged(
+      map,
+      map.revision,
+      tick.removedVoters,
+    );
     const hasEarlier = map.keeperSets.length > 1;
-    if (hasEarlier && isPromised) return [last];
-    const isSame = last.length === tick.keepers.length &&
-      tick.keepers.every((vm) => last.includes(vm));
-    if (hasEarlier || isSame || tick.keepers.length === 0) {
+    if (hasEarlier && isAcknowledged) return [last];
+    const isSame = last.length === tick.voters.length &&
+      tick.voters.every((vm) => last.includes(vm));
+    if (hasEarlier || isSame || tick.voters.length === 0) {
       return map.keeperSets;
     }
-    return [...map.keeperSets, [...tick.keepers]];
+    return [...map.keeperSets, [...tick.voters]];
   }
 
   #release(fence: number): Release {
     const found = this.#releases.get(fence);
     if (found !== undefined) return found;
     const created: Release = {
-      underWayMs: undefined,
+      sentAtMs: undefined,
       answered: undefined,
       notBeforeMs: Number.NEGATIVE_INFINITY,
       handover: undefined,
@@ -362,7 +375,7 @@
     return created;
   }
 
-  #openRevisions(map: contracts.RangeMap): Set<number> {
+  #revisionsInHandover(map: contracts.RangeMap): Set<number> {
     const revisions = new Set<number>();
     for (const { vacating } of map.ranges) {
       if (vacating !== undefined) revisions.add(vacating.revision);
@@ -370,11 +383,11 @@
     return revisions;
   }
 
-  #forgetOldMoves(): void {
+  #dropFinishedHandovers(): void {
     const { map } = this.#stored!;
-    const open = this.#openRevisions(map);
-    for (const revision of this.#promisedAtMs.keys()) {
-      if (!open.has(revision)) this.#promisedAtMs.delete(revision);
+    const open = this.#revisionsInHandover(map);
+    for (const revision of this.#acknowledgedAtMs.keys()) {
+      if (!open.has(revision)) this.#acknowledgedAtMs.delete(revision);
     }
     const fences = new Set(map.ranges.map(({ fence }) => fence));
     for (const fence of this.#releases.keys()) {
--- a/packages/decisions/src/grants/range_mover_test.ts
+++ b/packages/decisions/src/grants/range_mover_test.ts
@@ -5,7 +5,7 @@
 import * as grants from "./mod.ts";
 
 const SERVICE = "availability" as contracts.ServiceId;
-const KEEPER = "k1" as contracts.VmId;
+const VOTER = "k1" as contracts.VmId;
 const MOVES = 20;
 const STEP_MS = 5;
 const START_MS = 10_000;
@@ -15,11 +15,11 @@
   return { server: name as contracts.ServerId, bornMs: 1 };
 }
 
-/** Two servers, of which one gives many ranges to the other. */
+/** Two servers, with many ranges handed over from one to the other. */
 class Fixture {
   nowMs = START_MS;
-  readonly #keepers = new grants.KeeperBook();
-  readonly mover = new grants.RangeMover(
+  readonly #keepers = new grants.VoterReports();
+  readonly controller = new grants.HandoverController(
     SERVICE,
     this.#keepers,
     grants.DEFAULT_GRANT_TIMINGS,
@@ -38,13 +38,13 @@
     }));
   }
 
-  /** Answers each release after a time of its own. */
+  /** Runs for a second; each release is answered after a different delay. */
   run(): void {
     const endMs = this.nowMs + RUN_MS;
     for (; this.nowMs < endMs; this.nowMs += STEP_MS) this.#step();
   }
 
-  /** Runs until the moves are written, and no release is due yet. */
+  /** Runs until the start of the handovers is written, before any release. */
   runUntilMoving(): void {
     for (; this.movingRanges === 0; this.nowMs += STEP_MS) this.#step();
   }
@@ -52,8 +52,8 @@
   /** Releases that are due now. */
   takeReleases(): grants.ReleaseCall[] {
     this.#hear();
-    this.mover.checkPromises(this.nowMs, new Set());
-    return this.mover.takeReleases(this.nowMs, () => false);
+    this.controller.checkAcknowledgements(this.nowMs, new Set());
+    return this.controller.takeReleases(this.nowMs, () => false);
   }
 
   get movingRanges(): number {
@@ -61,44 +61,44 @@
   }
 
   #step(): void {
-    const { mover, nowMs } = this;
+    const { controller, nowMs } = this;
     this.#hear();
-    mover.checkPromises(nowMs, new Set());
-    for (const { range } of mover.takeReleases(nowMs, () => false)) {
+    controller.checkAcknowledgements(nowMs, new Set());
+    for (const { range } of controller.takeReleases(nowMs, () => false)) {
       const atMs = nowMs + STEP_MS * (1 + this.#answers.length % MOVES);
       this.#answers.push({ fence: range.fence, atMs });
     }
     for (const { fence, atMs } of this.#answers) {
       if (atMs === nowMs) {
-        mover.noteRelease(fence, { handover: "h" }, nowMs);
+        controller.noteReleaseResult(fence, { handover: "h" }, nowMs);
       }
     }
-    const call = mover.nextCall(this.#tick());
+    const call = controller.nextCall(this.#tick());
     if (call === undefined) return;
     if (call.kind === "read") {
-      return mover.noteCallEnd({ kind: "absent" }, nowMs);
+      return controller.noteCallResult({ kind: "absent" }, nowMs);
     }
     this.writes++;
     this.#map = call.map;
     const stored = { map: call.map, version: String(this.writes) };
-    mover.noteCallEnd({ kind: "written", stored }, nowMs);
+    controller.noteCallResult({ kind: "written", stored }, nowMs);
   }
 
   #hear(): void {
-    this.#keepers.noteWord({
-      vm: KEEPER,
+    this.#keepers.noteReport({
+      vm: VOTER,
       revision: this.#map?.revision ?? 0,
-      isSettled: true,
-      askedAtMs: this.nowMs,
+      hasReadMap: true,
+      requestedAtMs: this.nowMs,
       receivedAtMs: this.nowMs,
       startedAtMs: 0,
-      // Its ranges would be free without a release only much later.
+      // Without a release the ranges would be free only much later.
       lastGrantMs: new Map([[owner("a").server, START_MS]]),
       lastUnansweredMs: new Map(),
     });
   }
 
-  #tick(): grants.RangeMoverTick {
+  #tick(): grants.HandoverTick {
     const isFirst = this.#map === undefined;
     const usable = (isFirst ? ["a"] : ["a", "b"]).map((name) =>
       [
@@ -110,9 +110,9 @@
       nowMs: this.nowMs,
       usable: new Map(usable),
       hasEnded: () => false,
-      keepers: [KEEPER],
-      gone: new Set(),
-      holdMs: grants.DEFAULT_GRANT_TIMINGS.holdMs,
+      voters: [VOTER],
+      removedVoters: new Set(),
+      leaseMs: grants.DEFAULT_GRANT_TIMINGS.holdMs,
       plan: () => {
         const moves = isFirst ? [] : this.#moves;
         if (!isFirst) this.#moves = [];
@@ -123,24 +123,24 @@
   }
 }
 
-/** Guards against a write to the store for each end of many moves. */
-test("should write the ends of many moves together", () => {
+/** Guards against one write to the store for each finished handover. */
+test("should batch the writes that finish handovers", () => {
   const fixture = new Fixture();
   fixture.run();
   expect(fixture.movingRanges).toEqual(0);
-  // The first map, the moves, and their ends in a few groups.
+  // The initial map, the start of the handovers, and their ends in batches.
   expect(fixture.writes <= 6).toEqual(true);
 });
 
-/** Guards against a release of keys that their old owner has got again. */
-test("should not release keys by a map that is known to be old", () => {
+/** Guards against a release of keys that their old owner owns again. */
+test("should not release keys by a map that is known to be stale", () => {
   const fixture = new Fixture();
   fixture.runUntilMoving();
-  fixture.mover.noteNewer(99);
+  fixture.controller.noteNewerRevision(99);
   expect(fixture.takeReleases()).toEqual([]);
 });
 
-test("should release keys by the latest map that is known", () => {
+test("should release keys by the latest known map", () => {
   const fixture = new Fixture();
   fixture.runUntilMoving();
   expect(fixture.takeReleases().length).toEqual(MOVES);
--- a/packages/decisions/src/grants/range_news.ts
+++ b/packages/decisions/src/grants/range_news.ts
@@ -1,28 +1,28 @@
-/** What the mover tells all entry VMs of the range map. */
+/** Recent revisions of a range map, from which updates to peers are made. */
 import type * as contracts from "@guavatide/contracts";
 import { changedRanges } from "./range_difference.ts";
 
-/** A map as differences from an earlier revision. */
-export interface RangeMapChange {
-  /** The map with only those ranges that differ. */
+/** A map as the difference from an earlier revision. */
+export interface RangeMapDelta {
+  /** The map, with only the ranges that differ. */
   readonly map: contracts.RangeMap;
-  /** Whoever knows this revision or a later one can work out the map. */
+  /** A VM that knows this revision or a later one can compute the map. */
   readonly baseRevision: number;
 }
 
-/** Differences go back so far: after a few lost datagrams no read is needed. */
+/** Age of the base revision: a VM that lost a few datagrams needs no read. */
 const MAX_BASE_AGE_MS = 2_000;
-/** Bounds the size of a datagram: larger ones are lost more often. */
+/** Limits the size of a datagram: larger ones are lost more often. */
 const MAX_RANGES = 90;
 
-/** The last maps of one service, to tell their differences. */
-export class RangeNews {
+/** The last revisions of one service's map. */
+export class RangeMapHistory {
   #history: { readonly map: contracts.RangeMap; readonly atMs: number }[] = [];
 
-  /** A map came in force here. */
+  /** Adds a map that has come into force on this VM. */
   noteMap(map: contracts.RangeMap, nowMs: number): void {
     this.#history.push({ map, atMs: nowMs });
-    // One that is older than the base age stays as the base.
+    // The newest revision older than the base age stays as the base.
     while (
       this.#history.length > 1 &&
       nowMs - this.#history[1]!.atMs > MAX_BASE_AGE_MS
@@ -31,8 +31,12 @@
     }
   }
 
-  /** The latest map as differences; the whole of a small first one. */
-  change(): RangeMapChange | undefined {
+  /**
+   * The latest map as a delta; a small initial map whole. With too many changes
+   * the delta is empty and based on the latest revision: receivers then read
+   * the store.
+   */
+  latestDelta(): RangeMapDelta | undefined {
     const latest = this.#history.at(-1)?.map;
     if (latest === undefined) return undefined;
     if (latest.revision === 1 && latest.ranges.length <= MAX_RANGES) {
--- a/packages/decisions/src/grants/range_news_test.ts
+++ b/packages/decisions/src/grants/range_news_test.ts
@@ -7,7 +7,7 @@
   return { server: `s${index}` as contracts.ServerId, bornMs: 1 };
 }
 
-function firstMap(servers: number): contracts.RangeMap {
+function initialMap(servers: number): contracts.RangeMap {
   const owners = Array.from(
     { length: servers },
     (_, index) => ({ ...owner(index), slots: 2 }),
@@ -18,12 +18,12 @@
     lastFence: servers,
     nonce: "n1",
     keeperSets: [["vm1" as contracts.VmId]],
-    ranges: grants.firstRanges(owners),
+    ranges: grants.initialRanges(owners),
   };
 }
 
-/** A later map, with a few keys taken from their owner. */
-function moved(
+/** The next revision, with a few keys in handover. */
+function withHandover(
   map: contracts.RangeMap,
   fromKey: number,
   to: number,
@@ -34,50 +34,52 @@
   return {
     ...map,
     revision,
-    ...grants.vacate(map.ranges, [move], { revision, lastFence }),
+    ...grants.startHandovers(map.ranges, [move], { revision, lastFence }),
   };
 }
 
-function settled(map: contracts.RangeMap): contracts.RangeMap {
-  const ranges = grants.settle(map.ranges, () => true);
+function withFinishedHandovers(map: contracts.RangeMap): contracts.RangeMap {
+  const ranges = grants.finishHandovers(map.ranges, () => true);
   return { ...map, revision: map.revision + 1, ranges };
 }
 
-test("should bring a VM from any of the last maps to the latest", () => {
-  const maps = [firstMap(193)];
+test("should update a VM from any recent revision to the latest", () => {
+  const maps = [initialMap(193)];
   for (let step = 0; step < 6; step++) {
     const last = maps.at(-1)!;
     maps.push(
-      step % 2 === 0 ? moved(last, 5_000 + 700 * step, step) : settled(last),
+      step % 2 === 0
+        ? withHandover(last, 5_000 + 700 * step, step)
+        : withFinishedHandovers(last),
     );
   }
-  const news = new grants.RangeNews();
-  for (const [index, map] of maps.entries()) news.noteMap(map, index * 100);
-  const { map, baseRevision } = news.change()!;
+  const history = new grants.RangeMapHistory();
+  for (const [index, map] of maps.entries()) history.noteMap(map, index * 100);
+  const { map, baseRevision } = history.latestDelta()!;
   expect(baseRevision).toEqual(1);
   expect(map.ranges.length < 20).toEqual(true);
   for (const known of maps) {
-    const ranges = grants.withChanges(known.ranges, map.ranges);
+    const ranges = grants.applyChanges(known.ranges, map.ranges);
     expect(ranges).toEqual(maps.at(-1)!.ranges);
   }
 });
 
-test("should tell no more than fits into a datagram", () => {
-  const news = new grants.RangeNews();
-  news.noteMap(firstMap(400), 0);
-  const { map, baseRevision } = news.change()!;
+test("should send no more than fits into a datagram", () => {
+  const history = new grants.RangeMapHistory();
+  history.noteMap(initialMap(400), 0);
+  const { map, baseRevision } = history.latestDelta()!;
   expect(map.ranges).toEqual([]);
-  // Nobody can work the map out from this: all read the store.
+  // Receivers can't compute the map from this and read the store.
   expect(baseRevision).toEqual(map.revision);
 });
 
-/** Guards against a map worked out from differences to another one. */
+/** Guards against a delta that is applied to the wrong base. */
 test("should refuse changes that leave a gap or an overlap", () => {
-  const map = firstMap(3);
+  const map = initialMap(3);
   const [first, second] = map.ranges;
   const shorter = { ...first!, toKey: first!.toKey - 5 };
-  expect(grants.withChanges(map.ranges, [shorter])).toEqual(undefined);
+  expect(grants.applyChanges(map.ranges, [shorter])).toEqual(undefined);
   const longer = { ...second!, toKey: second!.toKey + 5 };
-  expect(grants.withChanges(map.ranges, [longer])).toEqual(undefined);
-  expect(grants.withChanges([], [first!])).toEqual(undefined);
+  expect(grants.applyChanges(map.ranges, [longer])).toEqual(undefined);
+  expect(grants.applyChanges([], [first!])).toEqual(undefined);
 });
--- a/packages/decisions/src/grants/range_planner.ts
+++ b/packages/decisions/src/grants/range_planner.ts
@@ -1,78 +1,85 @@
 /**
- * Decides which key ranges go to which backend server: away from servers that
- * are lost or leave, and from servers with more load than they can carry.
+ * Plans moves of key ranges between backend servers: away from servers that are
+ * lost or leaving, to new servers, and from overloaded to less loaded servers.
  */
 import type * as contracts from "@guavatide/contracts";
 import { KEY_COUNT } from "@guavatide/contracts";
-import { planLoneKeys } from "./lone_keys.ts";
+import { planHotKeys } from "./lone_keys.ts";
 import { overlaps, type RangeMove } from "./range_edit.ts";
 import {
   type KeyRate,
   type RangePlanInput,
-  rateOf,
+  rangeRate,
+  ratesWithin,
   Utilization,
   WIDTH_RATE_PER_KEY,
-  within,
 } from "./range_load.ts";
 
 /**
- * Busy part above which a server gives keys away: below it requests rarely
- * wait, and a move holds them up.
+ * Utilization above which keys are moved off a server. Below it requests rarely
+ * queue, while a move delays them.
  */
 const HOT_UTILIZATION = 0.5;
-/** A server gives keys away only when busier than the mean by this ratio. */
+/** Keys are moved only off servers above the mean utilization by this ratio. */
 const HOT_RATIO = 1.2;
 /**
- * Standard deviations by which a load must exceed the level: more to start,
- * since short counts scatter; fewer to stop, or a hot server stays half
- * relieved.
+ * Standard deviations by which a load must exceed the level. More to start, as
+ * rates over a short window are noisy; fewer to stop, or a hot server would
+ * keep part of its excess load.
  */
 const START_DEVIATIONS = 2;
 const STOP_DEVIATIONS = 1;
-/** Moves in one plan at least; each costs a grant to renew from then on. */
+/** Moves that any plan may hold; each adds a grant that must be renewed. */
 const MIN_MOVES_PER_PLAN = 8;
-/** The same for each server: a hot spot has to be spread over all of them. */
+/** Moves per server in a larger plan: a hot spot is spread over all servers. */
 const MOVES_PER_SERVER = 0.25;
-/** Pieces that the keys of a server with a mean load are dealt out in. */
+/** Pieces that a lost server's keys are split into, at mean load. */
 const PIECES_PER_LOST_SERVER = 3;
-/** Ranges for each server beyond which none is split any more. */
+/** Ranges per server from which on no range is split any further. */
 const MAX_RANGES_PER_SERVER = 10;
 
-/** Plans moves. An empty list means that all may stay as it is. */
-export function planRanges(input: RangePlanInput): RangeMove[] {
+/** Plans moves. An empty list means that no range has to move. */
+export function planRangeMoves(input: RangePlanInput): RangeMove[] {
   if (input.servers.size === 0) return [];
-  const use = new Utilization(input.servers);
+  const utilization = new Utilization(input.servers);
   for (const range of input.ranges) {
-    use.add(range.owner.server, rateOf(input.rates, range));
+    utilization.add(range.owner.server, rangeRate(input.rates, range));
   }
-  const moves = planLosses(input, use);
+  const moves = planLostServers(input, utilization);
   if (!input.mayBalance || moves.length > 0) return moves;
-  const lone = planLoneKeys(input, use);
-  // While keys of a lost server wait, only a lone key is moved: it takes one
-  // server's place only.
-  const isSettled = input.ranges.every(({ vacating }) =>
-    vacating === undefined
-  );
-  if (!isSettled) return lone;
-  const newcomers = planNewcomers(input, use);
-  return newcomers.length > 0 ? newcomers : planHot(input, use, lone);
+  const hotKeys = planHotKeys(input, utilization);
+  // While handovers are in progress only single hot keys are moved: they
+  // affect one server each.
+  const isStable = input.ranges.every(({ vacating }) => vacating === undefined);
+  if (!isStable) return hotKeys;
+  const forNewServers = planNewServers(input, utilization);
+  return forNewServers.length > 0
+    ? forNewServers
+    : planRebalance(input, utilization, hotKeys);
 }
 
-function planLosses(input: RangePlanInput, use: Utilization): RangeMove[] {
+function planLostServers(
+  input: RangePlanInput,
+  utilization: Utilization,
+): RangeMove[] {
   const moves: RangeMove[] = [];
-  const total = rateOf(input.rates, ALL_KEYS);
+  const total = rangeRate(input.rates, ALL_KEYS);
   const perPiece = total / input.servers.size / PIECES_PER_LOST_SERVER;
   for (const range of input.ranges) {
     const { owner } = range;
     const server = input.servers.get(owner.server);
     if (server !== undefined && server.owner.bornMs === owner.bornMs) continue;
-    // A range that already waits for its next owner is given on whole.
+    // A range that is already in handover changes its next owner as a whole.
     const pieces = range.vacating === undefined
-      ? cut(input.rates, range, piecesOf(rateOf(input.rates, range), perPiece))
+      ? cut(
+        input.rates,
+        range,
+        piecesOf(rangeRate(input.rates, range), perPiece),
+      )
       : [range];
     for (const piece of pieces) {
-      const to = use.coldest()!;
-      use.add(to, rateOf(input.rates, piece));
+      const to = utilization.leastUtilized()!;
+      utilization.add(to, rangeRate(input.rates, piece));
       const { fromKey, toKey } = piece;
       moves.push({ fromKey, toKey, to: input.servers.get(to)!.owner });
     }
@@ -80,7 +87,7 @@
   return moves;
 }
 
-/** A range with little load stays whole: each piece is a grant to renew. */
+/** Pieces for a range; few with little load, as each is a grant to renew. */
 function piecesOf(perSecond: number, perPiece: number): number {
   const pieces = Math.round(perSecond / perPiece);
   return Math.min(PIECES_PER_LOST_SERVER, Math.max(1, pieces));
@@ -92,14 +99,14 @@
   range: contracts.KeyRange,
   count: number,
 ): contracts.KeyRange[] {
-  const perPiece = rateOf(rates, range) / count;
+  const perPiece = rangeRate(rates, range) / count;
   const pieces: contracts.KeyRange[] = [];
   let { fromKey } = range;
   let sum = 0;
   let nextKey = range.fromKey;
   const end = { key: range.toKey, perSecond: 0 };
-  for (const { key, perSecond } of [...within(rates, range), end]) {
-    // Between two keys that were asked for, load grows with the width.
+  for (const { key, perSecond } of [...ratesWithin(rates, range), end]) {
+    // Between two requested keys, load grows with the width.
     while (pieces.length < count - 1) {
       const missing = perPiece * (pieces.length + 1) - sum;
       const width = Math.ceil(missing / WIDTH_RATE_PER_KEY);
@@ -115,19 +122,22 @@
   return pieces.filter((piece) => piece.fromKey <= piece.toKey);
 }
 
-/** Gives keys to servers that own none, such as new ones. */
-function planNewcomers(input: RangePlanInput, use: Utilization): RangeMove[] {
+/** Moves a share of the keys to each server that owns none. */
+function planNewServers(
+  input: RangePlanInput,
+  utilization: Utilization,
+): RangeMove[] {
   const owners = new Set(input.ranges.map(({ owner }) => owner.server));
   const moves: RangeMove[] = [];
   const limit = movesPerPlan(input);
-  const total = rateOf(input.rates, ALL_KEYS);
+  const total = rangeRate(input.rates, ALL_KEYS);
   for (const [server, { owner, isCold }] of input.servers) {
     if (isCold || owners.has(server) || moves.length >= limit) continue;
     const piece = shareOfLargest(input, moves, total / input.servers.size);
     if (piece === undefined) break;
-    const rate = rateOf(input.rates, piece);
-    use.add(piece.from, -rate);
-    use.add(server, rate);
+    const rate = rangeRate(input.rates, piece);
+    utilization.add(piece.from, -rate);
+    utilization.add(server, rate);
     moves.push({ fromKey: piece.fromKey, toKey: piece.toKey, to: owner });
   }
   return moves;
@@ -142,7 +152,7 @@
 
 const ALL_KEYS: contracts.KeyRange = { fromKey: 0, toKey: KEY_COUNT - 1 };
 
-/** The end of the range with most load: a share, but at most half of it. */
+/** The upper end of the range with the most load: a share, at most half. */
 function shareOfLargest(
   input: RangePlanInput,
   moves: readonly RangeMove[],
@@ -150,40 +160,44 @@
 ): (contracts.KeyRange & { readonly from: contracts.ServerId }) | undefined {
   let largest: contracts.KeyRange | undefined;
   let from: contracts.ServerId | undefined;
-  let most = 0;
+  let mostPerSecond = 0;
   for (const { part, server } of ownedParts(input, moves)) {
-    const rate = rateOf(input.rates, part);
-    if (rate <= most || part.fromKey === part.toKey) continue;
+    const rate = rangeRate(input.rates, part);
+    if (rate <= mostPerSecond || part.fromKey === part.toKey) continue;
     largest = part;
     from = server;
-    most = rate;
+    mostPerSecond = rate;
   }
   if (largest === undefined) return undefined;
-  const count = Math.max(2, Math.round(most / sharePerSecond));
+  const count = Math.max(2, Math.round(mostPerSecond / sharePerSecond));
   const last = cut(input.rates, largest, count).at(-1)!;
   const isPart = last.fromKey > largest.fromKey;
   return isPart ? { ...last, from: from! } : undefined;
 }
 
-/** Moves dense pieces from servers above the level to those below it. */
-function planHot(
+/** Moves dense pieces from servers above the level to servers below it. */
+function planRebalance(
   input: RangePlanInput,
-  use: Utilization,
+  utilization: Utilization,
   planned: readonly RangeMove[],
 ): RangeMove[] {
   const moves = [...planned];
   const limit = input.servers.size * MAX_RANGES_PER_SERVER;
-  const level = Math.max(HOT_UTILIZATION, use.mean * HOT_RATIO);
-  if (!use.exceeds(level, START_DEVIATIONS)) return moves;
+  const level = Math.max(HOT_UTILIZATION, utilization.mean * HOT_RATIO);
+  if (!utilization.exceeds(level, START_DEVIATIONS)) return moves;
   const exhausted = new Set<contracts.ServerId>();
-  // With no splits left, ranges still move whole, or the map stays uneven.
+  // At the limit of ranges, whole ranges still move, or load stays uneven.
   const maySplit = input.ranges.length < limit;
   while (moves.length < movesPerPlan(input)) {
-    const hot = use.hottest(exhausted);
-    const cold = use.coldest();
+    const hot = utilization.mostUtilized(exhausted);
+    const cold = utilization.leastUtilized();
     if (hot === undefined || cold === undefined) break;
-    if (use.atLeast(hot, STOP_DEVIATIONS) <= level) break;
-    const targetPerSecond = loadToMove(input, use, { hot, cold, level });
+    if (utilization.lowerBound(hot, STOP_DEVIATIONS) <= level) break;
+    const targetPerSecond = loadToMove(input, utilization, {
+      hot,
+      cold,
+      level,
+    });
     const piece = maySplit
       ? densePiece(input, moves, hot, targetPerSecond)
       : wholeRange(input, moves, hot, targetPerSecond);
@@ -191,8 +205,8 @@
       exhausted.add(hot);
       continue;
     }
-    use.add(hot, -piece.perSecond);
-    use.add(cold, piece.perSecond);
+    utilization.add(hot, -piece.perSecond);
+    utilization.add(cold, piece.perSecond);
     const { fromKey, toKey } = piece;
     moves.push({ fromKey, toKey, to: input.servers.get(cold)!.owner });
   }
@@ -200,35 +214,38 @@
 }
 
 /** Two servers between which load is to be moved. */
-interface HotAndCold {
+interface RebalancePair {
   readonly hot: contracts.ServerId;
   readonly cold: contracts.ServerId;
-  /** Busy part up to which a server may be filled. */
+  /** Utilization up to which the cold server may be filled. */
   readonly level: number;
 }
 
 /**
- * Load to move: down to the mean at the sender, up to the level at the
- * receiver, and no more than makes both equally busy.
+ * Load to move in requests per second: it brings the hot server at most down to
+ * the mean and the cold one at most up to the level, and both at most to equal
+ * utilization.
  */
 function loadToMove(
   { servers }: RangePlanInput,
-  use: Utilization,
-  { hot, cold, level }: HotAndCold,
+  utilization: Utilization,
+  { hot, cold, level }: RebalancePair,
 ): number {
-  const { capacityPerSecond: ofHot } = servers.get(hot)!;
-  const { capacityPerSecond: ofCold } = servers.get(cold)!;
-  const excess = (use.of(hot) - use.mean) * ofHot;
-  const half = (use.of(hot) - use.of(cold)) / 2 * Math.min(ofHot, ofCold);
-  const room = (level - use.of(cold)) * ofCold / MAX_PIECE_PART;
-  return Math.min(excess, half, room);
+  const { capacityPerSecond: hotCapacity } = servers.get(hot)!;
+  const { capacityPerSecond: coldCapacity } = servers.get(cold)!;
+  const excess = (utilization.of(hot) - utilization.mean) * hotCapacity;
+  const half = (utilization.of(hot) - utilization.of(cold)) / 2 *
+    Math.min(hotCapacity, coldCapacity);
+  const capacityLeft = (level - utilization.of(cold)) * coldCapacity /
+    MAX_PIECE_PART;
+  return Math.min(excess, half, capacityLeft);
 }
 
 interface Piece extends contracts.KeyRange {
   readonly perSecond: number;
 }
 
-/** The fewest keys of a server that carry about the target load. */
+/** The densest piece of a server's keys with about the target load. */
 function densePiece(
   input: RangePlanInput,
   moves: readonly RangeMove[],
@@ -238,7 +255,7 @@
   let best: Piece | undefined;
   for (const owned of ownedParts(input, moves)) {
     if (owned.server !== server) continue;
-    const rates = within(input.rates, owned.part);
+    const rates = ratesWithin(input.rates, owned.part);
     const piece = denseWindow(rates, targetPerSecond);
     const isDenser = piece !== undefined &&
       (best === undefined || density(piece) > density(best));
@@ -247,10 +264,10 @@
   return best;
 }
 
-/** Part of the target load that a whole range must carry; it costs no grant. */
+/** Least fraction of the target load in a whole range; it adds no grant. */
 const MIN_WHOLE_RANGE_PART = 0.05;
 
-/** The range of a server whose load comes nearest to the target. */
+/** The range of a server whose load is closest to the target. */
 function wholeRange(
   input: RangePlanInput,
   moves: readonly RangeMove[],
@@ -260,7 +277,7 @@
   let best: Piece | undefined;
   for (const { part, server: owner } of ownedParts(input, moves)) {
     if (owner !== server) continue;
-    const perSecond = rateOf(input.rates, part);
+    const perSecond = rangeRate(input.rates, part);
     if (perSecond > targetPerSecond * MAX_PIECE_PART) continue;
     if (perSecond < targetPerSecond * MIN_WHOLE_RANGE_PART) continue;
     if (best !== undefined && best.perSecond >= perSecond) continue;
@@ -270,8 +287,8 @@
 }
 
 /**
- * Cost of a move in keys, for the grant to renew: favours few large ranges over
- * many small ones.
+ * Cost of a move, in keys: each adds a grant to renew, so few large ranges are
+ * better than many small ones.
  */
 const MOVE_COST_KEYS = 128;
 
@@ -279,13 +296,13 @@
   return perSecond / (toKey - fromKey + 1 + MOVE_COST_KEYS);
 }
 
-/** A part of a range, and the server that owns it. */
+/** A part of a range and the server that owns it. */
 interface OwnedPart {
   readonly part: contracts.KeyRange;
   readonly server: contracts.ServerId;
 }
 
-/** What may be moved: parts that have an owner and that no move covers. */
+/** Parts of ranges that may be moved: neither in handover nor in the plan. */
 function* ownedParts(
   { ranges }: RangePlanInput,
   moves: readonly RangeMove[],
@@ -298,7 +315,7 @@
   }
 }
 
-/** Parts of a range that no move of the plan covers. */
+/** Parts of a range that no planned move covers. */
 function freeParts(
   range: contracts.KeyRange,
   moves: readonly RangeMove[],
@@ -318,9 +335,9 @@
   return parts;
 }
 
-/** Part of the target load that a piece must carry to be worth a move. */
+/** Least fraction of the target load that makes a piece worth a move. */
 const MIN_PIECE_PART = 0.3;
-/** Part beyond the target load that a piece may carry. */
+/** Largest load of a piece, as a fraction of the target load. */
 const MAX_PIECE_PART = 1.1;
 
 /** The densest window of keys whose load is about the target. */
--- a/packages/decisions/src/grants/range_planner_test.ts
+++ b/packages/decisions/src/grants/range_planner_test.ts
@@ -17,7 +17,7 @@
 }
 
 function evenRanges(count: number): contracts.RangeState[] {
-  return grants.firstRanges(
+  return grants.initialRanges(
     Array.from({ length: count }, (_, index) => ({
       ...owner(index),
       slots: 3,
@@ -25,13 +25,16 @@
   );
 }
 
-/** Load of each server after the moves, in requests a second. */
+/** Load of each server after the moves, in requests per second. */
 function loadsAfter(
   ranges: readonly contracts.RangeState[],
   moves: readonly grants.RangeMove[],
   rates: readonly grants.KeyRate[],
 ): Map<contracts.ServerId, number> {
-  const after = grants.vacate(ranges, moves, { revision: 2, lastFence: 99 });
+  const after = grants.startHandovers(ranges, moves, {
+    revision: 2,
+    lastFence: 99,
+  });
   const loads = new Map<contracts.ServerId, number>();
   for (const { key, perSecond } of rates) {
     const range = after.ranges[grants.rangeIndex(after.ranges, key)]!;
@@ -54,25 +57,25 @@
   return found.sort((a, b) => a.key - b.key);
 }
 
-/** Guards against a hot spot that overloads its server, or the next one. */
+/** Guards against a hot spot that overloads its server or the next owner. */
 test("should spread a hot spot in two plans so that no server is overloaded", () => {
   const servers = serversOf(10);
   const hot = rates(100, 70);
   let ranges: readonly contracts.RangeState[] = evenRanges(10);
   let keysMoved = 0;
   for (let plan = 0; plan < 2; plan++) {
-    const moves = grants.planRanges({
+    const moves = grants.planRangeMoves({
       ranges,
       servers,
       rates: hot,
       mayBalance: true,
     });
     for (const { fromKey, toKey } of moves) keysMoved += toKey - fromKey + 1;
-    const vacated = grants.vacate(ranges, moves, {
+    const started = grants.startHandovers(ranges, moves, {
       revision: 2,
       lastFence: 100 * (plan + 1),
     });
-    ranges = grants.settle(vacated.ranges, () => true);
+    ranges = grants.finishHandovers(started.ranges, () => true);
   }
   const loads = loadsAfter(ranges, [], hot);
   const busiest = Math.max(...loads.values()) / 33;
@@ -80,7 +83,7 @@
   expect(keysMoved < 400).toEqual(true);
 });
 
-/** Guards against a hot spot that a large service relieves eight keys at a time. */
+/** Guards against a limit of 8 moves per plan in a large service. */
 test("should spread a hot spot over many servers of a large service", () => {
   const count = 144;
   const capacityPerSecond = 4.4;
@@ -93,25 +96,25 @@
   const hot = rates(124, 97);
   let ranges: readonly contracts.RangeState[] = evenRanges(count);
   for (let plan = 0; plan < 3; plan++) {
-    const moves = grants.planRanges({
+    const moves = grants.planRangeMoves({
       ranges,
       servers,
       rates: hot,
       mayBalance: true,
     });
-    const vacated = grants.vacate(ranges, moves, {
+    const started = grants.startHandovers(ranges, moves, {
       revision: plan + 2,
       lastFence: 1_000 * (plan + 1),
     });
-    ranges = grants.settle(vacated.ranges, () => true);
+    ranges = grants.finishHandovers(started.ranges, () => true);
   }
   const loads = loadsAfter(ranges, [], hot);
   const busiest = Math.max(...loads.values()) / capacityPerSecond;
   expect(busiest < 1).toEqual(true);
 });
 
-test("should leave an even load as it lies", () => {
-  const moves = grants.planRanges({
+test("should make no moves for an even load", () => {
+  const moves = grants.planRangeMoves({
     ranges: evenRanges(10),
     servers: serversOf(10),
     rates: rates(200, 0),
@@ -120,12 +123,12 @@
   expect(moves).toEqual([]);
 });
 
-/** Guards against one server that gets all keys of a lost one. */
-test("should deal out the keys of a lost server to several others", () => {
+/** Guards against one server that takes over all keys of a lost one. */
+test("should distribute the keys of a lost server over several others", () => {
   const servers = serversOf(10);
   servers.delete(owner(4).server);
   const ranges = evenRanges(10);
-  const moves = grants.planRanges({
+  const moves = grants.planRangeMoves({
     ranges,
     servers,
     rates: rates(200, 0),
@@ -137,8 +140,8 @@
 });
 
 /** Guards against a new server that stays without keys. */
-test("should give a server that has joined its share of keys", () => {
-  const moves = grants.planRanges({
+test("should move a share of the keys to a server that has joined", () => {
+  const moves = grants.planRangeMoves({
     ranges: evenRanges(4),
     servers: serversOf(5),
     rates: [],
@@ -150,14 +153,14 @@
   expect(width > contracts.KEY_COUNT / 10).toEqual(true);
 });
 
-test("should move nothing else while keys wait for their next owner", () => {
-  const vacated = grants.vacate(
+test("should move nothing else while keys are in handover", () => {
+  const started = grants.startHandovers(
     evenRanges(4),
     [{ fromKey: 0, toKey: 10, to: owner(2) }],
     { revision: 2, lastFence: 4 },
   );
-  const moves = grants.planRanges({
-    ranges: vacated.ranges,
+  const moves = grants.planRangeMoves({
+    ranges: started.ranges,
     servers: serversOf(4),
     rates: rates(10, 200),
     mayBalance: true,
@@ -165,14 +168,14 @@
   expect(moves).toEqual([]);
 });
 
-/** Guards against a full map that stays uneven for good. */
+/** Guards against load that stays uneven at the limit of ranges. */
 test("should move whole ranges when no more may be split", () => {
   const even = rates(100, 0);
   const owned = evenRanges(50).map((range, index) => ({
     ...range,
     owner: owner(index < 46 ? 0 : index % 4),
   }));
-  const balanced = grants.planRanges({
+  const balanced = grants.planRangeMoves({
     ranges: owned,
     servers: serversOf(4),
     rates: even,
@@ -185,15 +188,15 @@
   expect(isWhole).toEqual(true);
 });
 
-/** Guards against keys for a server that has just started and bears little. */
-test("should give a cold server keys once it is warm", () => {
+/** Guards against keys moved to a server in slow start. */
+test("should move keys to a cold server once it is warm", () => {
   const ranges = evenRanges(4);
   const servers = serversOf(5);
-  const [newcomer, entry] = [...servers].at(-1)!;
+  const [newServer, entry] = [...servers].at(-1)!;
   const input = { ranges, rates: rates(100, 0), mayBalance: true };
-  servers.set(newcomer, { ...entry, isCold: true });
-  expect(grants.planRanges({ ...input, servers })).toEqual([]);
-  servers.set(newcomer, entry);
-  const [move] = grants.planRanges({ ...input, servers });
-  expect(move?.to.server).toEqual(newcomer);
+  servers.set(newServer, { ...entry, isCold: true });
+  expect(grants.planRangeMoves({ ...input, servers })).toEqual([]);
+  servers.set(newServer, entry);
+  const [move] = grants.planRangeMoves({ ...input, servers });
+  expect(move?.to.server).toEqual(newServer);
 });
--- a/packages/decisions/src/grants/range_wait.ts
+++ b/packages/decisions/src/grants/range_wait.ts
@@ -1,99 +1,108 @@
 /**
- * Whether the last owner of a vacating range can still hold it: grants run from
- * their arrival, so the end of the last grant call of any entry VM counts.
+ * Computes when the old owner of a range in handover can no longer hold a lease
+ * on it. Leases run from the arrival of a grant, so the end of the last grant
+ * call of any entry VM counts.
  */
 import type * as contracts from "@guavatide/contracts";
-import { holdOf } from "./grant_hold.ts";
-import { grantLifeMs, type GrantTimings } from "./grant_timings.ts";
-import type { KeeperBook, KeeperWord } from "./keeper_book.ts";
+import { leaseDurationMs } from "./grant_hold.ts";
+import { type GrantTimings, maxLeaseLifetimeMs } from "./grant_timings.ts";
+import type { VoterReport, VoterReports } from "./keeper_book.ts";
 
-/** A release that left after the promise and was answered. */
+/** A release that was sent after the quorum's acknowledgement and answered. */
 export interface AnsweredRelease {
-  readonly leftAtMs: number;
-  readonly doneAtMs: number;
+  readonly sentAtMs: number;
+  readonly answeredAtMs: number;
 }
 
-/** What the mover knows of one vacating range. */
-export interface RangeWaitFacts {
+/** What the handover controller knows of one range in handover. */
+export interface HandoverFacts {
   readonly map: contracts.RangeMap;
   readonly range: contracts.RangeState;
-  readonly keepers: KeeperBook;
-  /** When a majority of each keeper set was known to know the revision. */
-  readonly promisedAtMs: number | undefined;
+  readonly reports: VoterReports;
+  /** When a majority of each voter set was known to know the revision. */
+  readonly acknowledgedAtMs: number | undefined;
   /** The release that the old owner answered. */
   readonly release: AnsweredRelease | undefined;
-  /** Whether the old owner's run is known to have ended. */
+  /** Whether the old owner's incarnation is known to have ended. */
   readonly hasEnded: boolean;
   readonly timings: GrantTimings;
 }
 
 /**
- * When the range is free, on the mover's clock; undefined while that is not
- * known yet.
+ * When the next owner may be granted the range, on this VM's clock; undefined
+ * while that is not known yet.
  */
-export function freeAtMs(facts: RangeWaitFacts): number | undefined {
-  const { promisedAtMs, release, hasEnded } = facts;
+export function freeAtMs(facts: HandoverFacts): number | undefined {
+  const { acknowledgedAtMs, release, hasEnded } = facts;
   if (hasEnded) return Number.NEGATIVE_INFINITY;
-  if (promisedAtMs === undefined) return undefined;
-  const waitedOutMs = lastGrantEndMs(facts, promisedAtMs, "lastGrantMs");
-  if (release === undefined || isReleaseVoid(facts)) return waitedOutMs;
-  // A release undoes a grant that was answered before; one that was not
-  // answered may take effect after it.
-  const releasedMs = lastGrantEndMs(facts, promisedAtMs, "lastUnansweredMs");
-  return Math.min(waitedOutMs, Math.max(release.doneAtMs, releasedMs));
+  if (acknowledgedAtMs === undefined) return undefined;
+  const expiredMs = lastGrantEndMs(facts, acknowledgedAtMs, "lastGrantMs");
+  if (release === undefined || isReleaseVoid(facts)) return expiredMs;
+  // A release revokes a grant that was answered before it; an unanswered grant
+  // may take effect after it.
+  const releasedMs = lastGrantEndMs(
+    facts,
+    acknowledgedAtMs,
+    "lastUnansweredMs",
+  );
+  return Math.min(expiredMs, Math.max(release.answeredAtMs, releasedMs));
 }
 
 /**
- * Whether a grant to the old owner may have crossed the release: the owner then
- * holds the range again and must release it anew.
+ * Whether a grant to the old owner may have crossed the release. The owner may
+ * then hold the range again and must release it once more.
  */
-export function isReleaseVoid(facts: RangeWaitFacts): boolean {
-  const { release, keepers, range, map } = facts;
+export function isReleaseVoid(facts: HandoverFacts): boolean {
+  const { release, reports, range, map } = facts;
   if (release === undefined) return false;
   const { server, revision } = range.vacating!;
   return [...new Set(map.keeperSets.flat())].some((vm) => {
-    const word = keepers.word(vm);
-    // A keeper that is not heard is waited out instead.
-    if (word === undefined || word.revision < revision) return false;
-    const endMs = word.lastGrantMs.get(server) ?? Number.NEGATIVE_INFINITY;
-    return endMs >= release.leftAtMs;
+    const report = reports.reportOf(vm);
+    // Leases granted by an unresponsive voter are waited for instead.
+    if (report === undefined || report.revision < revision) return false;
+    const endMs = report.lastGrantMs.get(server) ?? Number.NEGATIVE_INFINITY;
+    return endMs >= release.sentAtMs;
   });
 }
 
-/** When the last grant that any keeper sent to the old owner is over. */
+/** When the last lease that any voter granted to the old owner expires. */
 function lastGrantEndMs(
-  { map, range, keepers, timings }: RangeWaitFacts,
-  promisedAtMs: number,
+  { map, range, reports, timings }: HandoverFacts,
+  acknowledgedAtMs: number,
   kind: "lastGrantMs" | "lastUnansweredMs",
 ): number {
   const { server, revision } = range.vacating!;
-  const { evidenceMs, orderTimeoutMs } = timings;
-  // A keeper that is not heard may act on its evidence until that is too old,
-  // and the bytes of its last call leave within the time of the call.
-  const unheardMs = promisedAtMs + evidenceMs + orderTimeoutMs;
+  const { confirmationTtlMs, grantTimeoutMs } = timings;
+  // An unresponsive voter may act on its confirmation until that expires, and
+  // the bytes of its last call leave within the timeout of the call.
+  const unresponsiveSentMs = acknowledgedAtMs + confirmationTtlMs +
+    grantTimeoutMs;
   let lastMs = Number.NEGATIVE_INFINITY;
   for (const vm of new Set(map.keeperSets.flat())) {
-    const word = keepers.word(vm);
-    const isHeard = word !== undefined && word.revision >= revision;
-    // What an earlier run of its process sent is not known to this one.
-    const sentMs = isHeard
-      ? Math.max(lastSentMs(word, kind, { server, timings }), word.startedAtMs)
-      : unheardMs;
+    const report = reports.reportOf(vm);
+    const isCurrent = report !== undefined && report.revision >= revision;
+    // A restarted process does not know the grants it sent before its start.
+    const sentMs = isCurrent
+      ? Math.max(
+        lastSentMs(report, kind, { server, timings }),
+        report.startedAtMs,
+      )
+      : unresponsiveSentMs;
     lastMs = Math.max(lastMs, sentMs);
   }
-  return lastMs + grantLifeMs(timings, holdOf(map, timings));
+  return lastMs + maxLeaseLifetimeMs(timings, leaseDurationMs(map, timings));
 }
 
-/** A grant that was under way when the keeper was heard leaves by its end. */
+/** Latest send time; a call in flight at the report may last for its timeout. */
 function lastSentMs(
-  word: KeeperWord,
+  report: VoterReport,
   kind: "lastGrantMs" | "lastUnansweredMs",
   { server, timings }: {
     readonly server: contracts.ServerId;
     readonly timings: GrantTimings;
   },
 ): number {
-  const endMs = word[kind].get(server) ?? Number.NEGATIVE_INFINITY;
-  const isUnderWay = endMs >= word.receivedAtMs;
-  return isUnderWay ? endMs + timings.orderTimeoutMs : endMs;
+  const endMs = report[kind].get(server) ?? Number.NEGATIVE_INFINITY;
+  const isInFlight = endMs >= report.receivedAtMs;
+  return isInFlight ? endMs + timings.grantTimeoutMs : endMs;
 }
--- a/packages/decisions/src/grants/range_wait_test.ts
+++ b/packages/decisions/src/grants/range_wait_test.ts
@@ -4,7 +4,7 @@
 import * as grants from "./mod.ts";
 
 const TIMINGS = grants.DEFAULT_GRANT_TIMINGS;
-const GRANT_LIFE_MS = grants.grantLifeMs(TIMINGS, TIMINGS.holdMs);
+const GRANT_LIFE_MS = grants.maxLeaseLifetimeMs(TIMINGS, TIMINGS.holdMs);
 const A: contracts.RangeOwner = {
   server: "a" as contracts.ServerId,
   bornMs: 1,
@@ -14,21 +14,21 @@
   bornMs: 1,
 };
 
-/** When the keepers of a fixture were heard. */
-const HEARD_AT_MS = 10_040;
+/** When the reports of a fixture's voters were received. */
+const REPORTED_AT_MS = 10_040;
 
-/** A move from a to b with three keepers, written at 10 000 ms. */
+/** A handover from a to b with three voters, started at 10 000 ms. */
 class Fixture {
-  readonly keepers = new grants.KeeperBook();
+  readonly reports = new grants.VoterReports();
   readonly map: contracts.RangeMap;
-  readonly promisedAtMs = 10_050;
-  releasedAtMs: number | undefined;
-  releaseLeftAtMs = 10_055;
+  readonly acknowledgedAtMs = 10_050;
+  releaseAnsweredAtMs: number | undefined;
+  releaseSentAtMs = 10_055;
   hasEnded = false;
 
   constructor() {
-    const first = grants.firstRanges([{ ...A, slots: 1 }]);
-    const moved = grants.vacate(
+    const first = grants.initialRanges([{ ...A, slots: 1 }]);
+    const moved = grants.startHandovers(
       first,
       [{ fromKey: 0, toKey: 65_535, to: B }],
       { revision: 2, lastFence: 1 },
@@ -42,23 +42,23 @@
     };
   }
 
-  hear(
+  report(
     vm: string,
     options: {
       revision?: number;
       startedAtMs?: number;
-      heardAtMs?: number;
+      reportedAtMs?: number;
       sentMs?: number;
       unansweredMs?: number;
     } = {},
   ): void {
     const { sentMs, unansweredMs } = options;
-    this.keepers.noteWord({
+    this.reports.noteReport({
       vm: vm as contracts.VmId,
       revision: options.revision ?? 2,
-      isSettled: true,
-      askedAtMs: 10_010,
-      receivedAtMs: options.heardAtMs ?? HEARD_AT_MS,
+      hasReadMap: true,
+      requestedAtMs: 10_010,
+      receivedAtMs: options.reportedAtMs ?? REPORTED_AT_MS,
       startedAtMs: options.startedAtMs ?? 0,
       lastGrantMs: new Map(sentMs === undefined ? [] : [[A.server, sentMs]]),
       lastUnansweredMs: new Map(
@@ -71,97 +71,101 @@
     return grants.freeAtMs(this.facts());
   }
 
-  facts(): grants.RangeWaitFacts {
+  facts(): grants.HandoverFacts {
     return {
       map: this.map,
       range: this.map.ranges[0]!,
-      keepers: this.keepers,
-      promisedAtMs: this.promisedAtMs,
-      release: this.releasedAtMs === undefined
-        ? undefined
-        : { leftAtMs: this.releaseLeftAtMs, doneAtMs: this.releasedAtMs },
+      reports: this.reports,
+      acknowledgedAtMs: this.acknowledgedAtMs,
+      release: this.releaseAnsweredAtMs === undefined ? undefined : {
+        sentAtMs: this.releaseSentAtMs,
+        answeredAtMs: this.releaseAnsweredAtMs,
+      },
       hasEnded: this.hasEnded,
       timings: TIMINGS,
     };
   }
 }
 
-/** Guards against two holders while a silent owner's last grant runs. */
-test("should wait for the last grant that any keeper sent", () => {
+/** Guards against two holders before an unresponsive owner's lease expires. */
+test("should wait for the expiry of the last lease that any voter granted", () => {
   const fixture = new Fixture();
-  fixture.hear("k1", { sentMs: 9_700 });
-  fixture.hear("k2", { sentMs: 9_900 });
-  fixture.hear("k3");
+  fixture.report("k1", { sentMs: 9_700 });
+  fixture.report("k2", { sentMs: 9_900 });
+  fixture.report("k3");
   expect(fixture.freeAtMs()).toEqual(9_900 + GRANT_LIFE_MS);
 });
 
-/** Guards against a grant that an unheard keeper checked in time and sent late. */
-test("should count a keeper that is not heard by its evidence", () => {
+/** Guards against a late grant of a voter that checked its confirmation in time. */
+test("should assume that an unresponsive voter grants until its confirmation expires", () => {
   const fixture = new Fixture();
-  const lastSentMs = fixture.promisedAtMs + TIMINGS.evidenceMs +
-    TIMINGS.orderTimeoutMs;
-  fixture.hear("k1", { sentMs: 9_700 });
-  fixture.hear("k2");
+  const lastSentMs = fixture.acknowledgedAtMs + TIMINGS.confirmationTtlMs +
+    TIMINGS.grantTimeoutMs;
+  fixture.report("k1", { sentMs: 9_700 });
+  fixture.report("k2");
   expect(fixture.freeAtMs()).toEqual(lastSentMs + GRANT_LIFE_MS);
-  // One that is heard with the older map may still act on it as well.
-  fixture.hear("k3", { revision: 1 });
+  // A voter that reports the older map may still act on it as well.
+  fixture.report("k3", { revision: 1 });
   expect(fixture.freeAtMs()).toEqual(lastSentMs + GRANT_LIFE_MS);
 });
 
-/** Guards against a grant that leaves after its keeper was last heard. */
-test("should count a grant that was under way by the end of its call", () => {
+/** Guards against a grant that is sent after its voter's last report. */
+test("should assume that a grant in flight lasts for the call's timeout", () => {
   const fixture = new Fixture();
-  fixture.hear("k1", { sentMs: HEARD_AT_MS, unansweredMs: HEARD_AT_MS });
-  fixture.hear("k2");
-  fixture.hear("k3");
-  const lastSentMs = HEARD_AT_MS + TIMINGS.orderTimeoutMs;
+  fixture.report("k1", {
+    sentMs: REPORTED_AT_MS,
+    unansweredMs: REPORTED_AT_MS,
+  });
+  fixture.report("k2");
+  fixture.report("k3");
+  const lastSentMs = REPORTED_AT_MS + TIMINGS.grantTimeoutMs;
   expect(fixture.freeAtMs()).toEqual(lastSentMs + GRANT_LIFE_MS);
-  // It is not known to be answered, so a release does not undo it.
-  fixture.releasedAtMs = 10_060;
+  // It is not known to be answered, so a release does not revoke it.
+  fixture.releaseAnsweredAtMs = 10_060;
   expect(fixture.freeAtMs()).toEqual(lastSentMs + GRANT_LIFE_MS);
 });
 
-/** Guards against grants of an earlier run that a keeper has forgotten. */
-test("should count a restarted keeper by the start of its run", () => {
+/** Guards against grants that a voter forgot when its process restarted. */
+test("should assume that a restarted voter granted until its start", () => {
   const fixture = new Fixture();
-  fixture.hear("k1");
-  fixture.hear("k2");
-  fixture.hear("k3", { startedAtMs: 9_950 });
+  fixture.report("k1");
+  fixture.report("k2");
+  fixture.report("k3", { startedAtMs: 9_950 });
   expect(fixture.freeAtMs()).toEqual(9_950 + GRANT_LIFE_MS);
 });
 
-test("should be free at once when the owner has released", () => {
+test("should be free at once when the owner has answered the release", () => {
   const fixture = new Fixture();
-  for (const vm of ["k1", "k2", "k3"]) fixture.hear(vm, { sentMs: 9_900 });
-  fixture.releasedAtMs = 10_060;
+  for (const vm of ["k1", "k2", "k3"]) fixture.report(vm, { sentMs: 9_900 });
+  fixture.releaseAnsweredAtMs = 10_060;
   expect(fixture.freeAtMs()).toEqual(10_060);
 });
 
-/** Guards against a late grant that takes effect after the release. */
-test("should wait after a release for a grant that was not answered", () => {
+/** Guards against a delayed grant that takes effect after the release. */
+test("should wait for an unanswered grant after a release", () => {
   const fixture = new Fixture();
-  fixture.hear("k1", { sentMs: 9_900, unansweredMs: 9_600 });
-  fixture.hear("k2");
-  fixture.hear("k3");
-  fixture.releasedAtMs = 10_060;
+  fixture.report("k1", { sentMs: 9_900, unansweredMs: 9_600 });
+  fixture.report("k2");
+  fixture.report("k3");
+  fixture.releaseAnsweredAtMs = 10_060;
   expect(fixture.freeAtMs()).toEqual(9_600 + GRANT_LIFE_MS);
 });
 
-/** Guards against a renewal that crosses the release and undoes it. */
-test("should not count a release that left before a grant had ended", () => {
+/** Guards against a renewal that crosses the release and takes effect after it. */
+test("should ignore a release that was sent before a grant call ended", () => {
   const fixture = new Fixture();
-  fixture.hear("k1", { sentMs: 10_058, heardAtMs: 10_059 });
-  fixture.hear("k2");
-  fixture.hear("k3");
-  fixture.releasedAtMs = 10_060;
+  fixture.report("k1", { sentMs: 10_058, reportedAtMs: 10_059 });
+  fixture.report("k2");
+  fixture.report("k3");
+  fixture.releaseAnsweredAtMs = 10_060;
   expect(fixture.freeAtMs()).toEqual(10_058 + GRANT_LIFE_MS);
   expect(grants.isReleaseVoid(fixture.facts())).toEqual(true);
-  fixture.releaseLeftAtMs = 10_059;
+  fixture.releaseSentAtMs = 10_059;
   expect(fixture.freeAtMs()).toEqual(10_060);
   expect(grants.isReleaseVoid(fixture.facts())).toEqual(false);
 });
 
-test("should not wait for a run that has ended", () => {
+test("should not wait for an incarnation that has ended", () => {
   const fixture = new Fixture();
   fixture.hasEnded = true;
   expect(fixture.freeAtMs()).toEqual(Number.NEGATIVE_INFINITY);
--- a/packages/decisions/src/grants/release_call.ts
+++ b/packages/decisions/src/grants/release_call.ts
@@ -1,13 +1,13 @@
-/** What the mover asks of the old owner of a range. */
+/** The call that asks the old owner of a range to release it. */
 import type * as contracts from "@guavatide/contracts";
 
-/** Between a failed release and the next: the server is lost or restarts. */
+/** Delay before a failed release is retried: the server is lost or restarts. */
 export const RELEASE_RETRY_MS = 300;
 
-/** A range that its old owner is to release, told of the next owner's fence. */
+/** A release of a range by its old owner; it carries the next owner's fence. */
 export interface ReleaseCall {
   readonly range: contracts.RangeState;
-  readonly old: NonNullable<contracts.RangeState["vacating"]>;
-  /** The keys are given on already; this one only tells of the new fence. */
+  readonly oldOwner: NonNullable<contracts.RangeState["vacating"]>;
+  /** The next owner has the keys already; the call only tells the new fence. */
   readonly isFencing?: boolean;
 }
--- a/packages/decisions/src/grants/renewal_order.ts
+++ b/packages/decisions/src/grants/renewal_order.ts
@@ -1,35 +1,35 @@
-/** Which of the ranges that are due is renewed first. */
+/** Chooses the range to renew first, and groups ranges by server. */
 import type * as contracts from "@guavatide/contracts";
 
-/** A range that is to be granted or renewed. */
-export interface RangeDue {
+/** A range whose grant is due for renewal. */
+export interface DueRange {
   readonly range: contracts.RangeState;
-  /** How long it has been due; infinite for one that was never confirmed. */
+  /** How long it has been due; infinite when no grant of it was answered. */
   readonly overdueMs: number;
 }
 
-/** The most overdue of one server's ranges: one grant is under way to it. */
+/** The most overdue of one server's ranges: a server gets one grant at a time. */
 export function mostOverdue(
-  due: readonly RangeDue[],
+  due: readonly DueRange[],
 ): contracts.RangeState | undefined {
-  let first: RangeDue | undefined;
+  let first: DueRange | undefined;
   for (const candidate of due) {
-    const isLater = first === undefined ||
+    const isMoreOverdue = first === undefined ||
       candidate.overdueMs > first.overdueMs;
-    if (isLater) first = candidate;
+    if (isMoreOverdue) first = candidate;
   }
   return first?.range;
 }
 
-/** Servers that ranges are taken from. */
+/** Old owners of the ranges in handover. */
 export function vacatingServers(
   ranges: readonly contracts.RangeState[],
 ): Set<contracts.ServerId> {
   return new Set(ranges.flatMap(({ vacating }) => vacating?.server ?? []));
 }
 
-/** Ranges by their owner, without those that nobody may hold yet. */
-export function ownedRanges(
+/** Ranges by their owner, without the ranges in handover. */
+export function rangesByOwner(
   ranges: readonly contracts.RangeState[],
 ): Map<contracts.ServerId, contracts.RangeState[]> {
   const owned = new Map<contracts.ServerId, contracts.RangeState[]>();
--- a/packages/entry/src/gateway/cold_starts.ts
+++ b/packages/entry/src/gateway/cold_starts.ts
@@ -25,12 +25,12 @@
 /** Creates the limits of each service. */
 export class ColdStarts {
   readonly #options: ColdStartsOptions;
-  readonly #order: grants.DutyOrder;
+  readonly #order: grants.VmRanking;
   readonly #startedMs: number;
 
   constructor(options: ColdStartsOptions) {
     this.#options = options;
-    this.#order = new grants.DutyOrder(options.hasher);
+    this.#order = new grants.VmRanking(options.hasher);
     this.#startedMs = options.clock.nowMs();
     options.registry.onChange(() =>
       this.#order.keepOnly(options.registry.ids())
@@ -71,7 +71,7 @@
     const zone = registry.zoneOf(server);
     const inZone = gossip.knownIn(zone);
     const vms = inZone.length > 0 ? inZone : gossip.knownIn(undefined);
-    const place = this.#order.of(server, vms).indexOf(vm);
+    const place = this.#order.rank(server, vms).indexOf(vm);
     return place < 0 ? undefined : place;
   }
 }
--- a/packages/entry/src/gateway/grant_sender.ts
+++ b/packages/entry/src/gateway/grant_sender.ts
@@ -97,7 +97,7 @@
     return [...this.#servers]
       .filter(([, { silentSinceMs, lastEndMs, isUnderWay }]) =>
         silentSinceMs !== undefined &&
-        nowMs - silentSinceMs >= timings.silentMs &&
+        nowMs - silentSinceMs >= timings.unresponsiveAfterMs &&
         (isUnderWay || nowMs - lastEndMs < SUSPICION_TTL_MS)
       )
       .map(([server]) => server);
@@ -139,7 +139,7 @@
     const result = await control.grant(
       server,
       { fromKey, toKey, fence, holdMs, handover },
-      { timeoutMs: timings.orderTimeoutMs, mayLeave },
+      { timeoutMs: timings.grantTimeoutMs, mayLeave },
     );
     state.isUnderWay = false;
     const fields = { server: server.server, fromKey, toKey, fence };
--- a/packages/entry/src/gateway/grant_task.ts
+++ b/packages/entry/src/gateway/grant_task.ts
@@ -238,7 +238,7 @@
       .filter(({ targets }) => targets.some((it) => it.service === service))
       .map(({ targetLatencyMs }) => targetLatencyMs);
     const limits = { leastMs: timings.holdMs, mostMs: longestGrantMs };
-    return grants.wishedHoldMs(targetsMs, limits);
+    return grants.desiredLeaseMs(targetsMs, limits);
   }
 
   /** The map as a peer knows it; undefined without an answer. */
--- a/packages/entry/src/gateway/map_publisher.ts
+++ b/packages/entry/src/gateway/map_publisher.ts
@@ -18,7 +18,7 @@
 /** News of one service's map. */
 export class MapPublisher {
   readonly #options: MapPublisherOptions;
-  readonly #news = new grants.RangeNews();
+  readonly #news = new grants.RangeMapHistory();
   #resendsLeft = 0;
   #sentAtMs = 0;
 
@@ -46,7 +46,7 @@
   }
 
   #send(pendingFences: Iterable<number>): void {
-    const change = this.#news.change();
+    const change = this.#news.latestDelta();
     if (change === undefined) return;
     this.#resendsLeft--;
     this.#sentAtMs = this.#options.clock.nowMs();
--- a/packages/entry/src/gateway/move_planner.ts
+++ b/packages/entry/src/gateway/move_planner.ts
@@ -29,7 +29,7 @@
 /** The plans of one service. */
 export class MovePlanner {
   readonly #options: MovePlannerOptions;
-  readonly #loads = new grants.KeyLoads();
+  readonly #loads = new grants.KeyRateTracker();
   /**
    * How much longer than average servers take, as peers' coordinators report.
    */
@@ -86,7 +86,7 @@
         return [server, { owner, capacityPerSecond, isCold: isCold(entry) }];
       }),
     );
-    const moves = grants.planRanges({
+    const moves = grants.planRangeMoves({
       ranges: map.ranges,
       servers,
       rates: this.#loads.rates(),
--- a/packages/entry/src/gateway/service_grants.ts
+++ b/packages/entry/src/gateway/service_grants.ts
@@ -60,8 +60,8 @@
 /** Ownership of one service. */
 export class ServiceGrants {
   readonly #options: ServiceGrantsOptions;
-  readonly #keepers = new grants.KeeperBook();
-  readonly #mover: grants.RangeMover;
+  readonly #keepers = new grants.VoterReports();
+  readonly #mover: grants.HandoverController;
   readonly #sender: GrantSender;
   readonly #planner: MovePlanner;
   readonly #startedAtMs: number;
@@ -73,10 +73,10 @@
   /** Fences whose owners have not confirmed their grant, as the mover says. */
   #pending = new Set<number>();
   #adoptedAtMs = Number.NEGATIVE_INFINITY;
-  readonly #ownerless = new grants.OwnerlessTimes();
+  readonly #ownerless = new grants.HandoverAges();
   #isMover = false;
-  readonly #firstMap = new grants.FirstMapWait();
-  readonly #order: grants.DutyOrder;
+  readonly #firstMap = new grants.InitialMapWait();
+  readonly #order: grants.VmRanking;
   readonly #publisher: MapPublisher;
   readonly #learner: RangeMapLearner;
   readonly #lost = new grants.LostServers();
@@ -85,7 +85,7 @@
 
   constructor(options: ServiceGrantsOptions) {
     this.#options = options;
-    this.#order = new grants.DutyOrder(options.hasher);
+    this.#order = new grants.VmRanking(options.hasher);
     this.#publisher = new MapPublisher(options);
     this.#planner = new MovePlanner(options);
     this.#startedAtMs = options.clock.nowMs();
@@ -100,7 +100,7 @@
       onTold: (map) => this.#adoptNewer(map, "peer"),
       onSettled: options.tellPeers,
     });
-    this.#mover = new grants.RangeMover(
+    this.#mover = new grants.HandoverController(
       options.service,
       this.#keepers,
       options.timings,
@@ -109,7 +109,7 @@
       ...options,
       entry: (owner) => options.registry.entry(owner),
       onConfirmed: (range) => this.#confirm(range),
-      onFencedOff: () => this.#mover.forget(),
+      onFencedOff: () => this.#mover.requireRead(),
       onEnded: (server) => {
         // The mover waits to hear that no grant to the server is under way.
         if (this.#vacating.has(server)) options.tellPeers();
@@ -161,7 +161,7 @@
     const keepers = this.#map?.keeperSets.at(-1);
     const able = reach.filter(({ vm }) => keepers?.includes(vm) ?? true);
     const candidates = able.length > 0 ? able : reach;
-    return this.#order.of(service, candidates.map(({ vm }) => vm))[0];
+    return this.#order.rank(service, candidates.map(({ vm }) => vm))[0];
   }
 
   /** Who owns a key. */
@@ -197,16 +197,16 @@
   ): void {
     const { service } = this.#options;
     const [revision, isSettled] = status.maps[service] ?? [0, false];
-    this.#keepers.noteWord({
+    this.#keepers.noteReport({
       vm: status.vm,
       revision,
-      isSettled,
-      askedAtMs,
+      hasReadMap: isSettled,
+      requestedAtMs: askedAtMs,
       receivedAtMs,
       startedAtMs: receivedAtMs - status.lifeMs,
       ...grantTimes(Object.entries(status.grantAgesMs), receivedAtMs),
     });
-    this.#lost.noteSilent(status.vm, status.silentServers);
+    this.#lost.noteUnresponsive(status.vm, status.silentServers);
   }
 
   /** A peer knows a revision of the map. */
@@ -225,7 +225,7 @@
     }
     const ranges = known < baseRevision
       ? undefined
-      : grants.withChanges(this.#map?.ranges ?? [], map.ranges);
+      : grants.applyChanges(this.#map?.ranges ?? [], map.ranges);
     // The base of the update never arrived here.
     if (ranges === undefined) return this.#learner.catchUp();
     this.#pending = pending;
@@ -234,8 +234,8 @@
 
   /** The process stood still: what it knew may be old. */
   noteSuspension(): void {
-    this.#keepers.forgetEvidence();
-    this.#mover.forget();
+    this.#keepers.clearConfirmations();
+    this.#mover.requireRead();
     this.#learner.forget();
   }
 
@@ -250,11 +250,11 @@
   }
 
   #noteOwnWord(nowMs: number): void {
-    this.#keepers.noteWord({
+    this.#keepers.noteReport({
       vm: this.#options.vm,
       revision: this.#map?.revision ?? 0,
-      isSettled: this.#learner.isSettled,
-      askedAtMs: nowMs,
+      hasReadMap: this.#learner.isSettled,
+      requestedAtMs: nowMs,
       receivedAtMs: nowMs,
       startedAtMs: this.#startedAtMs,
       ...grantTimes(this.#sender.agesMs(), nowMs),
@@ -270,7 +270,7 @@
     log.info(isMover ? "Takes over moves." : "Hands over moves.", { service });
     if (!isMover) return;
     this.#planner.begin(nowMs);
-    this.#mover.forget();
+    this.#mover.requireRead();
   }
 
   // Reading
@@ -294,10 +294,10 @@
     this.#logLastGrants(map.revision, vacating);
     this.#map = map;
     this.#vacating = vacating;
-    this.#owned = grants.ownedRanges(map.ranges);
+    this.#owned = grants.rangesByOwner(map.ranges);
     this.#adoptedAtMs = this.#options.clock.nowMs();
     this.#publisher.noteMap(map);
-    this.#mover.noteNewer(map.revision);
+    this.#mover.noteNewerRevision(map.revision);
     this.#sender.keepOnly(map.ranges, this.#holdMs);
     const fences = new Set(map.ranges.map(({ fence }) => fence));
     const duties = new Set<string>(map.ranges.map((it) => it.owner.server));
@@ -337,7 +337,7 @@
   // Renewing
 
   get #holdMs(): number {
-    return grants.holdOf(this.#map, this.#options.timings);
+    return grants.leaseDurationMs(this.#map, this.#options.timings);
   }
 
   /** Sends what is due to servers that have no grant under way. */
@@ -375,8 +375,8 @@
     nowMs: number,
   ): contracts.RangeState | undefined {
     const { vm, timings } = this.#options;
-    const ownPlace = this.#order.of(server, live).indexOf(vm);
-    const due: grants.RangeDue[] = [];
+    const ownPlace = this.#order.rank(server, live).indexOf(vm);
+    const due: grants.DueRange[] = [];
     for (const range of this.#owned.get(server) ?? []) {
       const place = this.#isMover && this.#isNew(range) ? 0 : ownPlace;
       if (place < 0 || place >= RENEWERS) continue;
@@ -393,8 +393,8 @@
 
   #hasEvidence(map: contracts.RangeMap): boolean {
     const { clock, timings } = this.#options;
-    const ageMs = clock.nowMs() - this.#keepers.evidenceAtMs(map);
-    return ageMs < timings.evidenceMs;
+    const ageMs = clock.nowMs() - this.#keepers.confirmedAtMs(map);
+    return ageMs < timings.confirmationTtlMs;
   }
 
   /** Whether the map that is known now still gives the range to its owner. */
@@ -438,14 +438,14 @@
   #move(nowMs: number): void {
     const tick = this.#moverTick(nowMs);
     this.#publisher.repeat(this.#pending);
-    this.#mover.checkPromises(nowMs, tick.gone);
+    this.#mover.checkAcknowledgements(nowMs, tick.removedVoters);
     for (const call of this.#mover.takeReleases(nowMs, tick.hasEnded)) {
       this.#release(call);
     }
     const call = this.#mover.nextCall(tick);
     if (call === undefined) return;
     this.#call(call).catch((error) => {
-      this.#mover.noteCallEnd({ kind: "unsure" }, nowMs);
+      this.#mover.noteCallResult({ kind: "unsure" }, nowMs);
       this.#options.log.error("Call of the mover failed.", {
         error: String(error),
       });
@@ -458,7 +458,7 @@
     const end = call.kind === "read"
       ? await maps.read(service)
       : await maps.write(call.map, call.condition);
-    this.#mover.noteCallEnd(end, clock.nowMs());
+    this.#mover.noteCallResult(end, clock.nowMs());
     if (end.kind === "unsure" || end.kind === "absent") return;
     this.#learner.noteSettled();
     const { map } = end.stored;
@@ -489,18 +489,18 @@
   }
 
   /** The next owner's fence lets the old owner refuse older grants from then. */
-  #release({ range, old, isFencing }: grants.ReleaseCall): void {
+  #release({ range, oldOwner: old, isFencing }: grants.ReleaseCall): void {
     const { registry, control, clock, timings, log } = this.#options;
     const server = registry.entry(old);
     const { fromKey, toKey, fence } = range;
     if (server === undefined) {
-      return this.#mover.noteRelease(fence, "failed", clock.nowMs());
+      return this.#mover.noteReleaseResult(fence, "failed", clock.nowMs());
     }
-    const timeoutMs = isFencing ? timings.orderTimeoutMs : RELEASE_TIMEOUT_MS;
+    const timeoutMs = isFencing ? timings.grantTimeoutMs : RELEASE_TIMEOUT_MS;
     control.release(server, { fromKey, toKey, fence }, { timeoutMs }).then(
       (result) => {
         const end = result.isOk() ? { handover: result.value } : "failed";
-        this.#mover.noteRelease(fence, end, clock.nowMs());
+        this.#mover.noteReleaseResult(fence, end, clock.nowMs());
         // The old owner is tried until it answers, and says so once.
         if (isFencing && result.isErr()) return;
         log.info(result.isOk() ? "Range released." : "Release failed.", {
@@ -513,33 +513,35 @@
         });
       },
       (error) => {
-        this.#mover.noteRelease(fence, "failed", clock.nowMs());
+        this.#mover.noteReleaseResult(fence, "failed", clock.nowMs());
         log.error("Release failed.", { error: String(error) });
       },
     );
   }
 
-  #moverTick(nowMs: number): grants.RangeMoverTick {
+  #moverTick(nowMs: number): grants.HandoverTick {
     const { registry, service, wishedHoldMs } = this.#options;
     this.#countLost(nowMs);
     const staying = registry.staying(service);
-    const found = staying.filter(({ server }) => !this.#lost.has(server));
+    const found = staying.filter(({ server }) =>
+      !this.#lost.isQuarantined(server)
+    );
     // With all of them lost any may be back, and no other can own a key.
     const usable = new Map(
       (found.length > 0 ? found : staying)
         .map((entry) => [entry.server, entry]),
     );
     const review = this.#keeperReview(nowMs);
-    const { lifeMs } = review;
+    const { uptimeMs: lifeMs } = review;
     const isOver = this.#firstMap.isOver(usable.size, { nowMs, lifeMs });
     const mayStart = this.#map !== undefined || isOver;
     return {
       nowMs,
       usable: registry.isListed && mayStart ? usable : new Map(),
-      holdMs: wishedHoldMs(),
+      leaseMs: wishedHoldMs(),
       hasEnded: (owner) => registry.hasEnded(owner),
-      keepers: grants.wishedKeepers(review),
-      gone: grants.goneKeepers(review),
+      voters: grants.selectVoters(review),
+      removedVoters: grants.removedVoters(review),
       plan: (map) => this.#planner.plan(map, usable, nowMs),
       nonce: () => crypto.randomUUID(),
     };
@@ -547,24 +549,24 @@
 
   #countLost(nowMs: number): void {
     const { vm, log } = this.#options;
-    this.#lost.noteSilent(vm, this.#sender.silentServers());
+    this.#lost.noteUnresponsive(vm, this.#sender.silentServers());
     const keepers = this.#map?.keeperSets.at(-1) ?? [];
     const live = this.#live().filter((peer) => keepers.includes(peer));
-    const newly = this.#lost.count(
+    const newly = this.#lost.countVotes(
       nowMs,
-      (server) => this.#order.of(server, live).slice(0, RENEWERS),
+      (server) => this.#order.rank(server, live).slice(0, RENEWERS),
     );
     for (const server of newly) log.warn("Server lost.", { server });
   }
 
-  #keeperReview(nowMs: number): grants.KeeperReviewInput {
+  #keeperReview(nowMs: number): grants.VoterSelectionInput {
     const { vm, silentMs } = this.#options;
     return {
       vm,
       map: this.#map,
       live: this.#keeperOrder(),
-      silentMs,
-      lifeMs: nowMs - this.#startedAtMs,
+      sinceLastMessageMs: silentMs,
+      uptimeMs: nowMs - this.#startedAtMs,
     };
   }
 
@@ -577,7 +579,7 @@
       this.#options.peers().map((peer) => [peer.vm, peer.processorCores]),
     );
     // The sort is stable: equals stay in the order of the duty.
-    return [...this.#order.of("keepers", [...cores.keys()])]
+    return [...this.#order.rank("keepers", [...cores.keys()])]
       .sort((a, b) => cores.get(b)! - cores.get(a)!);
   }
 
@@ -591,7 +593,7 @@
 function grantTimes(
   ages: Iterable<[string, [number, number | null]]>,
   nowMs: number,
-): Pick<grants.KeeperWord, "lastGrantMs" | "lastUnansweredMs"> {
+): Pick<grants.VoterReport, "lastGrantMs" | "lastUnansweredMs"> {
   const lastGrantMs = new Map<contracts.ServerId, number>();
   const lastUnansweredMs = new Map<contracts.ServerId, number>();
   for (const [name, [ageMs, unansweredAgeMs]] of ages) {
--- a/packages/entry/src/gateway/service_grants_test.ts
+++ b/packages/entry/src/gateway/service_grants_test.ts
@@ -58,7 +58,8 @@
 /** Guards against a grant that leaves on evidence which was good once. */
 test("should keep a grant back when its evidence is too old as it leaves", async () => {
   const keeper = await createKeeper();
-  const { evidenceMs, renewMs } = grants.DEFAULT_GRANT_TIMINGS;
+  const { confirmationTtlMs: evidenceMs, renewMs } =
+    grants.DEFAULT_GRANT_TIMINGS;
   await keeper.run(MOVER_AFTER_MS);
   keeper.holdAnswers();
   keeper.tick(renewMs);
--- a/packages/entry/src/gateway/slot_task.ts
+++ b/packages/entry/src/gateway/slot_task.ts
@@ -47,7 +47,7 @@
   readonly #options: SlotTaskOptions;
   readonly #asks: admission.SlotAsks;
   readonly #coordinator: admission.SlotCoordinator;
-  readonly #order: grants.DutyOrder;
+  readonly #order: grants.VmRanking;
   /** Answers of the own coordinator, not sent yet. */
   readonly #words = new Map<contracts.VmId, admission.SlotWord[]>();
   readonly #callers = new Map<admission.WaitingRequest, SlotCaller>();
@@ -58,7 +58,7 @@
   constructor(options: SlotTaskOptions) {
     this.#options = options;
     const { gossip, zone, random, hasher, vm } = options;
-    this.#order = new grants.DutyOrder(hasher);
+    this.#order = new grants.VmRanking(hasher);
     this.#asks = new admission.SlotAsks({
       vm,
       coordinatorOf: (server, silent) => this.#coordinatorOf(server, silent),
@@ -150,7 +150,7 @@
       ? near
       : [vm, ...gossip.live.map((peer) => peer.vm)]
         .filter((it) => this.#isAble(it, silent)).sort();
-    return this.#order.of(server, able)[0];
+    return this.#order.rank(server, able)[0];
   }
 
   #isAble(
--- a/packages/entry/src/gateway/watch_relay.ts
+++ b/packages/entry/src/gateway/watch_relay.ts
@@ -75,8 +75,8 @@
 /** The task that relays. */
 export class WatchRelay {
   readonly #options: WatchRelayOptions;
-  readonly #order: grants.DutyOrder;
-  readonly #duty: cells.ReaderDuty;
+  readonly #order: grants.VmRanking;
+  readonly #duty: cells.ReaderElection;
   readonly #watches = new Map<string, RelayedWatch>();
   readonly #batches = new Map<string, RelayedChanges[]>();
   #sorted: readonly contracts.VmId[] = [];
@@ -87,8 +87,8 @@
   constructor(options: WatchRelayOptions) {
     this.#options = options;
     const { gossip, calls, hasher, self } = options;
-    this.#order = new grants.DutyOrder(hasher);
-    this.#duty = new cells.ReaderDuty(self.vm);
+    this.#order = new grants.VmRanking(hasher);
+    this.#duty = new cells.ReaderElection(self.vm);
     gossip.on(
       messages.CHANGES_METHOD,
       messages.changesSchema,
@@ -123,7 +123,7 @@
   get storeCalmMs(): number {
     const { health, clock } = this.#options;
     const ownMs = this.isReader && health.isReached ? health.calmMs : 0;
-    return Math.max(ownMs, this.#duty.storeCalmMs(clock.nowMs()));
+    return Math.max(ownMs, this.#duty.storeHealthyMs(clock.nowMs()));
   }
 
   /** Adds the watch of a kind. */
@@ -195,9 +195,9 @@
     const nowMs = clock.nowMs();
     return {
       nowMs,
-      lifeMs: nowMs - this.#startedAtMs,
+      uptimeMs: nowMs - this.#startedAtMs,
       hasStore: health.isReached,
-      order: this.#candidates(nowMs),
+      ranking: this.#candidates(nowMs),
       isSeed: isSeed || gossip.seedCount === 0,
     };
   }
@@ -208,9 +208,9 @@
     const { gossip, self } = this.#options;
     const reach = gossip.live.filter(({ hasStore }) => hasStore);
     this.#candidatesAtMs = nowMs;
-    this.#sorted = cells.readerOrder(
+    this.#sorted = cells.rankReaders(
       [self, ...reach],
-      (vms) => this.#order.of("readers", [...vms].sort()),
+      (vms) => this.#order.rank("readers", [...vms].sort()),
     );
     return this.#sorted;
   }
@@ -220,11 +220,11 @@
     this.#isTrying = true;
     tryStore().then((isReached) => {
       this.#isTrying = false;
-      this.#duty.noteTried(isReached, this.#view());
+      this.#duty.noteAttempt(isReached, this.#view());
       if (this.isReader) this.#roleChanged();
     }, (error) => {
       this.#isTrying = false;
-      this.#duty.noteTried(false, this.#view());
+      this.#duty.noteAttempt(false, this.#view());
       log.error("Trying the store failed.", { error: String(error) });
     });
   }
@@ -235,7 +235,8 @@
       this.isReader ? "Reads for all VMs." : "Leaves reading to peers.",
       {
         peers: gossip.vmCount,
-        readers: this.#duty.active(clock.nowMs()).map(({ vm }) => vm).join(),
+        readers: this.#duty.activeReaders(clock.nowMs()).map(({ vm }) => vm)
+          .join(),
       },
     );
     for (const watch of this.#watches.values()) watch.roleChanged();
@@ -255,7 +256,7 @@
 
   #takeWord({ vm, storeCalmMs, positions }: messages.ReaderWord): void {
     const heardAtMs = this.#options.clock.nowMs();
-    this.#duty.note({ vm, heardAtMs, storeCalmMs });
+    this.#duty.noteReader({ vm, receivedAtMs: heardAtMs, storeCalmMs });
     for (const [prefix, position] of Object.entries(positions)) {
       this.#watches.get(prefix)?.noteNews(position, vm);
     }
--- a/packages/entry/src/wire.ts
+++ b/packages/entry/src/wire.ts
@@ -219,7 +219,7 @@
     ...decisions.DEFAULT_MEMBERSHIP,
     vm: settings.vm,
     random,
-    beatMs: timings.heartbeatMs,
+    heartbeatIntervalMs: timings.heartbeatMs,
   });
   const door = new PeerDoor({
     host,
