--- a/packages/decisions/src/cells/cell_plan.ts
+++ b/packages/decisions/src/cells/cell_plan.ts
@@ -1,28 +1,28 @@
 /**
- * Splits the entry VMs of a large deployment into cells. The VMs of a cell tell
- * one another their load and share a part of the servers; between cells no load
- * is told. So what a VM sends, hears and connects to stays the same when the
- * deployment grows.
+ * Splits the entry VMs of a large deployment into cells. The VMs of a cell
+ * exchange their load and share a subset of the servers; cells exchange no load.
+ * The messages and connections of a VM therefore do not grow with the
+ * deployment.
  */
 import type * as contracts from "@guavatide/contracts";
 
-/** An entry VM and where it is. */
+/** An entry VM and its availability zone. */
 export interface CellVm {
   readonly vm: contracts.VmId;
   readonly zone: contracts.ZoneId;
 }
 
-/** A server that is to be used by one cell. */
+/** A server that one cell is to use, and its availability zone. */
 export interface CellServer {
   readonly server: contracts.ServerId;
   readonly zone: contracts.ZoneId;
 }
 
-/** Up to so many VMs form one cell over all availability zones. */
+/** Up to this number, all VMs form one cell across availability zones. */
 const LARGEST_SINGLE_CELL = 12;
 /**
- * VMs that a cell of a larger deployment aims at. With fewer, a cell has so few
- * slots that they are all busy often while other cells' are free.
+ * Target number of VMs per cell in a larger deployment. In smaller cells all
+ * slots would often be busy while those of other cells are free.
  */
 const CELL_SIZE = 12;
 
@@ -31,7 +31,7 @@
   readonly vms: readonly contracts.VmId[];
 }
 
-/** The cells of one deployment; each VM works out the same from the same VMs. */
+/** The cells of one deployment, the same on each VM that knows the same VMs. */
 export class CellPlan {
   readonly #cells: readonly Cell[];
   readonly #indexes = new Map<contracts.VmId, number>();
@@ -50,13 +50,13 @@
     return this.#cells.length <= 1;
   }
 
-  /** VMs of the cell that a VM is in; empty for an unknown VM. */
+  /** VMs of a VM's cell, itself included; empty for an unknown VM. */
   members(vm: contracts.VmId): readonly contracts.VmId[] {
     const index = this.#indexes.get(vm);
     return index === undefined ? [] : this.#cells[index]!.vms;
   }
 
-  /** VMs of each cell but the one that a VM is in. */
+  /** VMs of each cell except a VM's own. */
   others(vm: contracts.VmId): (readonly contracts.VmId[])[] {
     const own = this.#indexes.get(vm);
     return this.#cells.filter((_, index) => index !== own)
@@ -73,12 +73,12 @@
     if (isAll) return new Set(servers.map(({ server }) => server));
     const used = new Set<contracts.ServerId>();
     const byZone = groupByZone(servers);
-    const served = new Set(byZone.keys());
+    const zonesWithServers = new Set(byZone.keys());
     for (const [zone, inZone] of byZone) {
-      const shares = this.#sharesOf(zone, served);
+      const shares = this.#cellSharesOf(zone, zonesWithServers);
       const names = inZone.map(({ server }) => server).sort();
-      for (const [place, server] of names.entries()) {
-        const share = shares[chunkOf(place, names.length, shares.length)];
+      for (const [index, server] of names.entries()) {
+        const share = shares[chunkOf(index, names.length, shares.length)];
         if (share === own) used.add(server);
       }
     }
@@ -86,25 +86,27 @@
   }
 
   /**
-   * The cells that share a zone's servers, each as often as its part is large.
-   * Cells of a zone without servers get a part of every other zone's, which
-   * together is as much as a cell of these zones has. Servers of a zone without
-   * entry VMs are dealt out to all cells.
+   * Indexes of the cells that share a zone's servers, each repeated by weight.
+   * Cells of a zone without servers get a share in every other zone, which in
+   * total is as large as that of a local cell. Servers of a zone without entry
+   * VMs are shared by all cells.
    */
-  #sharesOf(
+  #cellSharesOf(
     zone: contracts.ZoneId,
-    served: ReadonlySet<contracts.ZoneId>,
+    zonesWithServers: ReadonlySet<contracts.ZoneId>,
   ): number[] {
     const indexes = [...this.#cells.keys()];
     const zoneOf = (index: number) => this.#cells[index]!.zone!;
     const local = indexes.filter((index) => zoneOf(index) === zone);
     if (local.length === 0) return indexes;
-    const homeless = indexes.filter((index) => !served.has(zoneOf(index)));
-    if (homeless.length === 0) return local;
-    const whole = local.flatMap((index) =>
-      new Array<number>(served.size).fill(index)
+    const withoutServers = indexes.filter((index) =>
+      !zonesWithServers.has(zoneOf(index))
     );
-    return [...whole, ...homeless];
+    if (withoutServers.length === 0) return local;
+    const weighted = local.flatMap((index) =>
+      new Array<number>(zonesWithServers.size).fill(index)
+    );
+    return [...weighted, ...withoutServers];
   }
 }
 
@@ -115,8 +117,8 @@
     const names = inZone.map(({ vm }) => vm).sort();
     const count = Math.max(1, Math.round(names.length / CELL_SIZE));
     const parts: contracts.VmId[][] = Array.from({ length: count }, () => []);
-    for (const [place, vm] of names.entries()) {
-      parts[chunkOf(place, names.length, count)]!.push(vm);
+    for (const [index, vm] of names.entries()) {
+      parts[chunkOf(index, names.length, count)]!.push(vm);
     }
     cells.push(...parts.map((part) => ({ zone, vms: part })));
   }
@@ -136,9 +138,9 @@
 }
 
 /**
- * Chunks of neighbours in the order of names: one more or one less moves only
- * those at the borders of chunks.
+ * Index of the chunk for a position in the sorted names. Chunks are contiguous,
+ * so adding or removing a name moves only names at the borders of chunks.
  */
-function chunkOf(place: number, total: number, chunks: number): number {
-  return Math.floor(place * chunks / total);
+function chunkOf(index: number, total: number, chunks: number): number {
+  return Math.floor(index * chunks / total);
 }
--- a/packages/decisions/src/cells/cell_plan_test.ts
+++ b/packages/decisions/src/cells/cell_plan_test.ts
@@ -42,7 +42,7 @@
   expect([...uses.values()].every((cells) => cells.size === 1)).toEqual(true);
 });
 
-test("should keep cells and their servers alike when a VM joins", () => {
+test("should keep cells and their servers the same when a VM joins", () => {
   const before = new CellPlan(vms({ a: 20, b: 20 }));
   const after = new CellPlan(vms({ a: 21, b: 20 }));
   const vm = "a-0003" as contracts.VmId;
@@ -54,7 +54,7 @@
   expect(stay.length).toEqual(before.members(vm).length);
 });
 
-test("should keep a VM's share the same from 82 to 7,900 VMs", () => {
+test("should keep the size of cells the same from 82 to 7,900 VMs", () => {
   for (const perZone of [20, 200, 1_975]) {
     const plan = new CellPlan(
       vms({ a: perZone, b: perZone, c: perZone, d: perZone }),
@@ -64,7 +64,7 @@
   }
 });
 
-/** Guards against a zone whose VMs have no server of their own to know well. */
+/** Guards against cells without servers in a zone that has none. */
 test("should share other zones' servers with the cells of a zone without any", () => {
   const all = vms({ a: 22, b: 24, c: 22, d: 22 });
   const plan = new CellPlan(all);
--- a/packages/decisions/src/cells/reader_duty.ts
+++ b/packages/decisions/src/cells/reader_duty.ts
@@ -1,198 +1,199 @@
 /**
- * Which entry VMs read the platform's store for the whole deployment. Readers
- * tell the others what has changed, so calls to the store do not grow with the
- * number of VMs.
+ * Elects the entry VMs that read the platform's store for the whole deployment.
+ * Readers relay changes to the others, so calls to the store do not grow with
+ * the number of VMs.
  */
 import type * as contracts from "@guavatide/contracts";
 
-/** An entry VM that may read for the others. */
+/** An entry VM that may become a reader. */
 export interface ReaderCandidate {
   readonly vm: contracts.VmId;
   readonly zone: contracts.ZoneId;
   readonly processorCores: number;
 }
 
-/** A reader that reaches the store, as its last word told. */
+/** A reader that reaches the store, by its last report. */
 export interface KnownReader {
   readonly vm: contracts.VmId;
-  /** When it said so, on this VM's clock. */
+  /** When the report was received, on this VM's clock. */
   readonly receivedAtMs: number;
-  /** How long it had then reached the store without a failure. */
+  /** How long the store had answered it without a failure, at the report. */
   readonly storeCalmMs: number;
 }
 
-/** What a VM knows when it looks at the duty. */
+/** State of a VM and its peers at a review. */
 export interface ReaderView {
   readonly nowMs: number;
-  /** How long the process has run. */
+  /** Uptime of this process. */
   readonly uptimeMs: number;
   /** Whether this VM's last call to the store was answered. */
   readonly hasStore: boolean;
-  /** VMs that may read, this one included, in the order of the duty. */
+  /** VMs that may read, this one included, in order of preference. */
   readonly ranking: readonly contracts.VmId[];
-  /** Whether this VM may begin at once, before it has heard its peers. */
+  /** Whether this VM may start reading before it has received peers' messages. */
   readonly isSeed: boolean;
 }
 
-/** What a VM is to do about the duty. */
+/** Result of a review. */
 export type ReaderStep =
-  /** Reads, or goes on reading. */
+  /** Reads the store. */
   | "read"
-  /** Finds out whether it reaches the store, and then reads. */
+  /** Tries to reach the store, and becomes a reader if that succeeds. */
   | "try"
   | "rest";
 
-/** Readers of a deployment. With two, the loss of one delays nothing. */
+/** Readers of a deployment. With two, the loss of one causes no delay. */
 const READERS = 2;
-/** A reader without a word for so long is no longer counted on. */
+/** A reader without a report for this long no longer counts. */
 const READER_TIMEOUT_MS = 1_000;
-/** VMs further back in the order wait longer, so that few begin at once. */
+/** Extra delay per rank, so that few VMs try at the same time. */
 const STAGGER_MS = 150;
-/** A VM that has just started hears first who reads. */
-const START_GRACE_MS = 700;
-/** A VM that belongs to the first of the order takes over after this time. */
-const SETTLE_MS = 3_000;
-/** A VM whose attempt failed leaves the next ones to others. */
+/** Uptime before which a VM waits for reports of the present readers. */
+const MIN_UPTIME_MS = 700;
+/** A VM takes over after it has been among the top ranks for this time. */
+const TAKEOVER_DELAY_MS = 3_000;
+/** After a failed attempt a VM leaves attempts to others for this time. */
 const RETRY_MS = 3_000;
 
-/** Decides for one VM whether it reads. */
+/** Decides whether this VM is a reader. */
 export class ReaderElection {
   readonly #vm: contracts.VmId;
-  readonly #known = new Map<contracts.VmId, KnownReader>();
+  readonly #readers = new Map<contracts.VmId, KnownReader>();
   #isReader = false;
-  #missingSinceMs: number | undefined;
-  #firstSinceMs: number | undefined;
-  #noTryBeforeMs = Number.NEGATIVE_INFINITY;
+  #understaffedSinceMs: number | undefined;
+  #topRankedSinceMs: number | undefined;
+  #notBeforeMs = Number.NEGATIVE_INFINITY;
 
   constructor(vm: contracts.VmId) {
     this.#vm = vm;
   }
 
-  /** Whether this VM reads. */
+  /** Whether this VM is a reader. */
   get isReader(): boolean {
     return this.#isReader;
   }
 
-  /** A reader said, itself or through a peer, that it reaches the store. */
+  /** Notes a reader's report, received from itself or through a peer. */
   noteReader(reader: KnownReader): void {
     if (reader.vm === this.#vm) return;
-    const known = this.#known.get(reader.vm);
+    const known = this.#readers.get(reader.vm);
     const isOlder = known !== undefined &&
       known.receivedAtMs >= reader.receivedAtMs;
-    if (!isOlder) this.#known.set(reader.vm, reader);
+    if (!isOlder) this.#readers.set(reader.vm, reader);
   }
 
-  /** Other readers whose word is still good. */
+  /** Other readers whose last report has not timed out. */
   activeReaders(nowMs: number): KnownReader[] {
-    return [...this.#known.values()]
-      .filter(({ receivedAtMs: heardAtMs }) =>
-        nowMs - heardAtMs < READER_TIMEOUT_MS
+    return [...this.#readers.values()]
+      .filter(({ receivedAtMs: receivedAtMs }) =>
+        nowMs - receivedAtMs < READER_TIMEOUT_MS
       );
   }
 
-  /** How long the store has answered some other reader without a failure. */
+  /** Longest time that the store has answered another reader without failure. */
   storeHealthyMs(nowMs: number): number {
-    const calms = this.activeReaders(nowMs)
-      .map(({ receivedAtMs: heardAtMs, storeCalmMs }) =>
-        storeCalmMs + nowMs - heardAtMs
+    const healthyMs = this.activeReaders(nowMs)
+      .map(({ receivedAtMs: receivedAtMs, storeCalmMs }) =>
+        storeCalmMs + nowMs - receivedAtMs
       );
-    return Math.max(0, ...calms);
+    return Math.max(0, ...healthyMs);
   }
 
-  /** Looks at the duty again. */
+  /** Reviews the role; call it regularly. */
   review(view: ReaderView): ReaderStep {
     const active = this.activeReaders(view.nowMs);
-    this.#forget(view.nowMs);
+    this.#dropExpired(view.nowMs);
     if (this.#isReader) {
       if (!this.#isNeeded(view, active)) this.#isReader = false;
       return this.#isReader ? "read" : "rest";
     }
-    const isDue = this.#isMissed(view, active) || this.#isFirst(view);
-    const mayTry = isDue && view.nowMs >= this.#noTryBeforeMs;
+    const isDue = this.#isDelayOver(view, active) || this.#isTopRanked(view);
+    const mayTry = isDue && view.nowMs >= this.#notBeforeMs;
     return mayTry ? "try" : "rest";
   }
 
   /**
-   * The attempt to reach the store has ended. With a slow store it takes longer
-   * than the VMs wait for one another, so enough others may read by now.
+   * Notes the end of an attempt to reach the store. With a slow store it takes
+   * longer than the delay between ranks, so enough others may read by now.
    */
   noteAttempt(isReached: boolean, view: ReaderView): void {
     const { nowMs } = view;
-    if (!isReached) this.#noTryBeforeMs = nowMs + RETRY_MS;
+    if (!isReached) this.#notBeforeMs = nowMs + RETRY_MS;
     this.#isReader = isReached &&
-      (this.activeReaders(nowMs).length < READERS || this.#isFirst(view));
+      (this.activeReaders(nowMs).length < READERS || this.#isTopRanked(view));
   }
 
-  /** Whether fewer than enough other readers go before this one. */
+  /** Whether fewer than `READERS` active readers rank before this VM. */
   #isNeeded(
-    { ranking: order, hasStore }: ReaderView,
+    { ranking, hasStore }: ReaderView,
     active: readonly KnownReader[],
   ): boolean {
     if (!hasStore) return active.length < READERS;
-    const own = order.indexOf(this.#vm);
-    const before = active.filter(({ vm }) => {
-      const place = order.indexOf(vm);
-      return place >= 0 && place < own;
+    const ownPosition = ranking.indexOf(this.#vm);
+    const higherRanked = active.filter(({ vm }) => {
+      const position = ranking.indexOf(vm);
+      return position >= 0 && position < ownPosition;
     });
-    return before.length < READERS;
+    return higherRanked.length < READERS;
   }
 
-  /** Whether readers have been missing for as long as this VM is to wait. */
-  #isMissed(view: ReaderView, active: readonly KnownReader[]): boolean {
+  /** Whether readers have been missing for longer than this VM's delay. */
+  #isDelayOver(view: ReaderView, active: readonly KnownReader[]): boolean {
     if (active.length >= READERS) {
-      this.#missingSinceMs = undefined;
+      this.#understaffedSinceMs = undefined;
       return false;
     }
-    if (view.uptimeMs < START_GRACE_MS && !view.isSeed) return false;
-    this.#missingSinceMs ??= view.nowMs;
+    if (view.uptimeMs < MIN_UPTIME_MS && !view.isSeed) return false;
+    this.#understaffedSinceMs ??= view.nowMs;
     const names = new Set(active.map(({ vm }) => vm));
-    const others = view.ranking.filter((vm) => !names.has(vm));
-    const place = Math.max(0, others.indexOf(this.#vm));
+    const otherVms = view.ranking.filter((vm) => !names.has(vm));
+    const position = Math.max(0, otherVms.indexOf(this.#vm));
     const missing = READERS - active.length;
-    const waitMs = STAGGER_MS * Math.max(0, place + 1 - missing);
-    return view.nowMs - this.#missingSinceMs >= waitMs;
+    const waitMs = STAGGER_MS * Math.max(0, position + 1 - missing);
+    return view.nowMs - this.#understaffedSinceMs >= waitMs;
   }
 
-  /** Whether this VM has been among the first of the order for long. */
-  #isFirst(
-    { ranking: order, nowMs, uptimeMs: lifeMs, hasStore }: ReaderView,
+  /** Whether this VM has been among the top ranks for long enough. */
+  #isTopRanked(
+    { ranking, nowMs, uptimeMs, hasStore }: ReaderView,
   ): boolean {
-    const isFirst = hasStore && order.slice(0, READERS).includes(this.#vm);
-    if (!isFirst) this.#firstSinceMs = undefined;
-    else this.#firstSinceMs ??= nowMs;
-    return isFirst && lifeMs >= SETTLE_MS &&
-      nowMs - this.#firstSinceMs! >= SETTLE_MS;
+    const isTop = hasStore && ranking.slice(0, READERS).includes(this.#vm);
+    if (!isTop) this.#topRankedSinceMs = undefined;
+    else this.#topRankedSinceMs ??= nowMs;
+    return isTop && uptimeMs >= TAKEOVER_DELAY_MS &&
+      nowMs - this.#topRankedSinceMs! >= TAKEOVER_DELAY_MS;
   }
 
-  #forget(nowMs: number): void {
-    for (const [vm, { receivedAtMs: heardAtMs }] of this.#known) {
-      if (nowMs - heardAtMs >= READER_TIMEOUT_MS) this.#known.delete(vm);
+  #dropExpired(nowMs: number): void {
+    for (const [vm, { receivedAtMs: receivedAtMs }] of this.#readers) {
+      if (nowMs - receivedAtMs >= READER_TIMEOUT_MS) this.#readers.delete(vm);
     }
   }
 }
 
 /**
- * Candidates in the order in which they read: of equal duty the strongest, and
- * of each availability zone one before any second.
+ * Ranks candidates: first the best of each availability zone, then the second
+ * best of each, and so on. Within a zone more processor cores rank higher, and
+ * `rank` breaks ties.
  */
 export function rankReaders(
   candidates: readonly ReaderCandidate[],
   rank: (vms: readonly contracts.VmId[]) => readonly contracts.VmId[],
 ): contracts.VmId[] {
-  const places = new Map(
-    rank(candidates.map(({ vm }) => vm)).map((vm, place) => [vm, place]),
+  const ranks = new Map(
+    rank(candidates.map(({ vm }) => vm)).map((vm, position) => [vm, position]),
   );
-  const strongest = [...candidates].sort((a, b) =>
+  const byCores = [...candidates].sort((a, b) =>
     b.processorCores - a.processorCores ||
-    places.get(a.vm)! - places.get(b.vm)!
+    ranks.get(a.vm)! - ranks.get(b.vm)!
   );
   const inZone = new Map<contracts.ZoneId, number>();
   const rounds = new Map<contracts.VmId, number>();
-  for (const { vm, zone } of strongest) {
+  for (const { vm, zone } of byCores) {
     const round = inZone.get(zone) ?? 0;
     rounds.set(vm, round);
     inZone.set(zone, round + 1);
   }
-  return strongest.map(({ vm }) => vm)
+  return byCores.map(({ vm }) => vm)
     .sort((a, b) => rounds.get(a)! - rounds.get(b)!);
 }
