--- a/packages/decisions/src/membership/effects.ts
+++ b/packages/decisions/src/membership/effects.ts
@@ -1,37 +1,37 @@
-/** Settings of membership, and what it asks the peer task to do. */
+/** Options of membership, and the actions that it asks the peer task for. */
 import type * as contracts from "@guavatide/contracts";
 import type { MemberState } from "./member.ts";
 
-/** Times and bounds of membership. */
+/** Timings and limits of membership. */
 export interface MembershipOptions {
   readonly vm: contracts.VmId;
   readonly random: contracts.RandomSource;
   readonly heartbeatIntervalMs: number;
-  /** Unanswered for this long: suspect. */
+  /** A peer that leaves heartbeats unanswered for this long is suspect. */
   readonly suspectAfterMs: number;
-  /** Unanswered for this long, and others agree: lost. */
+  /** Time without an answer until a suspect is lost, if another VM confirms. */
   readonly lostAfterMs: number;
-  /** Unanswered for this long: lost, also when nobody else could be asked. */
+  /** Time without an answer until a suspect is lost without confirmation. */
   readonly lostUnconfirmedAfterMs: number;
-  /** A beat this much late means that this process was paused. */
+  /** A heartbeat tick that is this late means that the process was paused. */
   readonly pauseThresholdMs: number;
-  /** A lost VM that the list does not name is forgotten after this. */
+  /** A lost VM that is not in the VM list is removed after this time. */
   readonly forgetAfterMs: number;
-  /** Up to this many peers, each is asked at each beat. */
+  /** Up to this many peers, each gets every heartbeat. */
   readonly fullMeshVms: number;
-  /** In a larger fleet, peers asked at each beat besides the pinned ones. */
+  /** In a larger fleet, sampled peers that get a heartbeat beside pinned ones. */
   readonly sampleVms: number;
-  /** In a larger fleet, the sample is asked at every so many beats. */
+  /** In a larger fleet, number of heartbeats from one sample to the next. */
   readonly sampleEveryHeartbeats: number;
-  /** Lost peers asked at each beat, to notice their return. */
+  /** Lost peers that get each heartbeat, to notice their return. */
   readonly lostProbes: number;
-  /** Others asked about a suspect. */
+  /** Peers asked about each unresponsive VM. */
   readonly indirectProbes: number;
-  /** Pieces of news in one message. */
+  /** Member updates gossiped in one message. */
   readonly updatesPerMessage: number;
 }
 
-/** Defaults for everything but the process's own id and random source. */
+/** Defaults of all options except the process's own id and random source. */
 export const DEFAULT_MEMBERSHIP = {
   heartbeatIntervalMs: 250,
   suspectAfterMs: 750,
@@ -47,30 +47,31 @@
   updatesPerMessage: 6,
 } as const;
 
-/** A change that the process may act on and logs. */
+/** A change of a member that the process logs and may act on. */
 export interface MemberEvent {
   readonly kind: "joined" | "restarted" | MemberState;
   readonly vm: contracts.VmId;
 }
 
-/** "Do you hear `about`?", to be sent to `to`. */
+/** A request to `to` for when it last had a sign of life of `about`. */
 export interface IndirectProbe {
   readonly to: contracts.VmId;
   readonly about: contracts.VmId;
 }
 
-/** What one beat asks the peer task to do. */
+/** Actions for the peer task at one heartbeat. */
 export interface HeartbeatEffects {
-  /** Peers that get a heartbeat now. */
+  /** Peers to send a heartbeat to now. */
   readonly targets: readonly contracts.VmId[];
   readonly indirectProbes: readonly IndirectProbe[];
   readonly events: readonly MemberEvent[];
 }
 
-/** A helper's answer: how long ago it had a sign of life, if ever. */
+/** Reply to an {@link IndirectProbe}. */
 export interface IndirectProbeReply {
   readonly from: contracts.VmId;
   readonly about: contracts.VmId;
   readonly incarnation?: contracts.Incarnation;
+  /** Age of the last sign of life of `about`; absent when there was none. */
   readonly seenAgeMs?: number;
 }
--- a/packages/decisions/src/membership/member.ts
+++ b/packages/decisions/src/membership/member.ts
@@ -1,10 +1,11 @@
-/** What this process knows of one other entry VM. */
+/** State of one peer as this process knows it. */
 import type * as contracts from "@guavatide/contracts";
 
 /**
- * `alive`: gave a sign of life since it was last asked. `suspect`: asked and
- * silent, or listed and never heard. `lost`: silent for longer, and others do
- * not hear it either. `left`: it or the VM list said that it leaves.
+ * `alive`: has given a sign of life since it was last probed. `suspect`: left a
+ * probe unanswered, or is in the VM list and was never heard from. `lost`:
+ * unresponsive for longer, sooner if another VM confirms it. `left`: it or the
+ * VM list announced that it leaves.
  */
 export type MemberState = "alive" | "suspect" | "lost" | "left";
 
@@ -16,41 +17,41 @@
   readonly peerPort: number;
 }
 
-/** A member as shown to the rest of the process. */
+/** A member as the rest of the process sees it. */
 export interface MemberView extends MemberAddress {
   readonly vm: contracts.VmId;
-  /** Absent until the VM was heard from. */
+  /** Undefined until the first message of the VM. */
   readonly incarnation: contracts.Incarnation | undefined;
   readonly state: MemberState;
-  /** It answered our own latest question; false behind a one-way cut. */
+  /** It answers this VM's heartbeats; false when only its own ones arrive. */
   readonly reachable: boolean;
-  /** Whether the VM list names it at present. */
+  /** Whether it is in the VM list. */
   readonly listed: boolean;
-  /** Time since the last sign of life; absent when there was none. */
+  /** Time since the last sign of life; undefined when there was none. */
   readonly silentMs: number | undefined;
 }
 
-/** Earlier incarnations remembered for each VM. */
+/** Earlier incarnations remembered per VM. */
 const REMEMBERED_INCARNATIONS = 4;
 
-/** Times and facts about one VM; {@link Membership} draws the conclusions. */
+/** Times and facts about one VM, from which `Membership` derives its state. */
 export class Member {
   readonly vm: contracts.VmId;
   address: MemberAddress;
   state: MemberState = "suspect";
   listed = false;
-  /** The VM list calls it leaving. */
+  /** Whether the VM list marks it as leaving. */
   isListedLeaving = false;
-  /** It said itself, in its present incarnation, that it leaves. */
+  /** Whether its present incarnation announced that it leaves. */
   hasAnnouncedLeave = false;
   incarnation: contracts.Incarnation | undefined;
   lastSeenMs: number | undefined;
   lastReplyMs: number | undefined;
-  /** When the oldest question since the last sign of life was sent. */
+  /** When the first probe since the last sign of life was sent. */
   unansweredSinceMs: number | undefined;
-  /** When the oldest question since the last reply was sent. */
+  /** When the first probe since the last reply was sent. */
   unrepliedSinceMs: number | undefined;
-  /** Others that do not hear this VM either, since it became suspect. */
+  /** Peers that confirmed that the VM is unresponsive. */
   readonly confirmedBy = new Set<contracts.VmId>();
   readonly #earlier: contracts.Incarnation[] = [];
 
@@ -60,10 +61,10 @@
   }
 
   /**
-   * Takes note of the incarnation of a sign of life. `stale` means that it
-   * came from a run that a newer one has replaced: a delayed heartbeat of the
-   * old run would otherwise make a restarted VM look like the old one, and
-   * its forgotten promises would count. Remembering replaced runs prevents it.
+   * Notes the incarnation of a sign of life. `stale` means that a newer one has
+   * replaced it. Replaced incarnations are remembered because a delayed
+   * heartbeat would otherwise make a restarted VM look like its old process,
+   * and acknowledgements that it has forgotten would count.
    */
   adoptIncarnation(
     incarnation: contracts.Incarnation,
@@ -77,7 +78,7 @@
     return "new";
   }
 
-  /** A sign of life as of `atMs`; an older one changes nothing. */
+  /** Notes a sign of life at `atMs`; an older one changes nothing. */
   noteSeen(atMs: number): void {
     this.lastSeenMs = Math.max(this.lastSeenMs ?? atMs, atMs);
     if (this.unansweredSinceMs === undefined) return;
@@ -86,22 +87,23 @@
     this.confirmedBy.clear();
   }
 
-  /** An answer to our question of `askedAtMs`. */
-  noteReply(askedAtMs: number): void {
-    this.lastReplyMs = Math.max(this.lastReplyMs ?? askedAtMs, askedAtMs);
+  /** Notes a reply to the probe sent at `askedAtMs`. */
+  noteReply(sentAtMs: number): void {
+    this.lastReplyMs = Math.max(this.lastReplyMs ?? sentAtMs, sentAtMs);
     const unreplied = this.unrepliedSinceMs;
-    if (unreplied !== undefined && askedAtMs >= unreplied) {
+    if (unreplied !== undefined && sentAtMs >= unreplied) {
       this.unrepliedSinceMs = undefined;
     }
-    this.noteSeen(askedAtMs);
+    this.noteSeen(sentAtMs);
   }
 
+  /** Notes that a probe is sent now. */
   noteProbe(nowMs: number): void {
     this.unansweredSinceMs ??= nowMs;
     this.unrepliedSinceMs ??= nowMs;
   }
 
-  /** How long it has been asked in vain, not counting our own pause. */
+  /** How long probes have been unanswered, without a pause of this process. */
   unansweredMs(nowMs: number, resumedAtMs: number): number {
     if (this.unansweredSinceMs === undefined) return 0;
     return nowMs - Math.max(this.unansweredSinceMs, resumedAtMs);
--- a/packages/decisions/src/membership/membership.ts
+++ b/packages/decisions/src/membership/membership.ts
@@ -1,12 +1,12 @@
 /**
- * Which entry VMs are there, as far as this process can tell. Nothing that
- * must be safe rests on it: a wrong verdict costs time (a needless takeover of
- * control duty, a question to a dead keeper), never a second owner.
+ * Failure detector for the entry VMs. Safety does not depend on it: a wrong
+ * verdict costs time, as by a needless change of leader or a call to a failed
+ * voter, but never leads to a second owner.
  *
- * Each VM asks its peers at a fixed beat. A VM counts as silent only from a
- * question that it left unanswered, so a peer that is rarely asked in a large
- * fleet is not suspected for that. Before a silent VM counts as lost, others
- * are asked whether they hear it.
+ * Each VM probes its peers by heartbeats at a fixed interval. The time without
+ * an answer counts from an unanswered probe, so a peer that is rarely probed in
+ * a large fleet is not suspected for that. Before an unresponsive VM counts as
+ * lost, other peers are asked about it (an indirect probe, as in SWIM).
  */
 import type * as contracts from "@guavatide/contracts";
 import type * as effects from "./effects.ts";
@@ -14,51 +14,54 @@
 import { type MemberUpdate, UpdateQueue } from "./news_board.ts";
 import * as targets from "./targets.ts";
 
-/** The members and the rules by which their states change. */
+/** The members, and the rules by which their states change. */
 export class Membership {
   readonly #options: effects.MembershipOptions;
   readonly #members = new Map<contracts.VmId, Member>();
-  readonly #news: UpdateQueue;
-  readonly #picker: targets.SamplePicker;
+  readonly #updates: UpdateQueue;
+  readonly #sampler: targets.SamplePicker;
   #pinned: ReadonlySet<contracts.VmId> = new Set();
-  #beats = 0;
-  #lastBeatMs: number | undefined;
+  #heartbeats = 0;
+  #lastHeartbeatMs: number | undefined;
   #resumedAtMs = Number.NEGATIVE_INFINITY;
 
   constructor(options: effects.MembershipOptions) {
     this.#options = options;
-    this.#news = new UpdateQueue(options.updatesPerMessage);
-    this.#picker = new targets.SamplePicker(options.random);
+    this.#updates = new UpdateQueue(options.updatesPerMessage);
+    this.#sampler = new targets.SamplePicker(options.random);
   }
 
-  /** Peers asked at every beat: keepers of the services this VM keeps. */
+  /**
+   * Sets the peers that get every heartbeat also in a large fleet: the other
+   * voters of the services that this VM votes for.
+   */
   pin(vms: Iterable<contracts.VmId>): void {
     this.#pinned = new Set(vms);
   }
 
   /**
-   * Takes the lagging VM list. A VM missing from it stays a member for as
-   * long as it is heard: a new VM beats before the list names it.
+   * Takes the VM list, which lags. A VM that is not in it stays a member while
+   * it answers, because a new VM sends heartbeats before it is listed.
    */
   noteVmList(
     vms: readonly contracts.ListedVm[],
     nowMs: number,
   ): effects.MemberEvent[] {
-    const named = new Set<contracts.VmId>();
+    const listedVms = new Set<contracts.VmId>();
     for (const listed of vms) {
       if (listed.kind !== "entry" || listed.vm === undefined) continue;
       if (listed.vm === this.#options.vm) continue;
-      named.add(listed.vm);
+      listedVms.add(listed.vm);
       this.#noteListed(listed.vm, listed);
     }
     for (const member of this.#members.values()) {
-      member.listed = named.has(member.vm);
+      member.listed = listedVms.has(member.vm);
       if (!member.listed) member.isListedLeaving = false;
     }
     return this.#reviewAll(nowMs);
   }
 
-  /** Call at each beat. Sends nothing itself. */
+  /** Call at each heartbeat interval. Returns what to send; sends nothing. */
   heartbeat(nowMs: number): effects.HeartbeatEffects {
     this.#notePause(nowMs);
     const events = this.#reviewAll(nowMs);
@@ -66,15 +69,15 @@
     for (const vm of chosen) this.#members.get(vm)?.noteProbe(nowMs);
     return {
       targets: chosen,
-      indirectProbes: this.#chooseQuestions(nowMs),
+      indirectProbes: this.#chooseIndirectProbes(nowMs),
       events,
     };
   }
 
   /**
-   * A peer answered the heartbeat of `askedAtMs`. The sign of life dates from
-   * the question: the answer may have lain in a buffer while either end was
-   * paused, so its arrival proves nothing about now.
+   * Notes a peer's reply to the heartbeat sent at `askedAtMs`. The sign of life
+   * dates from then: the reply may have been buffered while either process was
+   * paused, so its arrival says nothing about the present.
    */
   noteReply(
     vm: contracts.VmId,
@@ -92,19 +95,19 @@
     return [...adopted, ...this.#review(member, nowMs)];
   }
 
-  /** A heartbeat failed or timed out. Silence is counted from the question. */
+  /** Notes that a heartbeat failed or timed out. */
   noteFailure(vm: contracts.VmId, nowMs: number): effects.MemberEvent[] {
     const member = this.#members.get(vm);
     return member === undefined ? [] : this.#review(member, nowMs);
   }
 
-  /** A peer's heartbeat came in; the peer may be unknown so far. */
+  /** Notes a peer's heartbeat; it adds an unknown peer. */
   noteHeartbeat(
     heartbeat: contracts.PeerHeartbeat,
     nowMs: number,
   ): effects.MemberEvent[] {
     if (heartbeat.vm === this.#options.vm) return [];
-    const member = this.#ensure(heartbeat.vm, heartbeat);
+    const member = this.#getOrAdd(heartbeat.vm, heartbeat);
     const adopted = this.#adopt(member, heartbeat.incarnation);
     if (adopted === undefined) return [];
     member.address = addressOf(heartbeat);
@@ -113,7 +116,7 @@
     return [...adopted, ...this.#review(member, nowMs)];
   }
 
-  /** The answer to a {@link effects.IndirectProbe} that was sent at `askedAtMs`. */
+  /** Notes the reply to an indirect probe that was sent at `askedAtMs`. */
   noteIndirectReply(
     answer: effects.IndirectProbeReply,
     { askedAtMs, nowMs }: {
@@ -134,7 +137,7 @@
     return [...adopted, ...this.#review(member, nowMs)];
   }
 
-  /** This process's answer to another's question. */
+  /** Replies to a peer's indirect probe. */
   answerIndirectProbe(
     about: contracts.VmId,
     nowMs: number,
@@ -150,29 +153,30 @@
     };
   }
 
-  /** News to put into the next message to a peer; bounded. */
+  /** Updates to piggyback on the next message, limited in number. */
   takeUpdates(): MemberUpdate[] {
-    return this.#news.take(this.#members.size);
+    return this.#updates.take(this.#members.size);
   }
 
   /**
-   * News of a peer. It is a reason to ask the VM concerned at the next beat,
-   * never a verdict: otherwise one paused VM, on waking, would have the whole
-   * fleet drop members that are well.
+   * Takes updates from a peer. They only cause a probe of the VM concerned at
+   * the next heartbeat: taken as verdicts, the updates of one VM that resumes
+   * from a pause would make the whole fleet drop healthy members.
    */
   noteUpdates(
-    news: readonly MemberUpdate[],
+    updates: readonly MemberUpdate[],
     nowMs: number,
   ): effects.MemberEvent[] {
     const events: effects.MemberEvent[] = [];
-    for (const item of news) {
-      const member = this.#members.get(item.vm);
-      if (member === undefined || item.state === "alive") continue;
+    for (const update of updates) {
+      const member = this.#members.get(update.vm);
+      if (member === undefined || update.state === "alive") continue;
       if (member.state !== "alive") continue;
-      if (member.incarnation !== item.incarnation) continue;
-      this.#picker.prioritize(item.vm);
-      // A VM says itself that it leaves and never takes it back in that run.
-      if (item.state === "left") member.hasAnnouncedLeave = true;
+      if (member.incarnation !== update.incarnation) continue;
+      this.#sampler.prioritize(update.vm);
+      // Only the VM itself announces its leave, and never revokes it while it
+      // runs.
+      if (update.state === "left") member.hasAnnouncedLeave = true;
       events.push(...this.#review(member, nowMs));
     }
     return events;
@@ -213,12 +217,12 @@
       host: listed.host,
       peerPort: listed.port,
     };
-    const member = this.#ensure(vm, address);
+    const member = this.#getOrAdd(vm, address);
     if (member.incarnation === undefined) member.address = address;
     member.isListedLeaving = listed.state === "leaving";
   }
 
-  #ensure(vm: contracts.VmId, address: Member["address"]): Member {
+  #getOrAdd(vm: contracts.VmId, address: Member["address"]): Member {
     const known = this.#members.get(vm);
     if (known !== undefined) return known;
     const member = new Member(vm, addressOf(address));
@@ -226,7 +230,7 @@
     return member;
   }
 
-  /** Undefined when the sign of life came from a run that was replaced. */
+  /** Undefined when the incarnation has been replaced by a newer one. */
   #adopt(
     member: Member,
     incarnation: contracts.Incarnation,
@@ -239,50 +243,53 @@
   }
 
   /**
-   * When this process was stopped, every peer looks silent on waking although
-   * it was we who did not listen; users would see a needless takeover. The
-   * beat that comes late tells, and silence is counted anew from there.
+   * After a pause of this process every peer looks unresponsive, although it
+   * was this process that did not listen, and leadership would change for
+   * nothing. A late heartbeat tick reveals the pause; the time without an answer
+   * counts anew from then.
    */
   #notePause(nowMs: number): void {
-    const { heartbeatIntervalMs: beatMs, pauseThresholdMs: pauseMs } =
-      this.#options;
-    const last = this.#lastBeatMs;
-    this.#lastBeatMs = nowMs;
-    if (last !== undefined && nowMs - last > beatMs + pauseMs) {
+    const { heartbeatIntervalMs, pauseThresholdMs } = this.#options;
+    const last = this.#lastHeartbeatMs;
+    this.#lastHeartbeatMs = nowMs;
+    if (
+      last !== undefined &&
+      nowMs - last > heartbeatIntervalMs + pauseThresholdMs
+    ) {
       this.#resumedAtMs = nowMs;
     }
   }
 
   #chooseTargets(): contracts.VmId[] {
-    const { sampleVms, sampleEveryHeartbeats: sampleEveryBeats } =
-      this.#options;
-    this.#beats++;
-    const isSampling = this.#beats % sampleEveryBeats === 0;
+    const { sampleVms, sampleEveryHeartbeats } = this.#options;
+    this.#heartbeats++;
+    const isSampling = this.#heartbeats % sampleEveryHeartbeats === 0;
     return targets.chooseProbeTargets(this.#members, {
       ...this.#options,
       sampleVms: isSampling ? sampleVms : 0,
       pinned: this.#pinned,
-      picker: this.#picker,
+      picker: this.#sampler,
     });
   }
 
   /**
-   * Others are asked before the verdict: behind a cut of one link, a VM that
-   * they hear would otherwise go from alive to suspect and back at each round.
+   * Peers are asked before a VM becomes suspect: with one broken link, a VM that
+   * they reach would otherwise alternate between alive and suspect.
    */
-  #chooseQuestions(nowMs: number): effects.IndirectProbe[] {
-    const quietMs = this.#options.suspectAfterMs / 2;
-    const quiet: Member[] = [];
+  #chooseIndirectProbes(nowMs: number): effects.IndirectProbe[] {
+    const probeAfterMs = this.#options.suspectAfterMs / 2;
+    const unresponsive: Member[] = [];
     for (const member of this.#members.values()) {
-      const silentMs = member.unansweredMs(nowMs, this.#resumedAtMs);
-      const isOpen = member.state === "alive" || member.state === "suspect";
-      if (isOpen && member.incarnation && silentMs >= quietMs) {
-        quiet.push(member);
+      const unansweredMs = member.unansweredMs(nowMs, this.#resumedAtMs);
+      const isUndecided = member.state === "alive" ||
+        member.state === "suspect";
+      if (isUndecided && member.incarnation && unansweredMs >= probeAfterMs) {
+        unresponsive.push(member);
       }
     }
     return targets.chooseIndirectProbes(this.#members, {
       ...this.#options,
-      unresponsive: quiet,
+      unresponsive,
     });
   }
 
@@ -296,35 +303,37 @@
   }
 
   #review(member: Member, nowMs: number): effects.MemberEvent[] {
-    const next = this.#judge(member, nowMs);
+    const next = this.#nextState(member, nowMs);
     if (next === member.state) return [];
     member.state = next;
     const { vm, incarnation } = member;
-    this.#news.enqueue({ vm, incarnation, state: next });
+    this.#updates.enqueue({ vm, incarnation, state: next });
     return [{ kind: next, vm }];
   }
 
-  #judge(member: Member, nowMs: number): MemberState {
+  #nextState(member: Member, nowMs: number): MemberState {
     const options = this.#options;
-    const silentMs = member.unansweredMs(nowMs, this.#resumedAtMs);
-    if (silentMs < options.suspectAfterMs) {
+    const unansweredMs = member.unansweredMs(nowMs, this.#resumedAtMs);
+    if (unansweredMs < options.suspectAfterMs) {
       if (member.isLeaving()) return "left";
-      return member.incarnation === undefined ? "suspect" : this.#kept(member);
+      return member.incarnation === undefined
+        ? "suspect"
+        : this.#aliveUnlessDown(member);
     }
     if (member.state === "left") return "left";
     if (member.state === "lost") return "lost";
-    const agreed = member.confirmedBy.size > 0;
-    const waitMs = agreed
+    const isConfirmed = member.confirmedBy.size > 0;
+    const waitMs = isConfirmed
       ? options.lostAfterMs
       : options.lostUnconfirmedAfterMs;
-    return silentMs >= waitMs ? "lost" : "suspect";
+    return unansweredMs >= waitMs ? "lost" : "suspect";
   }
 
-  /** A suspect or lost VM stays so until a sign of life clears it. */
-  #kept(member: Member): MemberState {
-    const isSilent = member.unansweredSinceMs !== undefined;
+  /** A suspect or lost VM stays so until a sign of life. */
+  #aliveUnlessDown(member: Member): MemberState {
+    const isUnanswered = member.unansweredSinceMs !== undefined;
     const wasDown = member.state === "suspect" || member.state === "lost";
-    if (isSilent && wasDown) return member.state;
+    if (isUnanswered && wasDown) return member.state;
     return "alive";
   }
 
--- a/packages/decisions/src/membership/membership_test.ts
+++ b/packages/decisions/src/membership/membership_test.ts
@@ -3,7 +3,7 @@
 import { test } from "node:test";
 import * as membership from "./mod.ts";
 
-const BEAT_MS = membership.DEFAULT_MEMBERSHIP.heartbeatIntervalMs;
+const HEARTBEAT_MS = membership.DEFAULT_MEMBERSHIP.heartbeatIntervalMs;
 
 function vmId(name: string): contracts.VmId {
   return name as contracts.VmId;
@@ -23,7 +23,7 @@
   };
 }
 
-/** One VM's view of peers `b`, `c`, ... whose answers the test decides. */
+/** The membership of VM `a`; the test decides which of its peers answer. */
 class Fixture {
   nowMs = 1000;
   readonly answering = new Map<string, string>();
@@ -68,18 +68,18 @@
     ));
   }
 
-  /** Runs beats; those in `answering` answer at once. */
-  run(beats: number): membership.HeartbeatEffects {
+  /** Runs heartbeats; the peers in `answering` answer at once. */
+  run(heartbeats: number): membership.HeartbeatEffects {
     let effects!: membership.HeartbeatEffects;
-    for (let i = 0; i < beats; i++) {
-      this.nowMs += BEAT_MS;
+    for (let i = 0; i < heartbeats; i++) {
+      this.nowMs += HEARTBEAT_MS;
       effects = this.self.heartbeat(this.nowMs);
       this.#note(effects.events);
       for (const vm of effects.targets) {
         const incarnation = this.answering.get(vm);
         if (incarnation) this.reply(vm, incarnation, this.nowMs);
       }
-      for (const question of effects.indirectProbes) this.#answer(question);
+      for (const probe of effects.indirectProbes) this.#answer(probe);
     }
     return effects;
   }
@@ -126,10 +126,10 @@
     state: "alive",
     log: [],
   },
-  // A VM's process dies. Callers routed through control duty wait for the
-  // takeover, which starts when the VM counts as lost.
+  // A VM's process fails. Leadership moves only when the VM counts as lost, and
+  // callers wait for that.
   {
-    name: "lose a VM that falls silent and that others do not hear",
+    name: "lose an unresponsive VM that others do not reach either",
     act: (fixture) => {
       fixture.answering.delete("b");
       fixture.run(8);
@@ -137,10 +137,10 @@
     state: "lost",
     log: ["suspect b", "lost b"],
   },
-  // The link between two VMs is cut while both are well. A takeover for that
-  // would cost a needless write and a gap in planning.
+  // The link between two healthy VMs breaks. A change of leader would cost a
+  // needless write and a gap in planning.
   {
-    name: "only suspect a VM that another still hears",
+    name: "not suspect a VM that another VM still reaches",
     act: (fixture) => {
       fixture.answering.delete("b");
       fixture.helperSeenAgeMs.set("b", 0);
@@ -149,9 +149,9 @@
     state: "alive",
     log: [],
   },
-  // Our questions are lost and the peer's heartbeats arrive.
+  // This VM's heartbeats are lost while the peer's arrive.
   {
-    name: "keep a VM behind a one-way cut alive but not reachable",
+    name: "keep a VM behind a one-way link failure alive but not reachable",
     act: (fixture) => {
       fixture.answering.delete("b");
       for (let i = 0; i < 30; i++) {
@@ -164,9 +164,9 @@
     state: "alive",
     log: [],
   },
-  // This VM is cut off from all others; nobody can be asked.
+  // This VM is partitioned from all others, so no peer can confirm.
   {
-    name: "suspect at first, and lose late, when nobody answers at all",
+    name: "suspect peers first and lose them late when no peer answers",
     act: (fixture) => {
       fixture.answering.clear();
       fixture.run(10);
@@ -176,10 +176,10 @@
     state: "lost",
     log: ["suspect b", "suspect c", "lost b", "lost c"],
   },
-  // This process was stopped for a minute. On waking, all its peers have been
-  // silent for a minute, as far as it can tell.
+  // This process was paused for a minute. When it resumes, its peers seem to
+  // have been unresponsive for a minute.
   {
-    name: "blame no peer for this process's own pause",
+    name: "suspect no peer because of this process's own pause",
     act: (fixture) => {
       fixture.answering.delete("b");
       fixture.run(1);
@@ -190,9 +190,9 @@
     state: "alive",
     log: [],
   },
-  // A stopped peer wakes and answers a question of long ago.
+  // A paused peer resumes and answers an old heartbeat.
   {
-    name: "not revive a VM by an answer to an old question",
+    name: "not revive a VM by a reply to an old heartbeat",
     act: (fixture) => {
       fixture.answering.delete("b");
       const askedAtMs = fixture.nowMs;
@@ -203,7 +203,7 @@
     log: ["suspect b", "lost b"],
   },
   {
-    name: "take back a paused VM when it answers",
+    name: "restore a paused VM when it answers",
     act: (fixture) => {
       fixture.answering.delete("b");
       fixture.run(8);
@@ -213,10 +213,10 @@
     state: "alive",
     log: ["suspect b", "lost b", "alive b"],
   },
-  // A restarted keeper has forgotten what it promised, so its peers must see
-  // that it is a new run even if it was back before anyone missed it.
+  // A restarted voter has forgotten its acknowledgements, so its peers must see
+  // the new incarnation even if it returned before it was suspected.
   {
-    name: "tell a restarted VM from the run before, also by late messages",
+    name: "detect a restart, and ignore late messages of the old incarnation",
     act: (fixture) => {
       fixture.answering.set("b", "b2");
       fixture.run(1);
@@ -226,7 +226,8 @@
     log: ["restarted b"],
   },
   {
-    name: "take a VM out that says it leaves, and back in as a new run",
+    name:
+      "remove a VM that announces its leave, and restore its next incarnation",
     act: (fixture) => {
       fixture.hear("b", "b1", true);
       expect(fixture.state("b")).toEqual("left");
@@ -236,14 +237,14 @@
     log: ["left b", "restarted b", "alive b"],
   },
   {
-    name: "take a VM out that the list calls leaving",
+    name: "remove a VM that the list marks as leaving",
     act: (fixture) => fixture.list(listed("b", "leaving"), listed("c")),
     state: "left",
     log: ["left b"],
   },
-  // The VM list lags: it does not name a VM yet that beats already.
+  // The VM list lags: a VM that sends heartbeats is not in it yet.
   {
-    name: "keep a VM that the list does not name but that answers",
+    name: "keep a VM that answers although it is not in the list",
     act: (fixture) => {
       fixture.list(listed("c"));
       fixture.run(400);
@@ -252,7 +253,7 @@
     log: [],
   },
   {
-    name: "forget a lost VM that the list no longer names",
+    name: "forget a lost VM that is no longer in the list",
     act: (fixture) => {
       fixture.list(listed("c"));
       fixture.answering.delete("b");
@@ -272,7 +273,7 @@
   });
 }
 
-test("should count a listed VM that was never heard as suspect, then lost", () => {
+test("should suspect a listed VM that never sent a message, then lose it", () => {
   const fixture = new Fixture();
   fixture.list(listed("b"));
   expect(fixture.state("b")).toEqual("suspect");
@@ -281,14 +282,14 @@
   expect(fixture.log).toEqual(["lost b"]);
 });
 
-test("should ask every VM of a large fleet in turn, a bounded number each beat", () => {
+test("should probe every VM of a large fleet in turn, a few at each heartbeat", () => {
   const fixture = new Fixture({ sampleEveryHeartbeats: 1 });
   const names = Array.from({ length: 200 }, (_, i) => `v${i}`);
   for (const name of names) fixture.answering.set(name, `${name}-1`);
   fixture.list(...names.map((name) => listed(name)));
   fixture.self.pin([vmId("v7")]);
   const seen = new Set<string>();
-  for (let beat = 0; beat < 200; beat++) {
+  for (let round = 0; round < 200; round++) {
     const { targets } = fixture.run(1);
     expect(targets.length <= 2).toEqual(true);
     expect(targets).toInclude(vmId("v7"));
@@ -297,8 +298,8 @@
   expect(seen.size).toEqual(200);
 });
 
-// One VM was paused and, on waking, tells everyone that its peers are lost.
-test("should look for itself before it believes news of a loss", () => {
+// A VM that resumes from a pause gossips that its peers are lost.
+test("should probe a VM itself before it believes an update on its loss", () => {
   const fixture = new Fixture();
   const names = Array.from({ length: 60 }, (_, i) => `v${i}`);
   for (const name of names) fixture.answering.set(name, `${name}-1`);
@@ -314,10 +315,10 @@
   expect(fixture.state("v3")).toEqual("alive");
 });
 
-test("should tell a change to a bounded number of peers", () => {
+test("should send a change to a limited number of peers", () => {
   const fixture = startTrio();
   fixture.hear("b", "b1", true);
-  let told = 0;
-  for (let i = 0; i < 100; i++) told += fixture.self.takeUpdates().length;
-  expect(told > 0 && told < 40).toEqual(true);
+  let sent = 0;
+  for (let i = 0; i < 100; i++) sent += fixture.self.takeUpdates().length;
+  expect(sent > 0 && sent < 40).toEqual(true);
 });
--- a/packages/decisions/src/membership/news_board.ts
+++ b/packages/decisions/src/membership/news_board.ts
@@ -1,50 +1,53 @@
 /**
- * Changes of members that ride along in heartbeats, so that in a large fleet
- * a change reaches everybody without everybody asking everybody.
+ * Gossips changes of members by piggybacking them on heartbeats, so that a
+ * change reaches all VMs of a large fleet although each VM probes only a few.
  */
 import type * as contracts from "@guavatide/contracts";
 import type { MemberState } from "./member.ts";
 
-/** One change, as told to a peer. */
+/** A change of a member, as sent to a peer. */
 export interface MemberUpdate {
   readonly vm: contracts.VmId;
   readonly incarnation?: contracts.Incarnation;
   readonly state: MemberState;
 }
 
-/** Each change is told to about this many times log2(fleet) peers. */
-const TELL_FACTOR = 3;
-/** Changes kept; the ones told most often give way first. */
-const KEPT_NEWS = 256;
+/** Each update is sent to about this many times log2(fleet size) peers. */
+const TRANSMIT_FACTOR = 3;
+/** Updates kept; the oldest is dropped first. */
+const MAX_UPDATES = 256;
 
-/** Holds changes until each has been told often enough. */
+/** Keeps updates until each has been sent often enough. */
 export class UpdateQueue {
   readonly #perMessage: number;
-  readonly #told = new Map<contracts.VmId, { news: MemberUpdate; n: number }>();
+  readonly #queue = new Map<
+    contracts.VmId,
+    { update: MemberUpdate; sends: number }
+  >();
 
   constructor(perMessage: number) {
     this.#perMessage = perMessage;
   }
 
-  /** Adds a change; it replaces an earlier one about the same VM. */
-  enqueue(news: MemberUpdate): void {
-    this.#told.delete(news.vm);
-    this.#told.set(news.vm, { news, n: 0 });
-    if (this.#told.size <= KEPT_NEWS) return;
-    const oldest = this.#told.keys().next().value;
-    if (oldest !== undefined) this.#told.delete(oldest);
+  /** Adds an update; it replaces an earlier one about the same VM. */
+  enqueue(update: MemberUpdate): void {
+    this.#queue.delete(update.vm);
+    this.#queue.set(update.vm, { update, sends: 0 });
+    if (this.#queue.size <= MAX_UPDATES) return;
+    const oldest = this.#queue.keys().next().value;
+    if (oldest !== undefined) this.#queue.delete(oldest);
   }
 
-  /** The next changes to tell; the least told first. */
+  /** The next updates to send, the least often sent first. */
   take(fleetVms: number): MemberUpdate[] {
-    const limit = TELL_FACTOR * Math.ceil(Math.log2(fleetVms + 2));
-    const chosen = [...this.#told.values()]
-      .sort((a, b) => a.n - b.n)
+    const limit = TRANSMIT_FACTOR * Math.ceil(Math.log2(fleetVms + 2));
+    const chosen = [...this.#queue.values()]
+      .sort((a, b) => a.sends - b.sends)
       .slice(0, this.#perMessage);
     for (const item of chosen) {
-      item.n++;
-      if (item.n >= limit) this.#told.delete(item.news.vm);
+      item.sends++;
+      if (item.sends >= limit) this.#queue.delete(item.update.vm);
     }
-    return chosen.map((item) => item.news);
+    return chosen.map((item) => item.update);
   }
 }
--- a/packages/decisions/src/membership/targets.ts
+++ b/packages/decisions/src/membership/targets.ts
@@ -1,27 +1,27 @@
-/** Whom to ask at a beat: bounded in number, whatever the fleet's size. */
+/** Chooses the peers to probe; their number is limited whatever the fleet size. */
 import type * as contracts from "@guavatide/contracts";
 import type { Member } from "./member.ts";
 
 /**
- * Goes through all peers in a random order and starts over in a new one. A
- * plain draw would leave some peer unasked for long by chance; this way each
- * is asked once in every round.
+ * Goes through all peers in random order and then starts over in a new order.
+ * Independent draws would leave some peers without a probe for long; this way
+ * each is probed once per round.
  */
 export class SamplePicker {
   readonly #random: contracts.RandomSource;
-  readonly #soon = new Set<contracts.VmId>();
+  readonly #prioritized = new Set<contracts.VmId>();
   #round: contracts.VmId[] = [];
 
   constructor(random: contracts.RandomSource) {
     this.#random = random;
   }
 
-  /** Puts a peer ahead of the round. */
+  /** Puts a peer ahead of the present round. */
   prioritize(vm: contracts.VmId): void {
-    this.#soon.add(vm);
+    this.#prioritized.add(vm);
   }
 
-  /** Up to `count` peers out of `candidates`. */
+  /** Returns up to `count` of the candidates. */
   next(
     candidates: ReadonlyMap<contracts.VmId, Member>,
     count: number,
@@ -39,8 +39,8 @@
   #nextOne(
     candidates: ReadonlyMap<contracts.VmId, Member>,
   ): contracts.VmId | undefined {
-    for (const vm of this.#soon) {
-      this.#soon.delete(vm);
+    for (const vm of this.#prioritized) {
+      this.#prioritized.delete(vm);
       return vm;
     }
     if (this.#round.length === 0) this.#startRound(candidates);
@@ -55,7 +55,7 @@
   }
 }
 
-/** Alive, or listed and not asked yet. */
+/** Whether a member is alive, or is listed and was not probed yet. */
 function isSampled(member: Member): boolean {
   if (member.state === "alive") return true;
   return member.state === "suspect" && member.unansweredSinceMs === undefined;
@@ -71,10 +71,10 @@
   readonly picker: SamplePicker;
 }
 
-/** Suspects asked again at a beat of a large fleet. */
+/** Suspects probed per heartbeat in a large fleet. */
 const SUSPECT_PROBES = 4;
 
-/** The peers that get a heartbeat at this beat. */
+/** The peers that get this heartbeat. */
 export function chooseProbeTargets(
   members: ReadonlyMap<contracts.VmId, Member>,
   options: ChooseProbeTargetsOptions,
@@ -82,18 +82,18 @@
   const chosen = new Set<contracts.VmId>();
   const suspects: contracts.VmId[] = [];
   const lost: contracts.VmId[] = [];
-  const isMesh = members.size <= options.fullMeshVms;
+  const isFullMesh = members.size <= options.fullMeshVms;
   for (const member of members.values()) {
     const { vm, state } = member;
     if (state === "lost") lost.push(vm);
-    const isClose = isMesh || options.pinned.has(vm);
-    if (isClose && isSampled(member)) chosen.add(vm);
+    const isAlwaysProbed = isFullMesh || options.pinned.has(vm);
+    if (isAlwaysProbed && isSampled(member)) chosen.add(vm);
     if (state === "suspect" && !isSampled(member)) suspects.push(vm);
   }
-  const suspectProbes = isMesh ? suspects.length : SUSPECT_PROBES;
+  const suspectProbes = isFullMesh ? suspects.length : SUSPECT_PROBES;
   for (const vm of draw(suspects, suspectProbes, options)) chosen.add(vm);
   for (const vm of draw(lost, options.lostProbes, options)) chosen.add(vm);
-  if (!isMesh) {
+  if (!isFullMesh) {
     const sample = options.picker.next(members, options.sampleVms);
     for (const vm of sample) chosen.add(vm);
   }
@@ -104,25 +104,25 @@
 export interface ChooseIndirectProbesOptions {
   readonly indirectProbes: number;
   readonly random: contracts.RandomSource;
-  /** Members that have left a question unanswered for a while. */
+  /** Members that have left a probe unanswered for a while. */
   readonly unresponsive: readonly Member[];
 }
 
-/** Whom to ask about the quiet members that too few have confirmed yet. */
+/** Indirect probes of unresponsive members that too few peers have confirmed. */
 export function chooseIndirectProbes(
   members: ReadonlyMap<contracts.VmId, Member>,
   options: ChooseIndirectProbesOptions,
 ): { to: contracts.VmId; about: contracts.VmId }[] {
-  const open = options.unresponsive
+  const unconfirmed = options.unresponsive
     .filter((member) => member.confirmedBy.size < options.indirectProbes)
     .map((member) => member.vm);
-  return draw(open, SUSPECT_PROBES, options).flatMap((about) =>
+  return draw(unconfirmed, SUSPECT_PROBES, options).flatMap((about) =>
     draw(findHelpers(members, about), options.indirectProbes, options)
       .map((to) => ({ to, about }))
   );
 }
 
-/** Members that can be asked about another. */
+/** Members that can be asked about another member. */
 function findHelpers(
   members: ReadonlyMap<contracts.VmId, Member>,
   about: contracts.VmId,
