--- a/packages/decisions/src/cells/cell_plan_test.ts
+++ b/packages/decisions/src/cells/cell_plan_test.ts
@@ -30,15 +30,15 @@
 test("should use each server in exactly one cell of its own zone", () => {
   const all = vms({ a: 20, b: 22, c: 18 });
   const plan = new CellPlan(all);
-  const listed = servers({ a: 28, b: 25, c: 31, x: 6 });
+  const available = servers({ a: 28, b: 25, c: 31, x: 6 });
   const uses = new Map<string, Set<string>>();
   for (const { vm } of all) {
-    for (const server of plan.serversOf(vm, listed)) {
+    for (const server of plan.serversOf(vm, available)) {
       const cells = uses.get(server) ?? new Set<string>();
       uses.set(server, cells.add(plan.members(vm).join()));
     }
   }
-  expect(uses.size).toEqual(listed.length);
+  expect(uses.size).toEqual(available.length);
   expect([...uses.values()].every((cells) => cells.size === 1)).toEqual(true);
 });
 
@@ -46,8 +46,10 @@
   const before = new CellPlan(vms({ a: 20, b: 20 }));
   const after = new CellPlan(vms({ a: 21, b: 20 }));
   const vm = "a-0003" as contracts.VmId;
-  const listed = servers({ a: 28, b: 28 });
-  expect(before.serversOf(vm, listed)).toEqual(after.serversOf(vm, listed));
+  const available = servers({ a: 28, b: 28 });
+  expect(before.serversOf(vm, available)).toEqual(
+    after.serversOf(vm, available),
+  );
   const stay = before.members(vm).filter((it) =>
     after.members(vm).includes(it)
   );
@@ -68,18 +70,18 @@
 test("should share other zones' servers with the cells of a zone without any", () => {
   const all = vms({ a: 22, b: 24, c: 22, d: 22 });
   const plan = new CellPlan(all);
-  const listed = servers({ b: 24, c: 24, d: 24 });
+  const available = servers({ b: 24, c: 24, d: 24 });
   const counts = new Map<string, number>();
   const users = new Map<string, Set<string>>();
   for (const { vm } of all) {
     const cell = plan.members(vm).join();
-    const used = plan.serversOf(vm, listed);
+    const used = plan.serversOf(vm, available);
     counts.set(cell, used.size);
     for (const server of used) {
       users.set(server, (users.get(server) ?? new Set()).add(cell));
     }
   }
-  expect(users.size).toEqual(listed.length);
+  expect(users.size).toEqual(available.length);
   expect([...users.values()].every((cells) => cells.size === 1)).toEqual(true);
   expect([...counts.values()].every((count) => count >= 8 && count <= 10))
     .toEqual(true);
--- a/packages/decisions/src/grants/fencing_releases_test.ts
+++ b/packages/decisions/src/grants/fencing_releases_test.ts
@@ -19,9 +19,9 @@
   toKey: number,
   fence: number,
 ): ReleaseCall {
-  const old = { ...A, fence: 1, revision: 2 };
-  const range = { fromKey, toKey, owner: B, fence, vacating: old };
-  return { range, oldOwner: old, isFencing: true };
+  const oldOwner = { ...A, fence: 1, revision: 2 };
+  const range = { fromKey, toKey, owner: B, fence, vacating: oldOwner };
+  return { range, oldOwner, isFencing: true };
 }
 
 /** Guards against a delayed grant with the old fence after a link recovers. */
--- a/packages/decisions/src/grants/grant_timings.ts
+++ b/packages/decisions/src/grants/grant_timings.ts
@@ -8,7 +8,7 @@
   readonly renewMs: number;
   /**
    * How long a VM may act on the confirmation that a map revision is current,
-   * counted from when it asked for it.
+   * counted from when it sent the request for it.
    */
   readonly confirmationTtlMs: number;
   /**
--- a/packages/decisions/src/grants/keeper_review.ts
+++ b/packages/decisions/src/grants/keeper_review.ts
@@ -48,7 +48,7 @@
 
 /**
  * Time without a message that this process has witnessed itself. Without the
- * limit, a process that has just started would take live voters for removed.
+ * limit, a process that has just started would remove live voters.
  */
 function unresponsiveMs(
   { vm, sinceLastMessageMs, uptimeMs }: VoterSelectionInput,
--- a/packages/decisions/src/grants/range_edit_test.ts
+++ b/packages/decisions/src/grants/range_edit_test.ts
@@ -48,9 +48,9 @@
         if (!isWhole(ranges)) return false;
         // The fence of a key only increases.
         for (const key of [from, toKey]) {
-          const old = before[grants.rangeIndex(before, key)]!;
+          const earlier = before[grants.rangeIndex(before, key)]!;
           const now = ranges[grants.rangeIndex(ranges, key)]!;
-          if (now.fence <= old.fence) return false;
+          if (now.fence <= earlier.fence) return false;
         }
       }
       return true;
@@ -60,17 +60,17 @@
 });
 
 /** Guards against a third owner while the first still holds a lease. */
-test("should keep the old owner when the next owner changes", () => {
+test("should keep the earlier owner when the next owner changes", () => {
   const first = grants.initialRanges([{ ...owner("a"), slots: 1 }]);
-  const moved = grants.startHandovers(
+  const started = grants.startHandovers(
     first,
     [{ fromKey: 0, toKey: 9, to: owner("b") }],
     { revision: 2, lastFence: 1 },
   );
   const again = grants.startHandovers(
-    moved.ranges,
+    started.ranges,
     [{ fromKey: 0, toKey: 9, to: owner("c") }],
-    { revision: 3, lastFence: moved.lastFence },
+    { revision: 3, lastFence: started.lastFence },
   );
   const [range] = again.ranges;
   expect(range!.owner).toEqual(owner("c"));
--- a/packages/decisions/src/grants/range_mover_test.ts
+++ b/packages/decisions/src/grants/range_mover_test.ts
@@ -18,10 +18,10 @@
 /** Two servers, with many ranges handed over from one to the other. */
 class Fixture {
   nowMs = START_MS;
-  readonly #keepers = new grants.VoterReports();
+  readonly #reports = new grants.VoterReports();
   readonly controller = new grants.HandoverController(
     SERVICE,
-    this.#keepers,
+    this.#reports,
     grants.DEFAULT_GRANT_TIMINGS,
   );
   readonly #answers: { readonly fence: number; readonly atMs: number }[] = [];
@@ -51,7 +51,7 @@
 
   /** Releases that are due now. */
   takeReleases(): grants.ReleaseCall[] {
-    this.#hear();
+    this.#reportVoter();
     this.controller.checkAcknowledgements(this.nowMs, new Set());
     return this.controller.takeReleases(this.nowMs, () => false);
   }
@@ -62,7 +62,7 @@
 
   #step(): void {
     const { controller, nowMs } = this;
-    this.#hear();
+    this.#reportVoter();
     controller.checkAcknowledgements(nowMs, new Set());
     for (const { range } of controller.takeReleases(nowMs, () => false)) {
       const atMs = nowMs + STEP_MS * (1 + this.#answers.length % MOVES);
@@ -84,8 +84,8 @@
     controller.noteCallResult({ kind: "written", stored }, nowMs);
   }
 
-  #hear(): void {
-    this.#keepers.noteReport({
+  #reportVoter(): void {
+    this.#reports.noteReport({
       vm: VOTER,
       revision: this.#map?.revision ?? 0,
       hasReadMap: true,
--- a/packages/decisions/src/grants/range_wait_test.ts
+++ b/packages/decisions/src/grants/range_wait_test.ts
@@ -4,7 +4,7 @@
 import * as grants from "./mod.ts";
 
 const TIMINGS = grants.DEFAULT_GRANT_TIMINGS;
-const GRANT_LIFE_MS = grants.maxLeaseLifetimeMs(TIMINGS, TIMINGS.holdMs);
+const LEASE_LIFETIME_MS = grants.maxLeaseLifetimeMs(TIMINGS, TIMINGS.holdMs);
 const A: contracts.RangeOwner = {
   server: "a" as contracts.ServerId,
   bornMs: 1,
@@ -28,7 +28,7 @@
 
   constructor() {
     const first = grants.initialRanges([{ ...A, slots: 1 }]);
-    const moved = grants.startHandovers(
+    const started = grants.startHandovers(
       first,
       [{ fromKey: 0, toKey: 65_535, to: B }],
       { revision: 2, lastFence: 1 },
@@ -38,7 +38,7 @@
       revision: 2,
       nonce: "n",
       keeperSets: [["k1", "k2", "k3"] as contracts.VmId[]],
-      ...moved,
+      ...started,
     };
   }
 
@@ -93,7 +93,7 @@
   fixture.report("k1", { sentMs: 9_700 });
   fixture.report("k2", { sentMs: 9_900 });
   fixture.report("k3");
-  expect(fixture.freeAtMs()).toEqual(9_900 + GRANT_LIFE_MS);
+  expect(fixture.freeAtMs()).toEqual(9_900 + LEASE_LIFETIME_MS);
 });
 
 /** Guards against a late grant of a voter that checked its confirmation in time. */
@@ -103,10 +103,10 @@
     TIMINGS.grantTimeoutMs;
   fixture.report("k1", { sentMs: 9_700 });
   fixture.report("k2");
-  expect(fixture.freeAtMs()).toEqual(lastSentMs + GRANT_LIFE_MS);
+  expect(fixture.freeAtMs()).toEqual(lastSentMs + LEASE_LIFETIME_MS);
   // A voter that reports the older map may still act on it as well.
   fixture.report("k3", { revision: 1 });
-  expect(fixture.freeAtMs()).toEqual(lastSentMs + GRANT_LIFE_MS);
+  expect(fixture.freeAtMs()).toEqual(lastSentMs + LEASE_LIFETIME_MS);
 });
 
 /** Guards against a grant that is sent after its voter's last report. */
@@ -119,10 +119,10 @@
   fixture.report("k2");
   fixture.report("k3");
   const lastSentMs = REPORTED_AT_MS + TIMINGS.grantTimeoutMs;
-  expect(fixture.freeAtMs()).toEqual(lastSentMs + GRANT_LIFE_MS);
+  expect(fixture.freeAtMs()).toEqual(lastSentMs + LEASE_LIFETIME_MS);
   // It is not known to be answered, so a release does not revoke it.
   fixture.releaseAnsweredAtMs = 10_060;
-  expect(fixture.freeAtMs()).toEqual(lastSentMs + GRANT_LIFE_MS);
+  expect(fixture.freeAtMs()).toEqual(lastSentMs + LEASE_LIFETIME_MS);
 });
 
 /** Guards against grants that a voter forgot when its process restarted. */
@@ -131,7 +131,7 @@
   fixture.report("k1");
   fixture.report("k2");
   fixture.report("k3", { startedAtMs: 9_950 });
-  expect(fixture.freeAtMs()).toEqual(9_950 + GRANT_LIFE_MS);
+  expect(fixture.freeAtMs()).toEqual(9_950 + LEASE_LIFETIME_MS);
 });
 
 test("should be free at once when the owner has answered the release", () => {
@@ -148,7 +148,7 @@
   fixture.report("k2");
   fixture.report("k3");
   fixture.releaseAnsweredAtMs = 10_060;
-  expect(fixture.freeAtMs()).toEqual(9_600 + GRANT_LIFE_MS);
+  expect(fixture.freeAtMs()).toEqual(9_600 + LEASE_LIFETIME_MS);
 });
 
 /** Guards against a renewal that crosses the release and takes effect after it. */
@@ -158,7 +158,7 @@
   fixture.report("k2");
   fixture.report("k3");
   fixture.releaseAnsweredAtMs = 10_060;
-  expect(fixture.freeAtMs()).toEqual(10_058 + GRANT_LIFE_MS);
+  expect(fixture.freeAtMs()).toEqual(10_058 + LEASE_LIFETIME_MS);
   expect(grants.isReleaseVoid(fixture.facts())).toEqual(true);
   fixture.releaseSentAtMs = 10_059;
   expect(fixture.freeAtMs()).toEqual(10_060);
--- a/packages/decisions/src/grants/renewal_order.ts
+++ b/packages/decisions/src/grants/renewal_order.ts
@@ -22,7 +22,7 @@
 }
 
 /** Old owners of the ranges in handover. */
-export function vacatingServers(
+export function releasingServers(
   ranges: readonly contracts.RangeState[],
 ): Set<contracts.ServerId> {
   return new Set(ranges.flatMap(({ vacating }) => vacating?.server ?? []));
--- a/packages/decisions/src/membership/membership_test.ts
+++ b/packages/decisions/src/membership/membership_test.ts
@@ -45,7 +45,7 @@
     this.#note(this.self.noteVmList(vms, this.nowMs));
   }
 
-  hear(vm: string, incarnation: string, leaving = false): void {
+  receiveHeartbeat(vm: string, incarnation: string, leaving = false): void {
     const { zone, host, port } = listed(vm);
     this.#note(this.self.noteHeartbeat({
       vm: vmId(vm),
@@ -155,7 +155,7 @@
     act: (fixture) => {
       fixture.answering.delete("b");
       for (let i = 0; i < 30; i++) {
-        fixture.hear("b", "b1");
+        fixture.receiveHeartbeat("b", "b1");
         fixture.run(1);
       }
       const view = fixture.self.member(vmId("b"), fixture.nowMs);
@@ -220,7 +220,7 @@
     act: (fixture) => {
       fixture.answering.set("b", "b2");
       fixture.run(1);
-      fixture.hear("b", "b1", true);
+      fixture.receiveHeartbeat("b", "b1", true);
     },
     state: "alive",
     log: ["restarted b"],
@@ -229,9 +229,9 @@
     name:
       "remove a VM that announces its leave, and restore its next incarnation",
     act: (fixture) => {
-      fixture.hear("b", "b1", true);
+      fixture.receiveHeartbeat("b", "b1", true);
       expect(fixture.state("b")).toEqual("left");
-      fixture.hear("b", "b2");
+      fixture.receiveHeartbeat("b", "b2");
     },
     state: "alive",
     log: ["left b", "restarted b", "alive b"],
@@ -305,19 +305,19 @@
   for (const name of names) fixture.answering.set(name, `${name}-1`);
   fixture.list(...names.map((name) => listed(name)));
   fixture.run(600);
-  const news = {
+  const update = {
     vm: vmId("v3"),
     incarnation: "v3-1" as contracts.Incarnation,
     state: "lost" as const,
   };
-  fixture.self.noteUpdates([news], fixture.nowMs);
+  fixture.self.noteUpdates([update], fixture.nowMs);
   fixture.run(40);
   expect(fixture.state("v3")).toEqual("alive");
 });
 
 test("should send a change to a limited number of peers", () => {
   const fixture = startTrio();
-  fixture.hear("b", "b1", true);
+  fixture.receiveHeartbeat("b", "b1", true);
   let sent = 0;
   for (let i = 0; i < 100; i++) sent += fixture.self.takeUpdates().length;
   expect(sent > 0 && sent < 40).toEqual(true);
--- a/packages/entry/src/gateway/service_grants.ts
+++ b/packages/entry/src/gateway/service_grants.ts
@@ -290,7 +290,7 @@
   }
 
   #adopt(map: contracts.RangeMap, from: string): void {
-    const vacating = grants.vacatingServers(map.ranges);
+    const vacating = grants.releasingServers(map.ranges);
     this.#logLastGrants(map.revision, vacating);
     this.#map = map;
     this.#vacating = vacating;
