--- a/packages/decisions/src/cells/reader_duty_test.ts
+++ b/packages/decisions/src/cells/reader_election_test.ts
@@ -6,7 +6,7 @@
   type ReaderCandidate,
   ReaderElection,
   type ReaderView,
-} from "./reader_duty.ts";
+} from "./reader_election.ts";
 
 const REVIEW_MS = 100;
 
--- a/packages/decisions/src/grants/range_mover.ts
+++ b/packages/decisions/src/grants/handover_controller.ts
@@ -6,9 +6,9 @@
  */
 import type * as contracts from "@guavatide/contracts";
 import { FencingReleases } from "./fencing_releases.ts";
-import { leaseDurationMs } from "./grant_hold.ts";
+import { leaseDurationMs } from "./lease_duration.ts";
 import type { GrantTimings } from "./grant_timings.ts";
-import type { VoterReports } from "./keeper_book.ts";
+import type { VoterReports } from "./voter_reports.ts";
 import * as edit from "./range_edit.ts";
 import { RELEASE_RETRY_MS, type ReleaseCall } from "./release_call.ts";
 import {
@@ -16,7 +16,7 @@
   freeAtMs,
   type HandoverFacts,
   isReleaseVoid,
-} from "./range_wait.ts";
+} from "./handover_wait.ts";
 
 /** A range map with its version in the store. */
 export interface StoredRangeMap {
--- a/packages/decisions/src/grants/range_wait.ts
+++ b/packages/decisions/src/grants/handover_wait.ts
@@ -4,9 +4,9 @@
  * call of any entry VM counts.
  */
 import type * as contracts from "@guavatide/contracts";
-import { leaseDurationMs } from "./grant_hold.ts";
+import { leaseDurationMs } from "./lease_duration.ts";
 import { type GrantTimings, maxLeaseLifetimeMs } from "./grant_timings.ts";
-import type { VoterReport, VoterReports } from "./keeper_book.ts";
+import type { VoterReport, VoterReports } from "./voter_reports.ts";
 
 /** A release that was sent after the quorum's acknowledgement and answered. */
 export interface AnsweredRelease {
--- a/packages/decisions/src/grants/first_map_wait_test.ts
+++ b/packages/decisions/src/grants/initial_map_wait_test.ts
@@ -1,6 +1,6 @@
 import { expect } from "earl";
 import { test } from "node:test";
-import { InitialMapWait } from "./first_map_wait.ts";
+import { InitialMapWait } from "./initial_map_wait.ts";
 
 test("should wait until the number of servers is stable", () => {
   const wait = new InitialMapWait();
--- a/packages/decisions/src/grants/range_load.ts
+++ b/packages/decisions/src/grants/range_load.ts
@@ -1,6 +1,6 @@
 /** Load of key ranges and of the servers that own them, for planning moves. */
 import type * as contracts from "@guavatide/contracts";
-import { rateDeviation } from "./key_loads.ts";
+import { rateDeviation } from "./key_rate_tracker.ts";
 
 /** A server that can own ranges. */
 export interface RangeServer {
--- a/packages/decisions/src/grants/range_planner.ts
+++ b/packages/decisions/src/grants/range_planner.ts
@@ -4,7 +4,7 @@
  */
 import type * as contracts from "@guavatide/contracts";
 import { KEY_COUNT } from "@guavatide/contracts";
-import { planHotKeys } from "./lone_keys.ts";
+import { planHotKeys } from "./hot_keys.ts";
 import { overlaps, type RangeMove } from "./range_edit.ts";
 import {
   type KeyRate,
--- a/packages/decisions/src/membership/membership.ts
+++ b/packages/decisions/src/membership/membership.ts
@@ -11,8 +11,8 @@
 import type * as contracts from "@guavatide/contracts";
 import type * as effects from "./effects.ts";
 import { Member, type MemberState, type MemberView } from "./member.ts";
-import { type MemberUpdate, UpdateQueue } from "./news_board.ts";
-import * as targets from "./targets.ts";
+import { type MemberUpdate, UpdateQueue } from "./update_queue.ts";
+import * as targets from "./probe_targets.ts";
 
 /** The members, and the rules by which their states change. */
 export class Membership {
