--- a/packages/decisions/src/cells/cell_plan.ts
+++ b/packages/decisions/src/cells/cell_plan.ts
@@ -1,7 +1,7 @@
 /**
  * Splits the entry VMs of a large deployment into cells. The VMs of a cell
- * exchange their load and share a subset of the servers; cells exchange no load.
- * The messages and connections of a VM therefore do not grow with the
+ * exchange their load and share a subset of the servers; cells exchange no
+ * load. The messages and connections of a VM therefore do not grow with the
  * deployment.
  */
 import type * as contracts from "@guavatide/contracts";
--- a/packages/decisions/src/cells/mod.ts
+++ b/packages/decisions/src/cells/mod.ts
@@ -1,3 +1,5 @@
-/** Cells of a large deployment, and the VMs that read the store for the others. */
+/**
+ * Cells of a large deployment, and the VMs that read the store for the others.
+ */
 export * from "./cell_plan.ts";
 export * from "./reader_election.ts";
--- a/packages/decisions/src/cells/reader_election.ts
+++ b/packages/decisions/src/cells/reader_election.ts
@@ -30,7 +30,9 @@
   readonly hasStore: boolean;
   /** VMs that may read, this one included, in order of preference. */
   readonly ranking: readonly contracts.VmId[];
-  /** Whether this VM may start reading before it has received peers' messages. */
+  /**
+   * Whether this VM may start reading before it has received peers' messages.
+   */
   readonly isSeed: boolean;
 }
 
@@ -90,7 +92,9 @@
       );
   }
 
-  /** Longest time that the store has answered another reader without failure. */
+  /**
+   * Longest time that the store has answered another reader without failure.
+   */
   storeHealthyMs(nowMs: number): number {
     const healthyMs = this.activeReaders(nowMs)
       .map(({ receivedAtMs: receivedAtMs, storeCalmMs }) =>
--- a/packages/decisions/src/grants/fencing_releases.ts
+++ b/packages/decisions/src/grants/fencing_releases.ts
@@ -31,7 +31,9 @@
     });
   }
 
-  /** Drops releases of keys that the old owner owns again, with a newer fence. */
+  /**
+   * Drops releases of keys that the old owner owns again, with a newer fence.
+   */
   noteRanges(ranges: readonly contracts.RangeState[]): void {
     for (
       const [fence, { call: { range, oldOwner } }] of this.#pending
@@ -67,7 +69,9 @@
     return calls;
   }
 
-  /** Notes that a call was answered or failed. Returns whether it was pending. */
+  /**
+   * Notes that a call was answered or failed. Returns whether it was pending.
+   */
   noteResult(fence: number, isAnswered: boolean, nowMs: number): boolean {
     const pending = this.#pending.get(fence);
     if (pending === undefined) return false;
--- a/packages/decisions/src/grants/grant_model_test.ts
+++ b/packages/decisions/src/grants/grant_model_test.ts
@@ -27,7 +27,9 @@
   readonly forgetsUnanswered?: boolean;
   /** A fault: the first VM alone reaches the store, and it reaches no peer. */
   readonly isolateFirst?: boolean;
-  /** A fault: the last VM reaches the servers, but no peer and not the store. */
+  /**
+   * A fault: the last VM reaches the servers, but no peer and not the store.
+   */
   readonly isolateLast?: boolean;
 }
 
@@ -303,7 +305,9 @@
     }
   }
 
-  /** One grant call: sent late, answered, lost, or applied after its timeout. */
+  /**
+   * One grant call: sent late, answered, lost, or applied after its timeout.
+   */
   #grant(vm: ModelVm, range: contracts.RangeState): void {
     const server = this.servers.find(({ owner }) =>
       owner.server === range.owner.server
@@ -413,7 +417,7 @@
         : new Set(),
       plan: () => this.#plan(),
       nonce: () => String(this.#version),
-      // The service's requests need longer leases in the second half of the run.
+      // Requests need longer leases in the second half of the run.
       leaseMs: this.nowMs < RUN_MS / 2 ? TIMINGS.holdMs : LONG_HOLD_MS,
     };
   }
@@ -482,7 +486,9 @@
   expect(play({ isolateLast: true }, 20).violations).toEqual(0);
 });
 
-/** Each row disables one safeguard; the model must show the failure it prevents. */
+/**
+ * Each row disables one safeguard; the model must show the failure it prevents.
+ */
 const DISABLED_SAFEGUARDS: readonly [string, Faults][] = [
   ["confirmations expire", { noConfirmationTtl: true, isolateLast: true }],
   ["a handover waits for the last lease", { noLeaseWait: true }],
--- a/packages/decisions/src/grants/handover_controller.ts
+++ b/packages/decisions/src/grants/handover_controller.ts
@@ -126,7 +126,9 @@
     if (revision > (this.map?.revision ?? 0)) this.#mustRead = true;
   }
 
-  /** Value that the old owner returned for the range with this fence, if any. */
+  /**
+   * Value that the old owner returned for the range with this fence, if any.
+   */
   handover(fence: number): string | undefined {
     return this.#releases.get(fence)?.handover;
   }
--- a/packages/decisions/src/grants/handover_wait.ts
+++ b/packages/decisions/src/grants/handover_wait.ts
@@ -93,7 +93,9 @@
   return lastMs + maxLeaseLifetimeMs(timings, leaseDurationMs(map, timings));
 }
 
-/** Latest send time; a call in flight at the report may last for its timeout. */
+/**
+ * Latest send time; a call in flight at the report may last for its timeout.
+ */
 function lastSentMs(
   report: VoterReport,
   kind: "lastGrantMs" | "lastUnansweredMs",
--- a/packages/decisions/src/grants/handover_wait_test.ts
+++ b/packages/decisions/src/grants/handover_wait_test.ts
@@ -96,7 +96,9 @@
   expect(fixture.freeAtMs()).toEqual(9_900 + LEASE_LIFETIME_MS);
 });
 
-/** Guards against a late grant of a voter that checked its confirmation in time. */
+/**
+ * Guards against a late grant of a voter that checked its confirmation in time.
+ */
 test("should assume that an unresponsive voter grants until its confirmation expires", () => {
   const fixture = new Fixture();
   const lastSentMs = fixture.acknowledgedAtMs + TIMINGS.confirmationTtlMs +
@@ -151,7 +153,9 @@
   expect(fixture.freeAtMs()).toEqual(9_600 + LEASE_LIFETIME_MS);
 });
 
-/** Guards against a renewal that crosses the release and takes effect after it. */
+/**
+ * Guards against a renewal that crosses the release and takes effect after it.
+ */
 test("should ignore a release that was sent before a grant call ended", () => {
   const fixture = new Fixture();
   fixture.report("k1", { sentMs: 10_058, reportedAtMs: 10_059 });
--- a/packages/decisions/src/grants/hot_keys.ts
+++ b/packages/decisions/src/grants/hot_keys.ts
@@ -11,11 +11,14 @@
   type Utilization,
 } from "./range_load.ts";
 
-/** Utilization of its owner by one key above which the key is too hot for it. */
+/**
+ * Utilization of its owner by one key above which the key is too hot for it.
+ */
 const HOT_KEY_UTILIZATION = 0.8;
 /**
- * Least ratio of the next owner's capacity to the present one's. A loaded server
- * measures slower than an idle one, so with less the key would move to and fro.
+ * Least ratio of the next owner's capacity to the present one's. A loaded
+ * server measures slower than an idle one, so with less the key would move to
+ * and fro.
  */
 const MIN_CAPACITY_RATIO = 1.6;
 
--- a/packages/decisions/src/grants/key_rate_tracker.ts
+++ b/packages/decisions/src/grants/key_rate_tracker.ts
@@ -1,6 +1,8 @@
 /** Estimates request rates by key from the counts of all entry VMs. */
 
-/** Time constant of the exponential decay: how fast a hot key shows and fades. */
+/**
+ * Time constant of the exponential decay: how fast a hot key shows and fades.
+ */
 const DECAY_MS = 1_000;
 /** Shortest window that rates are computed over: shorter counts are noise. */
 const MIN_WINDOW_MS = 300;
--- a/packages/decisions/src/grants/range_edit.ts
+++ b/packages/decisions/src/grants/range_edit.ts
@@ -98,7 +98,9 @@
   return { ranges: merge(ranges), lastFence: fence };
 }
 
-/** Finishes the handover of ranges whose old owner can hold no lease on them. */
+/**
+ * Finishes the handover of ranges whose old owner can hold no lease on them.
+ */
 export function finishHandovers(
   before: readonly contracts.RangeState[],
   isFree: (range: contracts.RangeState) => boolean,
--- a/packages/decisions/src/grants/renewal_order.ts
+++ b/packages/decisions/src/grants/renewal_order.ts
@@ -8,7 +8,9 @@
   readonly overdueMs: number;
 }
 
-/** The most overdue of one server's ranges: a server gets one grant at a time. */
+/**
+ * The most overdue of one server's ranges: a server gets one grant at a time.
+ */
 export function mostOverdue(
   due: readonly DueRange[],
 ): contracts.RangeState | undefined {
--- a/packages/decisions/src/grants/vm_ranking.ts
+++ b/packages/decisions/src/grants/vm_ranking.ts
@@ -9,7 +9,9 @@
   readonly vms: readonly contracts.VmId[];
 }
 
-/** Rendezvous ranking of VMs for each role, cached while the VMs are the same. */
+/**
+ * Rendezvous ranking of VMs for each role, cached while the VMs are the same.
+ */
 export class VmRanking {
   readonly #hasher: KeyHasher;
   readonly #rankings = new Map<string, CachedRanking>();
@@ -18,7 +20,9 @@
     this.#hasher = hasher;
   }
 
-  /** VMs in the order in which they take over a role; the first is the leader. */
+  /**
+   * VMs in the order in which they take over a role; the first is the leader.
+   */
   rank(
     role: string,
     vms: readonly contracts.VmId[],
--- a/packages/decisions/src/grants/voter_reports.ts
+++ b/packages/decisions/src/grants/voter_reports.ts
@@ -37,7 +37,9 @@
     this.#reports.set(report.vm, report);
   }
 
-  /** Notes the revision that the store returned to a read sent at `sentAtMs`. */
+  /**
+   * Notes the revision that the store returned to a read sent at `sentAtMs`.
+   */
   noteRead(revision: number, sentAtMs: number): void {
     if (revision < this.#readRevision) return;
     this.#readRevision = revision;
--- a/packages/decisions/src/membership/effects.ts
+++ b/packages/decisions/src/membership/effects.ts
@@ -19,7 +19,9 @@
   readonly forgetAfterMs: number;
   /** Up to this many peers, each gets every heartbeat. */
   readonly fullMeshVms: number;
-  /** In a larger fleet, sampled peers that get a heartbeat beside pinned ones. */
+  /**
+   * In a larger fleet, sampled peers that get a heartbeat beside pinned ones.
+   */
   readonly sampleVms: number;
   /** In a larger fleet, number of heartbeats from one sample to the next. */
   readonly sampleEveryHeartbeats: number;
--- a/packages/decisions/src/membership/member.ts
+++ b/packages/decisions/src/membership/member.ts
@@ -87,7 +87,7 @@
     this.confirmedBy.clear();
   }
 
-  /** Notes a reply to the probe sent at `askedAtMs`. */
+  /** Notes a reply to the probe sent at `sentAtMs`. */
   noteReply(sentAtMs: number): void {
     this.lastReplyMs = Math.max(this.lastReplyMs ?? sentAtMs, sentAtMs);
     const unreplied = this.unrepliedSinceMs;
--- a/packages/decisions/src/membership/membership.ts
+++ b/packages/decisions/src/membership/membership.ts
@@ -245,8 +245,8 @@
   /**
    * After a pause of this process every peer looks unresponsive, although it
    * was this process that did not listen, and leadership would change for
-   * nothing. A late heartbeat tick reveals the pause; the time without an answer
-   * counts anew from then.
+   * nothing. A late heartbeat tick reveals the pause; the time without an
+   * answer counts anew from then.
    */
   #notePause(nowMs: number): void {
     const { heartbeatIntervalMs, pauseThresholdMs } = this.#options;
@@ -273,8 +273,8 @@
   }
 
   /**
-   * Peers are asked before a VM becomes suspect: with one broken link, a VM that
-   * they reach would otherwise alternate between alive and suspect.
+   * Peers are asked before a VM becomes suspect: with one broken link, a VM
+   * that they reach would otherwise alternate between alive and suspect.
    */
   #chooseIndirectProbes(nowMs: number): effects.IndirectProbe[] {
     const probeAfterMs = this.#options.suspectAfterMs / 2;
--- a/packages/decisions/src/membership/mod.ts
+++ b/packages/decisions/src/membership/mod.ts
@@ -1,4 +1,6 @@
-/** Membership of the entry VMs, by heartbeats and indirect probes as in SWIM. */
+/**
+ * Membership of the entry VMs, by heartbeats and indirect probes as in SWIM.
+ */
 export * from "./effects.ts";
 export * from "./member.ts";
 export * from "./membership.ts";
--- a/packages/decisions/src/membership/probe_targets.ts
+++ b/packages/decisions/src/membership/probe_targets.ts
@@ -1,4 +1,6 @@
-/** Chooses the peers to probe; their number is limited whatever the fleet size. */
+/**
+ * Chooses the peers to probe; their number is limited whatever the fleet size.
+ */
 import type * as contracts from "@guavatide/contracts";
 import type { Member } from "./member.ts";
 
@@ -108,7 +110,9 @@
   readonly unresponsive: readonly Member[];
 }
 
-/** Indirect probes of unresponsive members that too few peers have confirmed. */
+/**
+ * Indirect probes of unresponsive members that too few peers have confirmed.
+ */
 export function chooseIndirectProbes(
   members: ReadonlyMap<contracts.VmId, Member>,
   options: ChooseIndirectProbesOptions,
