--- a/packages/decisions/src/grants/grant_model_test.ts
+++ b/packages/decisions/src/grants/grant_model_test.ts
@@ -404,7 +404,7 @@
     const usable = new Map(
       this.servers.map(({ owner }) => [
         owner.server,
-        { ...owner, slots: 1 } as contracts.ServerEntry,
+        { ...owner, slots: 1 } as contracts.RegisteredServer,
       ]),
     );
     return {
--- a/packages/decisions/src/grants/handover_controller.ts
+++ b/packages/decisions/src/grants/handover_controller.ts
@@ -45,7 +45,7 @@
 export interface HandoverTick {
   readonly nowMs: number;
   /** Servers that can own ranges now. */
-  readonly usable: ReadonlyMap<contracts.ServerId, contracts.ServerEntry>;
+  readonly usable: ReadonlyMap<contracts.ServerId, contracts.RegisteredServer>;
   /** Whether this incarnation of a server is known to have ended. */
   hasEnded(owner: contracts.RangeOwner): boolean;
   /** Entry VMs that are to vote on the map, in any order. */
--- a/packages/decisions/src/grants/handover_controller_test.ts
+++ b/packages/decisions/src/grants/handover_controller_test.ts
@@ -103,7 +103,7 @@
     const usable = (isFirst ? ["a"] : ["a", "b"]).map((name) =>
       [
         name as contracts.ServerId,
-        { ...owner(name), slots: 1 } as contracts.ServerEntry,
+        { ...owner(name), slots: 1 } as contracts.RegisteredServer,
       ] as const
     );
     return {
--- a/packages/decisions/src/grants/vm_ranking.ts
+++ b/packages/decisions/src/grants/vm_ranking.ts
@@ -1,7 +1,7 @@
 /** Ranks entry VMs for a role, with the same result on every VM. */
 import type * as contracts from "@guavatide/contracts";
-import type { KeyHasher } from "../ownership/key_hash.ts";
-import { rankByName } from "../ownership/renewers.ts";
+import type { KeyHasher } from "../ownership/key_hasher.ts";
+import { rendezvousOrder } from "../ownership/rendezvous_order.ts";
 
 interface CachedRanking {
   /** Ids of the VMs that were ranked, joined. */
@@ -30,7 +30,7 @@
     const vmIds = vms.join();
     const cached = this.#rankings.get(role);
     if (cached?.vmIds === vmIds) return cached.vms;
-    const ranked = rankByName(role, vms, { hasher: this.#hasher });
+    const ranked = rendezvousOrder(role, vms, { hasher: this.#hasher });
     this.#rankings.set(role, { vmIds, vms: ranked });
     return ranked;
   }
--- a/packages/entry/src/gateway/map_publisher.ts
+++ b/packages/entry/src/gateway/map_publisher.ts
@@ -1,13 +1,13 @@
 /** Tells all entry VMs the range map that the mover has written. */
 import type * as contracts from "@guavatide/contracts";
 import * as grants from "@guavatide/decisions/grants/mod";
-import type { RangeMapNews } from "./peer_messages.ts";
+import type { RangeMapUpdate } from "./peer_messages.ts";
 
 /** Options of {@link MapPublisher}. */
 export interface MapPublisherOptions {
   readonly clock: contracts.Clock;
   /** Sends an update of the map to all peers. */
-  readonly publish: (news: RangeMapNews) => void;
+  readonly publish: (news: RangeMapUpdate) => void;
 }
 
 /** The mover tells its map again at this interval: datagrams get lost. */
@@ -38,7 +38,7 @@
   }
 
   /** Tells it again when that is due. */
-  repeat(pendingFences: Iterable<number>): void {
+  resendIfDue(pendingFences: Iterable<number>): void {
     const sinceMs = this.#options.clock.nowMs() - this.#sentAtMs;
     if (this.#resendsLeft > 0 && sinceMs >= RESEND_MS) {
       this.#send(pendingFences);
--- a/packages/entry/src/gateway/service_grants.ts
+++ b/packages/entry/src/gateway/service_grants.ts
@@ -9,8 +9,12 @@
 import { GrantSender } from "./grant_sender.ts";
 import { MapPublisher } from "./map_publisher.ts";
 import { MovePlanner, type MovePlannerOptions } from "./move_planner.ts";
-import type { KeeperStatus, KeyCounts, RangeMapNews } from "./peer_messages.ts";
-import { RangeMapLearner } from "./range_map_learner.ts";
+import type {
+  KeyCounts,
+  RangeMapUpdate,
+  VoterStatus,
+} from "./peer_messages.ts";
+import { RangeMapFetcher } from "./range_map_fetcher.ts";
 import type { RangeMapStore } from "./range_map_store.ts";
 import type { ServerRegistry } from "./server_registry.ts";
 
@@ -32,17 +36,17 @@
   /** Entry VMs that are up, this one included. */
   readonly peers: () => readonly GrantPeer[];
   /** Length of grants that the service's routes need. */
-  readonly wishedHoldMs: () => number;
+  readonly desiredLeaseMs: () => number;
   /** Time since a VM's last message. */
-  readonly silentMs: (vm: contracts.VmId) => number;
+  readonly sinceLastMessageMs: (vm: contracts.VmId) => number;
   /** Asks a peer for the map as it knows it. */
-  readonly askMap: (
+  readonly fetchMap: (
     peer: contracts.VmId,
   ) => Promise<contracts.RangeMap | undefined>;
   /** Sends an update of the map to all peers. */
-  readonly publish: (news: RangeMapNews) => void;
+  readonly publish: (news: RangeMapUpdate) => void;
   /** Sends this VM's state to peers at once. */
-  readonly tellPeers: () => void;
+  readonly notifyVoters: () => void;
   /** Owners or their readiness have changed. */
   readonly onChange: () => void;
 }
@@ -78,7 +82,7 @@
   readonly #firstMap = new grants.InitialMapWait();
   readonly #order: grants.VmRanking;
   readonly #publisher: MapPublisher;
-  readonly #learner: RangeMapLearner;
+  readonly #learner: RangeMapFetcher;
   readonly #lost = new grants.LostServers();
   /** Fences confirmed to this VM as the mover. */
   readonly #confirmed = new Set<number>();
@@ -89,16 +93,16 @@
     this.#publisher = new MapPublisher(options);
     this.#planner = new MovePlanner(options);
     this.#startedAtMs = options.clock.nowMs();
-    this.#learner = new RangeMapLearner({
+    this.#learner = new RangeMapFetcher({
       ...options,
-      hasDuty: () => this.#hasDuty,
+      isVoterOrLeader: () => this.#hasDuty,
       knownRevision: () => this.#map?.revision ?? 0,
-      onRead: (map, askedAtMs) => {
+      onStoreMap: (map, askedAtMs) => {
         this.#keepers.noteRead(map.revision, askedAtMs);
         this.#adoptNewer(map, "store");
       },
-      onTold: (map) => this.#adoptNewer(map, "peer"),
-      onSettled: options.tellPeers,
+      onUnconfirmedMap: (map) => this.#adoptNewer(map, "peer"),
+      onFirstStoreRead: options.notifyVoters,
     });
     this.#mover = new grants.HandoverController(
       options.service,
@@ -107,18 +111,18 @@
     );
     this.#sender = new GrantSender({
       ...options,
-      entry: (owner) => options.registry.entry(owner),
-      onConfirmed: (range) => this.#confirm(range),
+      findServer: (owner) => options.registry.entry(owner),
+      onAccepted: (range) => this.#confirm(range),
       onFencedOff: () => this.#mover.requireRead(),
-      onEnded: (server) => {
+      onCompleted: (server) => {
         // The mover waits to hear that no grant to the server is under way.
-        if (this.#vacating.has(server)) options.tellPeers();
+        if (this.#vacating.has(server)) options.notifyVoters();
       },
     });
   }
 
   /** Whether ownership is known. */
-  get isKnown(): boolean {
+  get isMapKnown(): boolean {
     return this.#map !== undefined;
   }
 
@@ -128,18 +132,18 @@
   }
 
   /** Whether this VM makes the moves. */
-  get isMover(): boolean {
+  get isLeader(): boolean {
     return this.#isMover;
   }
 
   /** Revision known, and whether the map was read in this run. */
-  get word(): [number, boolean] {
-    return [this.#map?.revision ?? 0, this.#learner.isSettled];
+  get mapStatus(): [number, boolean] {
+    return [this.#map?.revision ?? 0, this.#learner.hasReadMap];
   }
 
   /** Ages of this VM's grants to servers that keys are taken from. */
   get grantAgesMs(): Map<contracts.ServerId, [number, number | null]> {
-    const ages = this.#sender.agesMs();
+    const ages = this.#sender.grantAgesMs();
     for (const server of ages.keys()) {
       if (!this.#vacating.has(server)) ages.delete(server);
     }
@@ -147,15 +151,15 @@
   }
 
   /** Servers that leave this VM's grants unanswered. */
-  get silentServers(): contracts.ServerId[] {
-    return this.#sender.silentServers();
+  get unresponsiveServers(): contracts.ServerId[] {
+    return this.#sender.unresponsiveServers();
   }
 
   /**
    * The VM that makes the moves, as far as this VM can tell: a keeper, since it
    * grants what it moves; any VM while no keeper reaches the store.
    */
-  get moverVm(): contracts.VmId | undefined {
+  get leaderVm(): contracts.VmId | undefined {
     const { service, peers } = this.#options;
     const reach = peers().filter(({ hasStore }) => hasStore);
     const keepers = this.#map?.keeperSets.at(-1);
@@ -190,8 +194,8 @@
   }
 
   /** A keeper's status. */
-  noteKeeper(
-    status: KeeperStatus,
+  noteVoterStatus(
+    status: VoterStatus,
     askedAtMs: number,
     receivedAtMs: number,
   ): void {
@@ -210,12 +214,12 @@
   }
 
   /** A peer knows a revision of the map. */
-  noteRevision(revision: number, peer: contracts.VmId): void {
-    this.#learner.noteRevision(revision, peer);
+  notePeerRevision(revision: number, peer: contracts.VmId): void {
+    this.#learner.notePeerRevision(revision, peer);
   }
 
   /** The mover's update of the map. */
-  noteNews({ map, baseRevision, pendingFences }: RangeMapNews): void {
+  applyUpdate({ map, baseRevision, pendingFences }: RangeMapUpdate): void {
     const known = this.#map?.revision ?? 0;
     if (map.revision < known) return;
     const pending = new Set(pendingFences);
@@ -236,7 +240,7 @@
   noteSuspension(): void {
     this.#keepers.clearConfirmations();
     this.#mover.requireRead();
-    this.#learner.forget();
+    this.#learner.invalidate();
   }
 
   /** Regular work: renewals, reads, moves. */
@@ -253,23 +257,23 @@
     this.#keepers.noteReport({
       vm: this.#options.vm,
       revision: this.#map?.revision ?? 0,
-      hasReadMap: this.#learner.isSettled,
+      hasReadMap: this.#learner.hasReadMap,
       requestedAtMs: nowMs,
       receivedAtMs: nowMs,
       startedAtMs: this.#startedAtMs,
-      ...grantTimes(this.#sender.agesMs(), nowMs),
+      ...grantTimes(this.#sender.grantAgesMs(), nowMs),
     });
   }
 
   #followDuty(nowMs: number): void {
     const isMover = nowMs - this.#startedAtMs >= MOVER_STARTUP_GRACE_MS &&
-      this.moverVm === this.#options.vm;
+      this.leaderVm === this.#options.vm;
     if (isMover === this.#isMover) return;
     this.#isMover = isMover;
     const { service, log } = this.#options;
     log.info(isMover ? "Takes over moves." : "Hands over moves.", { service });
     if (!isMover) return;
-    this.#planner.begin(nowMs);
+    this.#planner.start(nowMs);
     this.#mover.requireRead();
   }
 
@@ -298,7 +302,7 @@
     this.#adoptedAtMs = this.#options.clock.nowMs();
     this.#publisher.noteMap(map);
     this.#mover.noteNewerRevision(map.revision);
-    this.#sender.keepOnly(map.ranges, this.#holdMs);
+    this.#sender.prune(map.ranges, this.#holdMs);
     const fences = new Set(map.ranges.map(({ fence }) => fence));
     const duties = new Set<string>(map.ranges.map((it) => it.owner.server));
     for (const fence of this.#confirmed) {
@@ -323,7 +327,9 @@
     revision: number,
     vacating: ReadonlySet<contracts.ServerId>,
   ): void {
-    for (const [server, [ageMs, unansweredAgeMs]] of this.#sender.agesMs()) {
+    for (
+      const [server, [ageMs, unansweredAgeMs]] of this.#sender.grantAgesMs()
+    ) {
       if (!vacating.has(server) || this.#vacating.has(server)) continue;
       this.#options.log.info("Renewals of a server's keys end.", {
         server,
@@ -355,7 +361,7 @@
       if (range !== undefined) due.push(range);
     }
     if (due.length === 0) return;
-    if (!this.#hasEvidence(map)) return this.#learner.readSoon();
+    if (!this.#hasEvidence(map)) return this.#learner.requestRead();
     for (const range of due) {
       const handover = this.#mover.handover(range.fence);
       const mayLeave = () => this.#mayRenew(range);
@@ -381,11 +387,11 @@
       const place = this.#isMover && this.#isNew(range) ? 0 : ownPlace;
       if (place < 0 || place >= RENEWERS) continue;
       if (this.#leavesToMover(range, nowMs)) continue;
-      const lastMs = this.#sender.confirmedMs(range);
+      const lastMs = this.#sender.acceptedAtMs(range);
       const intervalMs = timings.renewMs * (place + 1);
       const overdueMs = nowMs - (lastMs ?? Number.NEGATIVE_INFINITY) -
         intervalMs;
-      if (overdueMs < 0 || !this.#sender.isFree(range.owner)) continue;
+      if (overdueMs < 0 || !this.#sender.canSend(range.owner)) continue;
       due.push({ range, overdueMs });
     }
     return grants.mostOverdue(due);
@@ -414,7 +420,7 @@
   }
 
   #isNew(range: contracts.RangeState): boolean {
-    return this.#sender.confirmedMs(range) === undefined;
+    return this.#sender.acceptedAtMs(range) === undefined;
   }
 
   /**
@@ -437,7 +443,7 @@
 
   #move(nowMs: number): void {
     const tick = this.#moverTick(nowMs);
-    this.#publisher.repeat(this.#pending);
+    this.#publisher.resendIfDue(this.#pending);
     this.#mover.checkAcknowledgements(nowMs, tick.removedVoters);
     for (const call of this.#mover.takeReleases(nowMs, tick.hasEnded)) {
       this.#release(call);
@@ -460,7 +466,7 @@
       : await maps.write(call.map, call.condition);
     this.#mover.noteCallResult(end, clock.nowMs());
     if (end.kind === "unsure" || end.kind === "absent") return;
-    this.#learner.noteSettled();
+    this.#learner.noteMapRead();
     const { map } = end.stored;
     this.#keepers.noteRead(map.revision, askedAtMs);
     if (map.revision <= (this.#map?.revision ?? 0)) return;
@@ -520,7 +526,7 @@
   }
 
   #moverTick(nowMs: number): grants.HandoverTick {
-    const { registry, service, wishedHoldMs } = this.#options;
+    const { registry, service, desiredLeaseMs: wishedHoldMs } = this.#options;
     this.#countLost(nowMs);
     const staying = registry.staying(service);
     const found = staying.filter(({ server }) =>
@@ -549,7 +555,7 @@
 
   #countLost(nowMs: number): void {
     const { vm, log } = this.#options;
-    this.#lost.noteUnresponsive(vm, this.#sender.silentServers());
+    this.#lost.noteUnresponsive(vm, this.#sender.unresponsiveServers());
     const keepers = this.#map?.keeperSets.at(-1) ?? [];
     const live = this.#live().filter((peer) => keepers.includes(peer));
     const newly = this.#lost.countVotes(
@@ -560,7 +566,7 @@
   }
 
   #keeperReview(nowMs: number): grants.VoterSelectionInput {
-    const { vm, silentMs } = this.#options;
+    const { vm, sinceLastMessageMs: silentMs } = this.#options;
     return {
       vm,
       map: this.#map,
--- a/packages/entry/src/loads/load_task.ts
+++ b/packages/entry/src/loads/load_task.ts
@@ -46,7 +46,7 @@
 export class LoadTask implements HeartbeatParticipant {
   readonly #options: LoadTaskOptions;
   readonly #trackers = new Map<contracts.ServiceId, placement.LoadTracker>();
-  readonly #books = new Map<contracts.ServiceId, placement.LoadBook>();
+  readonly #books = new Map<contracts.ServiceId, placement.LoadAggregator>();
   #owners: LoadOwners | undefined;
   readonly #holders = new Map<contracts.ServiceId, contracts.VmId>();
 
@@ -78,7 +78,7 @@
     const { fromHash, toHash } = slice;
     const tracker = this.#tracker(work.service);
     tracker.record({ fromHash, toHash, keyHash: work.keyHash });
-    if (work.foundSlotFree) tracker.recordWork(work.server, work.workMs);
+    if (work.foundSlotFree) tracker.recordServiceTime(work.server, work.workMs);
   }
 
   /** Where the planner of a service reads its figures. */
@@ -133,13 +133,13 @@
     if (holder === undefined) return;
     await this.#options.peers.link(holder)?.call(LOAD_METHOD, {
       params: load,
-      schema: contracts.loadReceiptSchema,
+      schema: contracts.serviceLoadReplySchema,
       timeoutMs: REPORT_TIMEOUT_MS,
     });
   }
 
-  #take(load: contracts.ServiceLoad): contracts.LoadReceipt {
-    this.#book(load.service).note(load, this.#now());
+  #take(load: contracts.ServiceLoad): contracts.ServiceLoadReply {
+    this.#book(load.service).record(load, this.#now());
     return { taken: true };
   }
 
@@ -151,10 +151,10 @@
     return tracker;
   }
 
-  #book(service: contracts.ServiceId): placement.LoadBook {
+  #book(service: contracts.ServiceId): placement.LoadAggregator {
     const known = this.#books.get(service);
     if (known !== undefined) return known;
-    const book = new placement.LoadBook(STALE_AFTER_MS);
+    const book = new placement.LoadAggregator(STALE_AFTER_MS);
     this.#books.set(service, book);
     return book;
   }
--- a/packages/entry/src/requests/dispatched_allocator.ts
+++ b/packages/entry/src/requests/dispatched_allocator.ts
@@ -102,7 +102,7 @@
     this.#flushing.schedule();
   }
 
-  release(slot: Slot, end: routing.AttemptEnd): void {
+  release(slot: Slot, end: routing.AttemptOutcome): void {
     const held = this.#held.get(slot);
     if (held === undefined) {
       this.#options.fallback.release(slot, end);
--- a/packages/entry/src/requests/keyed_allocator.ts
+++ b/packages/entry/src/requests/keyed_allocator.ts
@@ -65,7 +65,7 @@
     }
   }
 
-  release(slot: Slot, end: routing.AttemptEnd): void {
+  release(slot: Slot, end: routing.AttemptOutcome): void {
     const nowMs = this.#options.clock.nowMs();
     const lane = this.#lanes.get(slot.address.server);
     if (end.kind === "answer") {
--- a/packages/entry/src/requests/lane.ts
+++ b/packages/entry/src/requests/lane.ts
@@ -37,7 +37,7 @@
   /** A request from this queue was answered after this time. */
   noteAnswered(attemptMs: number, nowMs: number): void {
     const isWaiting = this.#queue.size > 0;
-    this.#limit.noteAnswered(attemptMs, { nowMs, isWaiting });
+    this.#limit.recordAnswer(attemptMs, { nowMs, isWaiting });
   }
 
   /**
@@ -47,7 +47,7 @@
   shorten(mostRequests: number): void {
     const limit = this.#limit.limit(mostRequests);
     while (this.#queue.size > limit) {
-      this.#queue.displace()!.refused("queue-full", {
+      this.#queue.evict()!.refused("queue-full", {
         retryAfterMs: this.#limit.drainMs(limit),
         message: "Too many requests wait for the service; come back later",
       });
--- a/packages/entry/src/requests/local_allocator.ts
+++ b/packages/entry/src/requests/local_allocator.ts
@@ -18,7 +18,7 @@
   readonly #lane = new Lane();
   readonly #watch: ServerWatch;
   #service: contracts.Service;
-  #choice: routing.ServerChoice;
+  #choice: routing.LoadBalancer;
 
   constructor(options: LocalAllocatorOptions) {
     this.#options = options;
@@ -42,7 +42,7 @@
     this.#lane.remove(wish);
   }
 
-  release(slot: Slot, end: routing.AttemptEnd): void {
+  release(slot: Slot, end: routing.AttemptOutcome): void {
     const nowMs = this.#options.clock.nowMs();
     if (end.kind === "answer") {
       this.#lane.noteAnswered(nowMs - slot.sentMs, nowMs);
@@ -67,9 +67,9 @@
     this.#pump();
   }
 
-  #createChoice(): routing.ServerChoice {
+  #createChoice(): routing.LoadBalancer {
     const policy = this.#options.policy ?? this.#service.policy;
-    return routing.createServerChoice(policy);
+    return routing.createLoadBalancer(policy);
   }
 
   #pump(): void {
--- a/packages/entry/src/requests/request_run.ts
+++ b/packages/entry/src/requests/request_run.ts
@@ -3,7 +3,10 @@
 import * as names from "@guavatide/contracts";
 import * as routing from "@guavatide/decisions/routing/mod";
 import type { ServerClock } from "../links/server_clock.ts";
-import type { LinkRequest, LinkResult } from "../links/server_link.ts";
+import type {
+  AttemptRequest,
+  AttemptResult,
+} from "../links/server_connection.ts";
 import {
   type CallerAnswer,
   type CallerRequest,
@@ -38,7 +41,7 @@
   #waitingSinceMs: number;
   #isWaiting = false;
   /** An attempt's unknown end, while another attempt is waited for. */
-  #earlier: LinkResult | undefined;
+  #earlier: AttemptResult | undefined;
   #timer: NodeJS.Timeout | undefined;
   #resolve: ((answer: CallerAnswer) => void) | undefined;
 
@@ -57,7 +60,7 @@
     return new Promise((resolve) => {
       this.#resolve = resolve;
       this.#request.signal.addEventListener("abort", this.#onCallerGone);
-      this.#parts.budget.noteRequest();
+      this.#parts.budget.recordRequest();
       this.#wait();
     });
   }
@@ -157,7 +160,7 @@
 
   #noteWork(
     server: contracts.ServerId,
-    result: LinkResult,
+    result: AttemptResult,
     workMs: number,
   ): void {
     if (this.keyHash === undefined || result.kind !== "answer") return;
@@ -190,7 +193,7 @@
       readonly forwarded: { mark: { done(): void } | undefined };
       readonly serverClock: ServerClock;
     },
-  ): LinkRequest {
+  ): AttemptRequest {
     const { owners, service, clock } = this.#parts;
     const { ownership } = slot;
     const { server } = slot.address;
@@ -224,8 +227,8 @@
       path: WORK_PATH + rest,
       headers,
       body,
-      mayLeave,
-      noteStamp: (text) => serverClock.note(text),
+      maySend: mayLeave,
+      onServerStamp: (text) => serverClock.recordStamp(text),
     };
   }
 
@@ -241,7 +244,7 @@
     const { owners, service, clock, unfencedRunMs } = this.#parts;
     if (owners.checksFences(service.name, server)) return undefined;
     const boundMs = clock.nowMs() + unfencedRunMs;
-    return serverClock.deadlineText(Math.min(this.deadlineMs, boundMs));
+    return serverClock.formatDeadline(Math.min(this.deadlineMs, boundMs));
   }
 
   /**
@@ -251,7 +254,7 @@
    */
   #noteForwardEnd(
     mark: { done(): void } | undefined,
-    result: LinkResult,
+    result: AttemptResult,
   ): void {
     if (mark === undefined) return;
     if (result.kind !== "unknown") {
@@ -261,7 +264,7 @@
     setTimeout(() => mark.done(), this.#parts.unknownHoldMs).unref();
   }
 
-  #endOf(result: LinkResult): routing.AttemptEnd {
+  #endOf(result: AttemptResult): routing.AttemptOutcome {
     switch (result.kind) {
       case "answer":
         return { kind: "answer", inFlight: result.inFlight };
@@ -272,7 +275,7 @@
           inFlight: result.inFlight,
         };
       case "not-sent":
-        return result.isOurs || this.#request.signal.aborted
+        return result.isLocal || this.#request.signal.aborted
           ? { kind: "abandoned" }
           : { kind: "failure", cause: "not-connected" };
       case "unknown":
@@ -284,7 +287,7 @@
     }
   }
 
-  #conclude(slot: Slot, result: LinkResult): void {
+  #conclude(slot: Slot, result: AttemptResult): void {
     if (result.kind === "answer") {
       this.#finish({ kind: "answered", answer: result.answer });
       return;
@@ -330,7 +333,7 @@
     });
   }
 
-  #giveUp(failure: routing.FailedAttempt, result: LinkResult): void {
+  #giveUp(failure: routing.FailedAttempt, result: AttemptResult): void {
     const message = result.kind === "not-sent" || result.kind === "unknown"
       ? result.message
       : "The server refused the request";
@@ -363,7 +366,7 @@
 }
 
 function failureOf(
-  result: Exclude<LinkResult, { kind: "answer" }>,
+  result: Exclude<AttemptResult, { kind: "answer" }>,
 ): routing.FailedAttempt {
   switch (result.kind) {
     case "refusal":
--- a/packages/entry/src/requests/server_watch.ts
+++ b/packages/entry/src/requests/server_watch.ts
@@ -29,7 +29,7 @@
 /** Load and health of the servers of one service. */
 export class ServerWatch {
   readonly #options: ServerWatchOptions;
-  readonly #board: routing.ServerBoard;
+  readonly #board: routing.ServerTracker;
   /** Called when a server may take a request that could not before. */
   readonly #onOpen: () => void;
   #service: contracts.Service;
@@ -40,7 +40,7 @@
     this.#onOpen = onOpen;
     this.#service = options.service;
     const nowMs = options.clock.nowMs();
-    this.#board = new routing.ServerBoard(this.#boardOptions(), nowMs);
+    this.#board = new routing.ServerTracker(this.#boardOptions(), nowMs);
   }
 
   configure(service: contracts.Service): void {
@@ -70,17 +70,17 @@
     ownership?: Slot["ownership"],
   ): Slot {
     const sentMs = this.#options.clock.nowMs();
-    this.#board.noteSent(address.server, sentMs);
+    this.#board.recordSent(address.server, sentMs);
     return { address, sentMs, ownership };
   }
 
   /** The attempt of a slot has ended. */
-  release(slot: Slot, end: routing.AttemptEnd): void {
+  release(slot: Slot, end: routing.AttemptOutcome): void {
     const nowMs = this.#options.clock.nowMs();
     const { server } = slot.address;
     this.#tell(
       server,
-      this.#board.noteEnd(server, slot.sentMs, { end, nowMs }),
+      this.#board.recordOutcome(server, slot.sentMs, { end, nowMs }),
     );
   }
 
@@ -91,7 +91,7 @@
     const ids = known.map((address) => address.server);
     this.#board.configure(this.#boardOptions());
     this.#board.keepOnly(new Set(ids), nowMs);
-    for (const server of this.#board.ejectSilent(nowMs)) {
+    for (const server of this.#board.ejectUnresponsive(nowMs)) {
       this.#tell(server, "ejected");
     }
     for (const address of known) {
@@ -112,12 +112,12 @@
     this.#options.probe(address).then((isAnswered) => {
       const nowMs = this.#options.clock.nowMs();
       const { server } = address;
-      this.#tell(server, this.#board.noteProbe(server, isAnswered, nowMs));
+      this.#tell(server, this.#board.recordProbe(server, isAnswered, nowMs));
       this.#onOpen();
     });
   }
 
-  #tell(server: contracts.ServerId, event: routing.BoardEvent): void {
+  #tell(server: contracts.ServerId, event: routing.EjectionEvent): void {
     if (event === undefined) return;
     const service = this.#service.name;
     this.#options.log.info(`Server is ${event}.`, { service, server });
@@ -128,11 +128,11 @@
     return this.#options.servers.servers(this.#service.name);
   }
 
-  #boardOptions(): routing.ServerBoardOptions {
+  #boardOptions(): routing.ServerTrackerOptions {
     const { slotsPerServer } = this.#service;
     const wanted = slotsPerServer + this.#options.extraRequests;
     const localLimit = Math.min(wanted, this.#options.linkLimit());
     const { mayEject } = this.#options;
-    return { slotsPerServer, localLimit, mayEject };
+    return { slotsPerServer, maxLocalInFlight: localLimit, mayEject };
   }
 }
--- a/packages/entry/src/requests/service_parts.ts
+++ b/packages/entry/src/requests/service_parts.ts
@@ -2,7 +2,7 @@
 import type * as contracts from "@guavatide/contracts";
 import type * as routing from "@guavatide/decisions/routing/mod";
 import type { OwnerView, ServerAddress } from "../contracts/views.ts";
-import type { LinkPool } from "../links/link_pool.ts";
+import type { ConnectionPool } from "../links/connection_pool.ts";
 import type { PartLog } from "../utils/log.ts";
 import type { RequestMetrics } from "./request_metrics.ts";
 import type { SlotAllocator } from "./slot_allocator.ts";
@@ -20,7 +20,7 @@
   readonly metrics: RequestMetrics;
   /** Time a request of unknown fate stays counted as forwarded. */
   readonly unknownHoldMs: number;
-  pool(address: ServerAddress): LinkPool;
+  pool(address: ServerAddress): ConnectionPool;
   /** Time within which a server that checks no fences must end a request. */
   readonly unfencedRunMs: number;
   cancel(address: ServerAddress, id: contracts.RequestId): void;
--- a/packages/entry/src/requests/slot_allocator.ts
+++ b/packages/entry/src/requests/slot_allocator.ts
@@ -41,7 +41,7 @@
   /** The request needs no slot any more. */
   withdraw(wish: SlotWish): void;
   /** The attempt that a slot was granted for has ended. */
-  release(slot: Slot, end: routing.AttemptEnd): void;
+  release(slot: Slot, end: routing.AttemptOutcome): void;
   /** Whether a request that tried some servers has another to go to. */
   hasOther(tried: ReadonlySet<contracts.ServerId>): boolean;
   /** Takes over changed settings of the service. */
--- a/packages/entry/src/requests/slot_dispatcher.ts
+++ b/packages/entry/src/requests/slot_dispatcher.ts
@@ -188,7 +188,7 @@
     this.#allocator.withdraw(wish);
   }
 
-  #end(number: number, end: routing.AttemptEnd): void {
+  #end(number: number, end: routing.AttemptOutcome): void {
     const grant = this.#grants.get(number);
     if (grant === undefined) return;
     this.#grants.delete(number);
--- a/packages/entry/src/vms/peer_task.ts
+++ b/packages/entry/src/vms/peer_task.ts
@@ -73,7 +73,7 @@
     );
     options.door.register(
       "member",
-      contractsValues.memberQuestionSchema,
+      contractsValues.memberStatusRequestSchema,
       ({ about }) =>
         options.membership.answerIndirectProbe(about, this.#nowMs()),
     );
@@ -157,7 +157,7 @@
     const askedAtMs = this.#nowMs();
     const result = await this.link(question.to)?.call("member", {
       params: { about: question.about },
-      schema: contractsValues.memberAnswerSchema,
+      schema: contractsValues.memberStatusReplySchema,
       timeoutMs: this.#options.heartbeatTimeoutMs,
     });
     if (result === undefined || result.isErr()) return;
--- a/packages/standins/src/measure/slopes_main.ts
+++ b/packages/standins/src/measure/slopes_main.ts
@@ -266,7 +266,7 @@
 
 function measureOrders(): Slope[] {
   return [16, 48].flatMap((size) => {
-    const order: contracts.OwnershipOrder = {
+    const order: contracts.LeaseCommand = {
       service: SERVICE,
       server: "service-1" as contracts.ServerId,
       revision: 12_345,
