--- /dev/null
+++ b/packages/decisions/src/grants/handover_controller.ts
@@ -0,0 +1,406 @@
+/**
+ * Hands key ranges of one service over by two conditional writes of the range
+ * map: the first starts the handover, the second finishes it once the old owner
+ * can hold no lease. All state that matters is in the store, so a lost reply,
+ * a failed leader or a second leader does no harm.
+ */
+import type * as contracts from "@guavatide/contracts";
+import { FencingReleases } from "./fencing_releases.ts";
+import { leaseDurationMs } from "./lease_duration.ts";
+import type { GrantTimings } from "./grant_timings.ts";
+import type { VoterReports } from "./voter_reports.ts";
+import * as edit from "./range_edit.ts";
+import { RELEASE_RETRY_MS, type ReleaseCall } from "./release_call.ts";
+import {
+  type AnsweredRelease,
+  freeAtMs,
+  type HandoverFacts,
+  isReleaseVoid,
+} from "./handover_wait.ts";
+
+/** A range map with its version in the store. */
+export interface StoredRangeMap {
+  readonly map: contracts.RangeMap;
+  readonly version: string;
+}
+
+/** Result of a call to the store. */
+export type MapCallResult =
+  | { readonly kind: "found"; readonly stored: StoredRangeMap }
+  | { readonly kind: "absent" }
+  | { readonly kind: "written"; readonly stored: StoredRangeMap }
+  /** A write conflicted, or its outcome is unknown; a read failed. */
+  | { readonly kind: "unsure" };
+
+/** A call to the store that the caller is to make. */
+export type MapCall =
+  | { readonly kind: "read" }
+  | {
+    readonly kind: "write";
+    readonly map: contracts.RangeMap;
+    readonly condition: contracts.WriteCondition;
+  };
+
+/** Input of one reconciliation. */
+export interface HandoverTick {
+  readonly nowMs: number;
+  /** Servers that can own ranges now. */
+  readonly usable: ReadonlyMap<contracts.ServerId, contracts.RegisteredServer>;
+  /** Whether this incarnation of a server is known to have ended. */
+  hasEnded(owner: contracts.RangeOwner): boolean;
+  /** Entry VMs that are to vote on the map, in any order. */
+  readonly voters: readonly contracts.VmId[];
+  /** Lease duration that the service's requests need. */
+  readonly leaseMs: number;
+  /** Voters that are removed for good. */
+  readonly removedVoters: ReadonlySet<contracts.VmId>;
+  /** Moves that placement plans for the map. */
+  plan(map: contracts.RangeMap): readonly edit.RangeMove[];
+  nonce(): string;
+}
+
+interface Release {
+  /** When the call in flight was sent; undefined when there is none. */
+  sentAtMs: number | undefined;
+  answered: AnsweredRelease | undefined;
+  /** Earliest retry after a failure. */
+  notBeforeMs: number;
+  /** Opaque value that the old owner returned for the next owner. */
+  handover: string | undefined;
+}
+
+/**
+ * Longest delay of a release until all voters have acknowledged the handover: a
+ * renewal that crosses the release would invalidate it.
+ */
+const RELEASE_WAIT_MS = 120;
+/**
+ * Handovers that finish within this time share a write: each write is a call to
+ * the store and an update to all VMs.
+ */
+const FINISH_BATCH_MS = 60;
+const RETRY_MIN_MS = 100;
+const RETRY_MAX_MS = 1_000;
+
+/** Reconciles the range map of one service and hands its ranges over. */
+export class HandoverController {
+  readonly #service: contracts.ServiceId;
+  readonly #timings: GrantTimings;
+  readonly #reports: VoterReports;
+  #stored: StoredRangeMap | undefined;
+  #isAbsent = false;
+  #mustRead = true;
+  #isBusy = false;
+  #notBeforeMs = Number.NEGATIVE_INFINITY;
+  #failures = 0;
+  /** When a majority of every voter set had acknowledged each revision. */
+  readonly #acknowledgedAtMs = new Map<number, number>();
+  /** Since when a finished handover has not been written. */
+  #finishedSinceMs: number | undefined;
+  readonly #fencing = new FencingReleases();
+  /** Releases by the fence of the range's next owner. */
+  readonly #releases = new Map<number, Release>();
+
+  constructor(
+    service: contracts.ServiceId,
+    reports: VoterReports,
+    timings: GrantTimings,
+  ) {
+    this.#service = service;
+    this.#reports = reports;
+    this.#timings = timings;
+  }
+
+  /** The map as last read or written; undefined before. */
+  get map(): contracts.RangeMap | undefined {
+    return this.#stored?.map;
+  }
+
+  /** Forces a read before the next decision, for example by a new leader. */
+  requireRead(): void {
+    this.#mustRead = true;
+  }
+
+  /** Notes a revision that a peer knows; a newer one forces a read. */
+  noteNewerRevision(revision: number): void {
+    if (revision > (this.map?.revision ?? 0)) this.#mustRead = true;
+  }
+
+  /**
+   * Value that the old owner returned for the range with this fence, if any.
+   */
+  handover(fence: number): string | undefined {
+    return this.#releases.get(fence)?.handover;
+  }
+
+  /** The next call to the store; undefined while one is in flight. */
+  nextCall(tick: HandoverTick): MapCall | undefined {
+    if (this.#isBusy || tick.nowMs < this.#notBeforeMs) return undefined;
+    const call = this.#mustRead ? { kind: "read" } as const : this.#write(tick);
+    this.#isBusy = call !== undefined;
+    return call;
+  }
+
+  /** Takes the result of the call that {@link nextCall} returned. */
+  noteCallResult(result: MapCallResult, nowMs: number): void {
+    this.#isBusy = false;
+    if (result.kind === "unsure") return this.#backOff(nowMs);
+    this.#failures = 0;
+    if (result.kind === "absent") {
+      this.#mustRead = false;
+      // A map that was read before is never replaced by an initial map.
+      this.#isAbsent = this.#stored === undefined;
+      return;
+    }
+    const known = this.map?.revision ?? 0;
+    if (result.stored.map.revision < known) return this.#backOff(nowMs);
+    this.#isAbsent = false;
+    this.#mustRead = false;
+    if (result.kind === "written") this.#addFencing(result.stored.map, nowMs);
+    this.#fencing.noteRanges(result.stored.map.ranges);
+    this.#stored = result.stored;
+    this.#dropFinishedHandovers();
+  }
+
+  /** Notes quorum acknowledgements; called after each voter's report. */
+  checkAcknowledgements(
+    nowMs: number,
+    removedVoters: ReadonlySet<contracts.VmId>,
+  ): void {
+    const map = this.map;
+    if (map === undefined) return;
+    for (const revision of this.#revisionsInHandover(map)) {
+      if (this.#acknowledgedAtMs.has(revision)) continue;
+      if (!this.#reports.isAcknowledged(map, revision, removedVoters)) continue;
+      this.#acknowledgedAtMs.set(revision, nowMs);
+    }
+  }
+
+  /** Releases to send now; each is returned once until its result is noted. */
+  takeReleases(
+    nowMs: number,
+    hasEnded: (owner: contracts.RangeOwner) => boolean,
+  ): ReleaseCall[] {
+    // By a stale map, keys might be released that their owner owns again.
+    if (this.#mustRead) return [];
+    const calls: ReleaseCall[] = [];
+    const { map } = this;
+    for (const range of map?.ranges ?? []) {
+      const oldOwner = range.vacating;
+      if (oldOwner === undefined || hasEnded(oldOwner)) continue;
+      if (!this.#mayRelease(map!, range, nowMs)) continue;
+      this.#release(range.fence).sentAtMs = nowMs;
+      calls.push({ range, oldOwner });
+    }
+    return [...calls, ...this.#fencing.takeDue(nowMs, hasEnded)];
+  }
+
+  /** Takes the result of a release; a failed one is retried. */
+  noteReleaseResult(
+    fence: number,
+    result: { readonly handover: string | undefined } | "failed",
+    nowMs: number,
+  ): void {
+    if (this.#fencing.noteResult(fence, result !== "failed", nowMs)) return;
+    const release = this.#release(fence);
+    const releaseSentAtMs = release.sentAtMs ?? nowMs;
+    release.sentAtMs = undefined;
+    if (result === "failed") {
+      release.notBeforeMs = nowMs + RELEASE_RETRY_MS;
+      return;
+    }
+    release.answered = { sentAtMs: releaseSentAtMs, answeredAtMs: nowMs };
+    release.handover = result.handover ?? release.handover;
+  }
+
+  /** Keeps releasing ranges reassigned without an answer of the old owner. */
+  #addFencing({ ranges }: contracts.RangeMap, nowMs: number): void {
+    const finished = new Set(
+      ranges.filter((range) => range.vacating === undefined)
+        .map((range) => range.fence),
+    );
+    for (const range of this.map?.ranges ?? []) {
+      const { fence, vacating: oldOwner } = range;
+      if (oldOwner === undefined || !finished.has(fence)) continue;
+      if (this.#releases.get(fence)?.answered !== undefined) continue;
+      this.#fencing.add({ range, oldOwner, isFencing: true }, nowMs);
+    }
+  }
+
+  #mayRelease(
+    map: contracts.RangeMap,
+    range: contracts.RangeState,
+    nowMs: number,
+  ): boolean {
+    const { revision, server } = range.vacating!;
+    const acknowledgedAtMs = this.#acknowledgedAtMs.get(revision);
+    const release = this.#release(range.fence);
+    const isInFlight = release.sentAtMs !== undefined;
+    if (acknowledgedAtMs === undefined || isInFlight) return false;
+    if (nowMs < release.notBeforeMs) return false;
+    if (release.answered !== undefined) {
+      return isReleaseVoid(this.#facts(map, range, false));
+    }
+    const hasAcknowledged = (vm: contracts.VmId) => {
+      const report = this.#reports.reportOf(vm);
+      if (report === undefined || report.revision < revision) return false;
+      const endMs = report.lastGrantMs.get(server) ?? Number.NEGATIVE_INFINITY;
+      // The reported end of a grant in flight is the time of the report.
+      return endMs < report.receivedAtMs;
+    };
+    const allAcknowledged = [...new Set(map.keeperSets.flat())].every(
+      hasAcknowledged,
+    );
+    return allAcknowledged || nowMs - acknowledgedAtMs >= RELEASE_WAIT_MS;
+  }
+
+  #facts(
+    map: contracts.RangeMap,
+    range: contracts.RangeState,
+    hasEnded: boolean,
+  ): HandoverFacts {
+    return {
+      map,
+      range,
+      reports: this.#reports,
+      acknowledgedAtMs: this.#acknowledgedAtMs.get(range.vacating!.revision),
+      release: this.#releases.get(range.fence)?.answered,
+      hasEnded,
+      timings: this.#timings,
+    };
+  }
+
+  #write(tick: HandoverTick): MapCall | undefined {
+    if (this.#stored === undefined) return this.#initialWrite(tick);
+    const { map, version } = this.#stored;
+    const revision = map.revision + 1;
+    let finishedCount = 0;
+    const finished = edit.finishHandovers(map.ranges, (range) => {
+      const isFree = this.#isFree(map, range, tick);
+      if (isFree) finishedCount++;
+      return isFree;
+    });
+    const moves = tick.plan(map);
+    const started = edit.startHandovers(finished, moves, {
+      revision,
+      lastFence: map.lastFence,
+    });
+    const keeperSets = this.#nextVoterSets(map, tick);
+    const holdMs = Math.max(leaseDurationMs(map, this.#timings), tick.leaseMs);
+    const isFinishing = finishedCount > 0 &&
+      !this.#shouldWaitForMore(tick.nowMs);
+    const isChanged = isFinishing || moves.length > 0 ||
+      keeperSets !== map.keeperSets ||
+      holdMs > leaseDurationMs(map, this.#timings);
+    if (!isChanged) return undefined;
+    this.#finishedSinceMs = undefined;
+    const next = { ...map, ...started, revision, keeperSets, holdMs };
+    return this.#writeCall(next, { kind: "version", version }, tick);
+  }
+
+  /** Whether finished handovers can wait for others that finish soon. */
+  #shouldWaitForMore(nowMs: number): boolean {
+    this.#finishedSinceMs ??= nowMs;
+    const isInFlight = [...this.#releases.values()].some(({ sentAtMs }) =>
+      sentAtMs !== undefined
+    );
+    return isInFlight && nowMs - this.#finishedSinceMs < FINISH_BATCH_MS;
+  }
+
+  #initialWrite(tick: HandoverTick): MapCall | undefined {
+    const owners = [...tick.usable.values()];
+    const isReady = this.#isAbsent && owners.length > 0 &&
+      tick.voters.length > 0;
+    if (!isReady) return undefined;
+    const ranges = edit.initialRanges(owners);
+    const first = {
+      service: this.#service,
+      revision: 1,
+      lastFence: owners.length,
+      keeperSets: [[...tick.voters]],
+      holdMs: Math.max(this.#timings.holdMs, tick.leaseMs),
+      ranges,
+    };
+    return this.#writeCall(first, { kind: "absent" }, tick);
+  }
+
+  #writeCall(
+    map: Omit<contracts.RangeMap, "nonce">,
+    condition: contracts.WriteCondition,
+    tick: HandoverTick,
+  ): MapCall {
+    return { kind: "write", map: { ...map, nonce: tick.nonce() }, condition };
+  }
+
+  #isFree(
+    map: contracts.RangeMap,
+    range: contracts.RangeState,
+    tick: HandoverTick,
+  ): boolean {
+    if (!tick.usable.has(range.owner.server)) return false;
+    const oldOwner = range.vacating!;
+    const atMs = freeAtMs(this.#facts(map, range, tick.hasEnded(oldOwner)));
+    return atMs !== undefined && atMs <= tick.nowMs;
+  }
+
+  /** Voter sets of the next revision; the same object when nothing changes. */
+  #nextVoterSets(
+    map: contracts.RangeMap,
+    tick: HandoverTick,
+  ): contracts.RangeMap["keeperSets"] {
+    const last = map.keeperSets.at(-1)!;
+    const isAcknowledged = this.#reports.isAcknowledged(
+      map,
+      map.revision,
+      tick.removedVoters,
+    );
+    const hasEarlier = map.keeperSets.length > 1;
+    if (hasEarlier && isAcknowledged) return [last];
+    const isSame = last.length === tick.voters.length &&
+      tick.voters.every((vm) => last.includes(vm));
+    if (hasEarlier || isSame || tick.voters.length === 0) {
+      return map.keeperSets;
+    }
+    return [...map.keeperSets, [...tick.voters]];
+  }
+
+  #release(fence: number): Release {
+    const found = this.#releases.get(fence);
+    if (found !== undefined) return found;
+    const created: Release = {
+      sentAtMs: undefined,
+      answered: undefined,
+      notBeforeMs: Number.NEGATIVE_INFINITY,
+      handover: undefined,
+    };
+    this.#releases.set(fence, created);
+    return created;
+  }
+
+  #revisionsInHandover(map: contracts.RangeMap): Set<number> {
+    const revisions = new Set<number>();
+    for (const { vacating } of map.ranges) {
+      if (vacating !== undefined) revisions.add(vacating.revision);
+    }
+    return revisions;
+  }
+
+  #dropFinishedHandovers(): void {
+    const { map } = this.#stored!;
+    const open = this.#revisionsInHandover(map);
+    for (const revision of this.#acknowledgedAtMs.keys()) {
+      if (!open.has(revision)) this.#acknowledgedAtMs.delete(revision);
+    }
+    const fences = new Set(map.ranges.map(({ fence }) => fence));
+    for (const fence of this.#releases.keys()) {
+      if (!fences.has(fence)) this.#releases.delete(fence);
+    }
+  }
+
+  #backOff(nowMs: number): void {
+    this.#mustRead = true;
+    const waitMs = Math.min(RETRY_MAX_MS, RETRY_MIN_MS * 2 ** this.#failures);
+    this.#failures++;
+    this.#notBeforeMs = nowMs + waitMs;
+  }
+}
--- /dev/null
+++ b/packages/decisions/src/grants/handover_wait.ts
@@ -0,0 +1,110 @@
+/**
+ * Computes when the old owner of a range in handover can no longer hold a lease
+ * on it. Leases run from the arrival of a grant, so the end of the last grant
+ * call of any entry VM counts.
+ */
+import type * as contracts from "@guavatide/contracts";
+import { leaseDurationMs } from "./lease_duration.ts";
+import { type GrantTimings, maxLeaseLifetimeMs } from "./grant_timings.ts";
+import type { VoterReport, VoterReports } from "./voter_reports.ts";
+
+/** A release that was sent after the quorum's acknowledgement and answered. */
+export interface AnsweredRelease {
+  readonly sentAtMs: number;
+  readonly answeredAtMs: number;
+}
+
+/** What the handover controller knows of one range in handover. */
+export interface HandoverFacts {
+  readonly map: contracts.RangeMap;
+  readonly range: contracts.RangeState;
+  readonly reports: VoterReports;
+  /** When a majority of each voter set was known to know the revision. */
+  readonly acknowledgedAtMs: number | undefined;
+  /** The release that the old owner answered. */
+  readonly release: AnsweredRelease | undefined;
+  /** Whether the old owner's incarnation is known to have ended. */
+  readonly hasEnded: boolean;
+  readonly timings: GrantTimings;
+}
+
+/**
+ * When the next owner may be granted the range, on this VM's clock; undefined
+ * while that is not known yet.
+ */
+export function freeAtMs(facts: HandoverFacts): number | undefined {
+  const { acknowledgedAtMs, release, hasEnded } = facts;
+  if (hasEnded) return Number.NEGATIVE_INFINITY;
+  if (acknowledgedAtMs === undefined) return undefined;
+  const expiredMs = lastGrantEndMs(facts, acknowledgedAtMs, "lastGrantMs");
+  if (release === undefined || isReleaseVoid(facts)) return expiredMs;
+  // A release revokes a grant that was answered before it; an unanswered grant
+  // may take effect after it.
+  const releasedMs = lastGrantEndMs(
+    facts,
+    acknowledgedAtMs,
+    "lastUnansweredMs",
+  );
+  return Math.min(expiredMs, Math.max(release.answeredAtMs, releasedMs));
+}
+
+/**
+ * Whether a grant to the old owner may have crossed the release. The owner may
+ * then hold the range again and must release it once more.
+ */
+export function isReleaseVoid(facts: HandoverFacts): boolean {
+  const { release, reports, range, map } = facts;
+  if (release === undefined) return false;
+  const { server, revision } = range.vacating!;
+  return [...new Set(map.keeperSets.flat())].some((vm) => {
+    const report = reports.reportOf(vm);
+    // Leases granted by an unresponsive voter are waited for instead.
+    if (report === undefined || report.revision < revision) return false;
+    const endMs = report.lastGrantMs.get(server) ?? Number.NEGATIVE_INFINITY;
+    return endMs >= release.sentAtMs;
+  });
+}
+
+/** When the last lease that any voter granted to the old owner expires. */
+function lastGrantEndMs(
+  { map, range, reports, timings }: HandoverFacts,
+  acknowledgedAtMs: number,
+  kind: "lastGrantMs" | "lastUnansweredMs",
+): number {
+  const { server, revision } = range.vacating!;
+  const { confirmationTtlMs, grantTimeoutMs } = timings;
+  // An unresponsive voter may act on its confirmation until that expires, and
+  // the bytes of its last call leave within the timeout of the call.
+  const unresponsiveSentMs = acknowledgedAtMs + confirmationTtlMs +
+    grantTimeoutMs;
+  let lastMs = Number.NEGATIVE_INFINITY;
+  for (const vm of new Set(map.keeperSets.flat())) {
+    const report = reports.reportOf(vm);
+    const isCurrent = report !== undefined && report.revision >= revision;
+    // A restarted process does not know the grants it sent before its start.
+    const sentMs = isCurrent
+      ? Math.max(
+        lastSentMs(report, kind, { server, timings }),
+        report.startedAtMs,
+      )
+      : unresponsiveSentMs;
+    lastMs = Math.max(lastMs, sentMs);
+  }
+  return lastMs + maxLeaseLifetimeMs(timings, leaseDurationMs(map, timings));
+}
+
+/**
+ * Latest send time; a call in flight at the report may last for its timeout.
+ */
+function lastSentMs(
+  report: VoterReport,
+  kind: "lastGrantMs" | "lastUnansweredMs",
+  { server, timings }: {
+    readonly server: contracts.ServerId;
+    readonly timings: GrantTimings;
+  },
+): number {
+  const endMs = report[kind].get(server) ?? Number.NEGATIVE_INFINITY;
+  const isInFlight = endMs >= report.receivedAtMs;
+  return isInFlight ? endMs + timings.grantTimeoutMs : endMs;
+}
--- /dev/null
+++ b/packages/decisions/src/grants/handover_wait_test.ts
@@ -0,0 +1,176 @@
+import type * as contracts from "@guavatide/contracts";
+import { expect } from "earl";
+import { test } from "node:test";
+import * as grants from "./mod.ts";
+
+const TIMINGS = grants.DEFAULT_GRANT_TIMINGS;
+const LEASE_LIFETIME_MS = grants.maxLeaseLifetimeMs(TIMINGS, TIMINGS.holdMs);
+const A: contracts.RangeOwner = {
+  server: "a" as contracts.ServerId,
+  bornMs: 1,
+};
+const B: contracts.RangeOwner = {
+  server: "b" as contracts.ServerId,
+  bornMs: 1,
+};
+
+/** When the reports of a fixture's voters were received. */
+const REPORTED_AT_MS = 10_040;
+
+/** A handover from a to b with three voters, started at 10 000 ms. */
+class Fixture {
+  readonly reports = new grants.VoterReports();
+  readonly map: contracts.RangeMap;
+  readonly acknowledgedAtMs = 10_050;
+  releaseAnsweredAtMs: number | undefined;
+  releaseSentAtMs = 10_055;
+  hasEnded = false;
+
+  constructor() {
+    const first = grants.initialRanges([{ ...A, slots: 1 }]);
+    const started = grants.startHandovers(
+      first,
+      [{ fromKey: 0, toKey: 65_535, to: B }],
+      { revision: 2, lastFence: 1 },
+    );
+    this.map = {
+      service: "availability" as contracts.ServiceId,
+      revision: 2,
+      nonce: "n",
+      keeperSets: [["k1", "k2", "k3"] as contracts.VmId[]],
+      ...started,
+    };
+  }
+
+  report(
+    vm: string,
+    options: {
+      revision?: number;
+      startedAtMs?: number;
+      reportedAtMs?: number;
+      sentMs?: number;
+      unansweredMs?: number;
+    } = {},
+  ): void {
+    const { sentMs, unansweredMs } = options;
+    this.reports.noteReport({
+      vm: vm as contracts.VmId,
+      revision: options.revision ?? 2,
+      hasReadMap: true,
+      requestedAtMs: 10_010,
+      receivedAtMs: options.reportedAtMs ?? REPORTED_AT_MS,
+      startedAtMs: options.startedAtMs ?? 0,
+      lastGrantMs: new Map(sentMs === undefined ? [] : [[A.server, sentMs]]),
+      lastUnansweredMs: new Map(
+        unansweredMs === undefined ? [] : [[A.server, unansweredMs]],
+      ),
+    });
+  }
+
+  freeAtMs(): number | undefined {
+    return grants.freeAtMs(this.facts());
+  }
+
+  facts(): grants.HandoverFacts {
+    return {
+      map: this.map,
+      range: this.map.ranges[0]!,
+      reports: this.reports,
+      acknowledgedAtMs: this.acknowledgedAtMs,
+      release: this.releaseAnsweredAtMs === undefined ? undefined : {
+        sentAtMs: this.releaseSentAtMs,
+        answeredAtMs: this.releaseAnsweredAtMs,
+      },
+      hasEnded: this.hasEnded,
+      timings: TIMINGS,
+    };
+  }
+}
+
+/** Guards against two holders before an unresponsive owner's lease expires. */
+test("should wait for the expiry of the last lease that any voter granted", () => {
+  const fixture = new Fixture();
+  fixture.report("k1", { sentMs: 9_700 });
+  fixture.report("k2", { sentMs: 9_900 });
+  fixture.report("k3");
+  expect(fixture.freeAtMs()).toEqual(9_900 + LEASE_LIFETIME_MS);
+});
+
+/**
+ * Guards against a late grant of a voter that checked its confirmation in time.
+ */
+test("should assume that an unresponsive voter grants until its confirmation expires", () => {
+  const fixture = new Fixture();
+  const lastSentMs = fixture.acknowledgedAtMs + TIMINGS.confirmationTtlMs +
+    TIMINGS.grantTimeoutMs;
+  fixture.report("k1", { sentMs: 9_700 });
+  fixture.report("k2");
+  expect(fixture.freeAtMs()).toEqual(lastSentMs + LEASE_LIFETIME_MS);
+  // A voter that reports the older map may still act on it as well.
+  fixture.report("k3", { revision: 1 });
+  expect(fixture.freeAtMs()).toEqual(lastSentMs + LEASE_LIFETIME_MS);
+});
+
+/** Guards against a grant that is sent after its voter's last report. */
+test("should assume that a grant in flight lasts for the call's timeout", () => {
+  const fixture = new Fixture();
+  fixture.report("k1", {
+    sentMs: REPORTED_AT_MS,
+    unansweredMs: REPORTED_AT_MS,
+  });
+  fixture.report("k2");
+  fixture.report("k3");
+  const lastSentMs = REPORTED_AT_MS + TIMINGS.grantTimeoutMs;
+  expect(fixture.freeAtMs()).toEqual(lastSentMs + LEASE_LIFETIME_MS);
+  // It is not known to be answered, so a release does not revoke it.
+  fixture.releaseAnsweredAtMs = 10_060;
+  expect(fixture.freeAtMs()).toEqual(lastSentMs + LEASE_LIFETIME_MS);
+});
+
+/** Guards against grants that a voter forgot when its process restarted. */
+test("should assume that a restarted voter granted until its start", () => {
+  const fixture = new Fixture();
+  fixture.report("k1");
+  fixture.report("k2");
+  fixture.report("k3", { startedAtMs: 9_950 });
+  expect(fixture.freeAtMs()).toEqual(9_950 + LEASE_LIFETIME_MS);
+});
+
+test("should be free at once when the owner has answered the release", () => {
+  const fixture = new Fixture();
+  for (const vm of ["k1", "k2", "k3"]) fixture.report(vm, { sentMs: 9_900 });
+  fixture.releaseAnsweredAtMs = 10_060;
+  expect(fixture.freeAtMs()).toEqual(10_060);
+});
+
+/** Guards against a delayed grant that takes effect after the release. */
+test("should wait for an unanswered grant after a release", () => {
+  const fixture = new Fixture();
+  fixture.report("k1", { sentMs: 9_900, unansweredMs: 9_600 });
+  fixture.report("k2");
+  fixture.report("k3");
+  fixture.releaseAnsweredAtMs = 10_060;
+  expect(fixture.freeAtMs()).toEqual(9_600 + LEASE_LIFETIME_MS);
+});
+
+/**
+ * Guards against a renewal that crosses the release and takes effect after it.
+ */
+test("should ignore a release that was sent before a grant call ended", () => {
+  const fixture = new Fixture();
+  fixture.report("k1", { sentMs: 10_058, reportedAtMs: 10_059 });
+  fixture.report("k2");
+  fixture.report("k3");
+  fixture.releaseAnsweredAtMs = 10_060;
+  expect(fixture.freeAtMs()).toEqual(10_058 + LEASE_LIFETIME_MS);
+  expect(grants.isReleaseVoid(fixture.facts())).toEqual(true);
+  fixture.releaseSentAtMs = 10_059;
+  expect(fixture.freeAtMs()).toEqual(10_060);
+  expect(grants.isReleaseVoid(fixture.facts())).toEqual(false);
+});
+
+test("should not wait for an incarnation that has ended", () => {
+  const fixture = new Fixture();
+  fixture.hasEnded = true;
+  expect(fixture.freeAtMs()).toEqual(Number.NEGATIVE_INFINITY);
+});
--- a/packages/decisions/src/membership/effects.ts
+++ b/packages/decisions/src/membership/effects.ts
@@ -1,76 +1,79 @@
-/** Settings of membership, and what it asks the peer task to do. */
+/** Options of membership, and the actions that it asks the peer task for. */
 import type * as contracts from "@guavatide/contracts";
 import type { MemberState } from "./member.ts";
 
-/** Times and bounds of membership. */
+/** Timings and limits of membership. */
 export interface MembershipOptions {
   readonly vm: contracts.VmId;
   readonly random: contracts.RandomSource;
-  readonly beatMs: number;
-  /** Unanswered for this long: suspect. */
+  readonly heartbeatIntervalMs: number;
+  /** A peer that leaves heartbeats unanswered for this long is suspect. */
   readonly suspectAfterMs: number;
-  /** Unanswered for this long, and others agree: lost. */
+  /** Time without an answer until a suspect is lost, if another VM confirms. */
   readonly lostAfterMs: number;
-  /** Unanswered for this long: lost, also when nobody else could be asked. */
-  readonly lostAloneAfterMs: number;
-  /** A beat this much late means that this process was paused. */
-  readonly pauseMs: number;
-  /** A lost VM that the list does not name is forgotten after this. */
+  /** Time without an answer until a suspect is lost without confirmation. */
+  readonly lostUnconfirmedAfterMs: number;
+  /** A heartbeat tick that is this late means that the process was paused. */
+  readonly pauseThresholdMs: number;
+  /** A lost VM that is not in the VM list is removed after this time. */
   readonly forgetAfterMs: number;
-  /** Up to this many peers, each is asked at each beat. */
+  /** Up to this many peers, each gets every heartbeat. */
   readonly fullMeshVms: number;
-  /** In a larger fleet, peers asked at each beat besides the pinned ones. */
+  /**
+   * In a larger fleet, sampled peers that get a heartbeat beside pinned ones.
+   */
   readonly sampleVms: number;
-  /** In a larger fleet, the sample is asked at every so many beats. */
-  readonly sampleEveryBeats: number;
-  /** Lost peers asked at each beat, to notice their return. */
+  /** In a larger fleet, number of heartbeats from one sample to the next. */
+  readonly sampleEveryHeartbeats: number;
+  /** Lost peers that get each heartbeat, to notice their return. */
   readonly lostProbes: number;
-  /** Others asked about a suspect. */
-  readonly helpers: number;
-  /** Pieces of news in one message. */
-  readonly newsPerMessage: number;
+  /** Peers asked about each unresponsive VM. */
+  readonly indirectProbes: number;
+  /** Member updates gossiped in one message. */
+  readonly updatesPerMessage: number;
 }
 
-/** Defaults for everything but the process's own id and random source. */
+/** Defaults of all options except the process's own id and random source. */
 export const DEFAULT_MEMBERSHIP = {
-  beatMs: 250,
+  heartbeatIntervalMs: 250,
   suspectAfterMs: 750,
   lostAfterMs: 1200,
-  lostAloneAfterMs: 4000,
-  pauseMs: 500,
+  lostUnconfirmedAfterMs: 4000,
+  pauseThresholdMs: 500,
   forgetAfterMs: 60_000,
   fullMeshVms: 40,
   sampleVms: 1,
-  sampleEveryBeats: 8,
+  sampleEveryHeartbeats: 8,
   lostProbes: 2,
-  helpers: 2,
-  newsPerMessage: 6,
+  indirectProbes: 2,
+  updatesPerMessage: 6,
 } as const;
 
-/** A change that the process may act on and logs. */
+/** A change of a member that the process logs and may act on. */
 export interface MemberEvent {
   readonly kind: "joined" | "restarted" | MemberState;
   readonly vm: contracts.VmId;
 }
 
-/** "Do you hear `about`?", to be sent to `to`. */
-export interface HelperQuestion {
+/** A request to `to` for when it last had a sign of life of `about`. */
+export interface IndirectProbe {
   readonly to: contracts.VmId;
   readonly about: contracts.VmId;
 }
 
-/** What one beat asks the peer task to do. */
-export interface BeatEffects {
-  /** Peers that get a heartbeat now. */
+/** Actions for the peer task at one heartbeat. */
+export interface HeartbeatEffects {
+  /** Peers to send a heartbeat to now. */
   readonly targets: readonly contracts.VmId[];
-  readonly questions: readonly HelperQuestion[];
+  readonly indirectProbes: readonly IndirectProbe[];
   readonly events: readonly MemberEvent[];
 }
 
-/** A helper's answer: how long ago it had a sign of life, if ever. */
-export interface HelperAnswer {
+/** Reply to an {@link IndirectProbe}. */
+export interface IndirectProbeReply {
   readonly from: contracts.VmId;
   readonly about: contracts.VmId;
   readonly incarnation?: contracts.Incarnation;
+  /** Age of the last sign of life of `about`; absent when there was none. */
   readonly seenAgeMs?: number;
 }
