--- a/packages/entry/src/loads/load_task.ts
+++ b/packages/entry/src/loads/load_task.ts
@@ -1,26 +1,26 @@
 /**
- * Load of the keyed services. Every entry VM counts what it forwards and
- * reports it to the VM that holds the service's control duty, whose planner
- * reads the sum. A report has a bounded size whatever the number of keys.
+ * Load reports of the keyed services. Every entry VM counts the requests it
+ * forwards and reports them to the leader of the service, whose planner uses
+ * the sum. The size of a report is bounded, independent of the number of keys.
  */
 import * as contracts from "@guavatide/contracts";
 import * as placement from "@guavatide/decisions/placement/mod";
 import type { LoadSource } from "../ownership/move_task.ts";
-import type { KeyedWork } from "../requests/request_metrics.ts";
+import type { KeyedRequestSample } from "../requests/request_metrics.ts";
 import type { LifeCycle } from "../utils/life_cycle.ts";
 import type { PeerDoor } from "../vms/peer_door.ts";
 import type { PeerLink } from "../vms/peer_link.ts";
 import type { HeartbeatParticipant } from "../vms/peer_task.ts";
 
-/** Method by which a VM reports a service's load to the holder of duty. */
+/** Method by which a VM reports the load of a service to its leader. */
 export const LOAD_METHOD = "load";
 
 const REPORT_INTERVAL_MS = 1_000;
 const REPORT_TIMEOUT_MS = 500;
-/** Reports that may be missed before a VM's load no longer counts. */
-const STALE_AFTER_MS = 10_000;
+/** Time after its last report at which the load of a VM stops counting. */
+const REPORT_TTL_MS = 10_000;
 
-/** What is used of the link to a peer. */
+/** Part of {@link PeerLink} that is used to send reports. */
 export type PeerCaller = Pick<PeerLink, "call">;
 
 /** Options of {@link LoadTask}. */
@@ -30,74 +30,76 @@
     readonly incarnation: contracts.Incarnation;
   };
   readonly peers: { link(vm: contracts.VmId): PeerCaller | undefined };
-  readonly door: Pick<PeerDoor, "register">;
+  readonly peerServer: Pick<PeerDoor, "register">;
   readonly clock: contracts.Clock;
 }
 
-/** Whose slices the counts are told apart by. */
-export interface LoadOwners {
-  /** Services whose moves this VM plans now. */
+/** Source of the slices that requests are counted by. */
+export interface OwnershipSource {
+  /** Services that this VM is the leader of. */
   heldDuties(): contracts.ServiceId[];
-  /** The assignment known of a service. */
+  /** The latest known assignment of a service. */
   assignment(service: contracts.ServiceId): contracts.Assignment | undefined;
 }
 
-/** Counts, reports and collects load. */
+/** Counts requests, sends load reports, and collects those of all VMs. */
 export class LoadTask implements HeartbeatParticipant {
   readonly #options: LoadTaskOptions;
   readonly #trackers = new Map<contracts.ServiceId, placement.LoadTracker>();
-  readonly #books = new Map<contracts.ServiceId, placement.LoadBook>();
-  #owners: LoadOwners | undefined;
-  readonly #holders = new Map<contracts.ServiceId, contracts.VmId>();
+  readonly #reports = new Map<contracts.ServiceId, placement.LoadBook>();
+  #ownership: OwnershipSource | undefined;
+  readonly #leaders = new Map<contracts.ServiceId, contracts.VmId>();
 
   constructor(options: LoadTaskOptions) {
     this.#options = options;
-    options.door.register(
+    options.peerServer.register(
       LOAD_METHOD,
       contracts.serviceLoadSchema,
-      (load) => this.#take(load),
+      (load) => this.#receive(load),
     );
   }
 
-  /** Takes slices and duties from the ownership task. */
-  follow(owners: LoadOwners): void {
-    this.#owners = owners;
+  /** Sets the source of slices and leadership. Nothing is counted before. */
+  setOwnershipSource(ownership: OwnershipSource): void {
+    this.#ownership = ownership;
   }
 
-  /** Reports until the process stops. */
+  /** Sends reports every second until the process stops. */
   start(lifeCycle: LifeCycle): void {
     lifeCycle.every(REPORT_INTERVAL_MS, () => this.reportAll());
   }
 
   /** Counts one answered request. */
-  record(work: KeyedWork): void {
-    const slices = this.#owners?.assignment(work.service)?.slices;
+  recordRequest(sample: KeyedRequestSample): void {
+    const slices = this.#ownership?.assignment(sample.service)?.slices;
     if (slices === undefined) return;
-    const slice = slices[placement.findSlice(slices, work.keyHash)];
+    const slice = slices[placement.findSlice(slices, sample.keyHash)];
     if (slice === undefined) return;
     const { fromHash, toHash } = slice;
-    const tracker = this.#tracker(work.service);
-    tracker.record({ fromHash, toHash, keyHash: work.keyHash });
-    if (work.foundSlotFree) tracker.recordWork(work.server, work.workMs);
+    const tracker = this.#trackerOf(sample.service);
+    tracker.record({ fromHash, toHash, keyHash: sample.keyHash });
+    if (sample.hadFreeSlot) tracker.recordWork(sample.server, sample.workMs);
   }
 
-  /** Where the planner of a service reads its figures. */
-  source(service: contracts.ServiceId): LoadSource {
+  /** Load estimates for the planner of a service. */
+  loadSource(service: contracts.ServiceId): LoadSource {
     return {
-      estimate: (slices) => this.#book(service).estimate(slices, this.#now()),
-      speeds: () => this.#book(service).speeds(this.#now()),
+      estimate: (slices) =>
+        this.#reportsOf(service).estimate(slices, this.#nowMs()),
+      speeds: () => this.#reportsOf(service).speeds(this.#nowMs()),
     };
   }
 
   /**
-   * Largest load of a server over the mean, by the latest reports; undefined
-   * where this VM plans no moves or nothing is asked of the service.
+   * Ratio of the largest load of a server to the mean load, by the latest
+   * reports. Undefined when this VM is not the leader or there is no load.
    */
   imbalance(service: contracts.ServiceId): number | undefined {
-    const isPlanned = this.#owners?.heldDuties().includes(service) ?? false;
-    const slices = this.#owners?.assignment(service)?.slices;
-    if (!isPlanned || slices === undefined) return undefined;
-    const rates = this.#book(service).estimate(slices, this.#now()).slices;
+    const isLeader = this.#ownership?.heldDuties().includes(service) ?? false;
+    const slices = this.#ownership?.assignment(service)?.slices;
+    if (!isLeader || slices === undefined) return undefined;
+    const rates =
+      this.#reportsOf(service).estimate(slices, this.#nowMs()).slices;
     const byServer = new Map<contracts.ServerId, number>();
     slices.forEach(({ server }, index) => {
       byServer.set(server, (byServer.get(server) ?? 0) + rates[index]!);
@@ -109,41 +111,41 @@
 
   noteReply(reply: contracts.PeerHeartbeatReply): void {
     for (const { service, holdsDuty } of reply.known) {
-      if (holdsDuty === true) this.#holders.set(service, reply.vm);
-      else if (this.#holders.get(service) === reply.vm) {
-        this.#holders.delete(service);
+      if (holdsDuty === true) this.#leaders.set(service, reply.vm);
+      else if (this.#leaders.get(service) === reply.vm) {
+        this.#leaders.delete(service);
       }
     }
   }
 
-  /** Reports once; `start` does so at an interval. */
+  /** Sends one report for each service; `start` does so at an interval. */
   reportAll(): void {
-    const held = new Set(this.#owners?.heldDuties());
+    const ledServices = new Set(this.#ownership?.heldDuties());
     for (const [service, tracker] of this.#trackers) {
       const sender = { ...this.#options.self, service };
-      const load = tracker.report(sender, this.#now());
-      if (held.has(service)) this.#take(load);
+      const load = tracker.report(sender, this.#nowMs());
+      if (ledServices.has(service)) this.#receive(load);
       else void this.#send(load);
     }
   }
 
-  /** A lost report is made good by the next one. */
+  /** Sends without retry: the next report replaces a lost one. */
   async #send(load: contracts.ServiceLoad): Promise<void> {
-    const holder = this.#holders.get(load.service);
-    if (holder === undefined) return;
-    await this.#options.peers.link(holder)?.call(LOAD_METHOD, {
+    const leader = this.#leaders.get(load.service);
+    if (leader === undefined) return;
+    await this.#options.peers.link(leader)?.call(LOAD_METHOD, {
       params: load,
       schema: contracts.loadReceiptSchema,
       timeoutMs: REPORT_TIMEOUT_MS,
     });
   }
 
-  #take(load: contracts.ServiceLoad): contracts.LoadReceipt {
-    this.#book(load.service).note(load, this.#now());
+  #receive(load: contracts.ServiceLoad): contracts.LoadReceipt {
+    this.#reportsOf(load.service).note(load, this.#nowMs());
     return { taken: true };
   }
 
-  #tracker(service: contracts.ServiceId): placement.LoadTracker {
+  #trackerOf(service: contracts.ServiceId): placement.LoadTracker {
     const known = this.#trackers.get(service);
     if (known !== undefined) return known;
     const tracker = new placement.LoadTracker(placement.DEFAULT_LOAD_TRACKER);
@@ -151,15 +153,15 @@
     return tracker;
   }
 
-  #book(service: contracts.ServiceId): placement.LoadBook {
-    const known = this.#books.get(service);
+  #reportsOf(service: contracts.ServiceId): placement.LoadBook {
+    const known = this.#reports.get(service);
     if (known !== undefined) return known;
-    const book = new placement.LoadBook(STALE_AFTER_MS);
-    this.#books.set(service, book);
-    return book;
+    const reports = new placement.LoadBook(REPORT_TTL_MS);
+    this.#reports.set(service, reports);
+    return reports;
   }
 
-  #now(): number {
+  #nowMs(): number {
     return this.#options.clock.nowMs();
   }
 }
--- a/packages/entry/src/requests/caller_listener.ts
+++ b/packages/entry/src/requests/caller_listener.ts
@@ -1,4 +1,4 @@
-/** Accepts callers over HTTP and answers them. */
+/** HTTP listener for callers: reads requests, has them routed and answers. */
 import type * as contracts from "@guavatide/contracts";
 import * as names from "@guavatide/contracts";
 import type * as http from "node:http";
@@ -13,7 +13,7 @@
 } from "./caller_request.ts";
 import { readBody, readHead } from "./read_request.ts";
 import type { RequestSettings } from "./request_settings.ts";
-import { bareAnswer, writeAnswer } from "./write_answer.ts";
+import { rawErrorResponse, writeAnswer } from "./write_answer.ts";
 
 /** Options of {@link CallerListener}. */
 export interface CallerListenerOptions {
@@ -21,29 +21,30 @@
   readonly tls?: httpServer.ServerTls;
   readonly clock: contracts.Clock;
   readonly lifeCycle: LifeCycle;
-  /** Handles one whole request; see `RequestRouter`. */
+  /** Routes one fully read request; see `RequestRouter.route`. */
   readonly route: (request: CallerRequest) => Promise<CallerAnswer>;
 }
 
-/** Interval at which Node looks for requests that arrive too slowly. */
-const CHECK_INTERVAL_MS = 500;
-/** Interval at which a stop looks whether connections are left. */
-const LINGER_CHECK_MS = 20;
+/** Interval at which Node checks the header and request timeouts. */
+const TIMEOUT_CHECK_INTERVAL_MS = 500;
+/** Interval at which a graceful stop checks for open connections. */
+const DRAIN_POLL_INTERVAL_MS = 20;
 
-/** The listening socket for callers. */
+/** Listens for callers and limits connections, sizes and requests in flight. */
 export class CallerListener {
   readonly #options: CallerListenerOptions;
   readonly #server: http.Server;
   /**
-   * Requests handed on, by connection. What comes after one may be broken, for
-   * example by a length that was declared too short. An answer "not run" to
-   * that would be read as the first request's, which may have run.
+   * Number of requests being routed, by connection. Bytes that follow such a
+   * request may fail to parse, for example because its declared length was too
+   * short. The caller would read a "not run" answer to them as the answer to
+   * the first request, which may have run.
    */
-  readonly #routed = new WeakMap<object, number>();
-  /** Connections that were told "not run"; nothing of theirs is handed on. */
-  readonly #broken = new WeakSet<object>();
+  readonly #routedCounts = new WeakMap<object, number>();
+  /** Connections with a parse error; none of their requests is routed. */
+  readonly #brokenConnections = new WeakSet<object>();
   #inFlight = 0;
-  /** The linger of a stop is over: what still comes is refused. */
+  /** Set when the linger time of a stop is over: new requests are refused. */
   #isClosing = false;
   #onIdle: (() => void) | undefined;
 
@@ -55,25 +56,28 @@
       headersTimeout: settings.headersTimeoutMs,
       requestTimeout: settings.requestTimeoutMs,
       keepAliveTimeout: settings.keepAliveTimeoutMs,
-      connectionsCheckingInterval: CHECK_INTERVAL_MS,
+      connectionsCheckingInterval: TIMEOUT_CHECK_INTERVAL_MS,
     }, options.tls);
     this.#server.maxConnections = settings.connectionLimit;
     this.#server.on("request", (incoming, response) => {
       this.#handle(incoming, response).catch(() => response.destroy());
     });
     this.#server.on("clientError", (error, socket) => {
-      this.#broken.add(socket);
-      if ((this.#routed.get(socket) ?? 0) > 0) socket.destroy();
-      else answerBrokenRequest(error, socket as net.Socket);
+      this.#brokenConnections.add(socket);
+      if ((this.#routedCounts.get(socket) ?? 0) > 0) socket.destroy();
+      else answerParseError(error, socket as net.Socket);
     });
   }
 
-  /** Requests being read, routed or answered. */
+  /** Number of requests being read, routed or answered. */
   get inFlight(): number {
     return this.#inFlight;
   }
 
-  /** Starts to listen. Returns the port. Errors: the address is taken. */
+  /**
+   * Starts to listen and returns the port.
+   * Errors: rejects when the address is in use.
+   */
   listen(): Promise<number> {
     const { settings, lifeCycle } = this.#options;
     lifeCycle.onStop({
@@ -96,18 +100,18 @@
   ): Promise<void> {
     const arrivedMs = this.#options.clock.nowMs();
     this.#inFlight++;
-    const gone = new AbortController();
+    const callerGone = new AbortController();
     response.once("close", () => {
       this.#inFlight--;
-      if (!response.writableFinished) gone.abort();
+      if (!response.writableFinished) callerGone.abort();
       if (this.#inFlight === 0) this.#onIdle?.();
     });
     const answer = await this.#answer(incoming, {
       arrivedMs,
-      signal: gone.signal,
+      signal: callerGone.signal,
     });
-    // A body that was refused is not read to its end, so the connection can't
-    // carry another request.
+    // The rest of a refused body is not read, so the connection can't carry
+    // another request.
     const mustClose = !incoming.complete || this.#options.lifeCycle.isStopping;
     if (!response.destroyed) writeAnswer(response, answer, { mustClose });
   }
@@ -131,7 +135,7 @@
     if (head.isErr()) return head.error;
     const body = await readBody(incoming, settings.bodyLimitBytes);
     if (body.isErr()) return body.error;
-    if (this.#broken.has(incoming.socket)) {
+    if (this.#brokenConnections.has(incoming.socket)) {
       return notRun("bad-request", { message: "The connection is broken" });
     }
     return this.#route(incoming.socket, {
@@ -145,28 +149,28 @@
     socket: net.Socket,
     request: CallerRequest,
   ): Promise<CallerAnswer> {
-    this.#routed.set(socket, (this.#routed.get(socket) ?? 0) + 1);
+    this.#routedCounts.set(socket, (this.#routedCounts.get(socket) ?? 0) + 1);
     try {
       return await this.#options.route(request);
     } finally {
-      this.#routed.set(socket, this.#routed.get(socket)! - 1);
+      this.#routedCounts.set(socket, this.#routedCounts.get(socket)! - 1);
     }
   }
 
   /**
-   * Answers as usual for a while, ending each connection with its answer; then
-   * stops listening, and closes idle connections last. A connection that is
-   * closed while a request is on its way to it leaves the caller without an
-   * answer, and not knowing whether the request ran.
+   * Keeps answering for the linger time and closes each connection with its
+   * next answer; then stops listening, and closes idle connections last. If a
+   * connection is closed while a request is in transit on it, the caller gets
+   * no answer and can't know whether the request ran.
    */
   async #drain(): Promise<void> {
     const { lingerMs } = this.#options.settings;
-    await this.#lingerFor(lingerMs);
-    // Right after the loop has taken all connections that were waiting: the
-    // system resets those that wait when the port closes.
+    await this.#waitForConnections(lingerMs);
+    // Lets the event loop accept all pending connections first: the operating
+    // system resets those still in the backlog when the port closes.
     await timers.setImmediate();
     const closed = this.#stopListening();
-    await this.#lingerFor(lingerMs / 2);
+    await this.#waitForConnections(lingerMs / 2);
     this.#isClosing = true;
     this.#server.closeIdleConnections();
     if (this.#inFlight > 0) {
@@ -176,27 +180,30 @@
     }
     this.#server.closeAllConnections();
     await closed;
-    // Ends the server's own timers; the port is closed already.
+    // Stops the server's internal timers; the port is already closed.
     this.#server.close(() => {});
   }
 
-  /** Closes the port alone: the HTTP server's close ends connections too. */
+  /**
+   * Closes only the listening port; `http.Server.close` would also end idle
+   * connections.
+   */
   #stopListening(): Promise<void> {
     return new Promise((resolve) => {
       net.Server.prototype.close.call(this.#server, () => resolve());
     });
   }
 
-  /** Returns when no connection is left, or after the time. */
-  async #lingerFor(timeMs: number): Promise<void> {
+  /** Resolves when no connection is open, or after the given time. */
+  async #waitForConnections(timeMs: number): Promise<void> {
     const { clock } = this.#options;
     const endMs = clock.nowMs() + timeMs;
-    while (clock.nowMs() < endMs && await this.#connections() > 0) {
-      await timers.setTimeout(LINGER_CHECK_MS);
+    while (clock.nowMs() < endMs && await this.#countConnections() > 0) {
+      await timers.setTimeout(DRAIN_POLL_INTERVAL_MS);
     }
   }
 
-  #connections(): Promise<number> {
+  #countConnections(): Promise<number> {
     return new Promise((resolve) => {
       this.#server.getConnections((error, count) =>
         resolve(error === null ? count : 0)
@@ -205,21 +212,21 @@
   }
 }
 
-/** Status of each error that Node's parser reports, besides 400. */
-const BROKEN_REQUEST_STATUS: Readonly<Record<string, number>> = {
+/** HTTP status by error code of Node's parser; 400 for all others. */
+const PARSE_ERROR_STATUS: Readonly<Record<string, number>> = {
   ERR_HTTP_REQUEST_TIMEOUT: 408,
   HPE_HEADER_OVERFLOW: 431,
 };
 
-function answerBrokenRequest(error: Error, socket: net.Socket): void {
+function answerParseError(error: Error, socket: net.Socket): void {
   const { code } = error as NodeJS.ErrnoException;
-  const hasNoReader = code === "ECONNRESET" || !socket.writable;
-  if (hasNoReader) {
+  const isConnectionGone = code === "ECONNRESET" || !socket.writable;
+  if (isConnectionGone) {
     socket.destroy();
     return;
   }
-  const status = BROKEN_REQUEST_STATUS[code ?? ""] ?? 400;
-  socket.end(bareAnswer(status, {
+  const status = PARSE_ERROR_STATUS[code ?? ""] ?? 400;
+  socket.end(rawErrorResponse(status, {
     [names.OUTCOME_HEADER]: "not-run",
     [names.REASON_HEADER]: "bad-request",
   }));
--- a/packages/entry/src/requests/caller_request.ts
+++ b/packages/entry/src/requests/caller_request.ts
@@ -1,40 +1,40 @@
-/** A caller's request, read whole, and the answer that it gets. */
+/** A fully read request of a caller, and the answer to it. */
 import type * as contracts from "@guavatide/contracts";
 
-/** A request from a caller with its body. */
+/** A request of a caller with its body. */
 export interface CallerRequest {
   readonly service: contracts.ServiceId;
   readonly method: string;
-  /** Path and query behind the service, without a leading slash. */
-  readonly rest: string;
-  /** Headers to forward, names and values in turn. */
+  /** Path and query after the service name, without a leading slash. */
+  readonly pathAndQuery: string;
+  /** Headers to forward, as alternating names and values. */
   readonly headers: readonly string[];
   readonly body: Uint8Array | undefined;
   readonly key: string | undefined;
-  /** The caller by its own word; empty when it named none. */
+  /** Name that the caller gave itself, unauthenticated; empty when absent. */
   readonly caller: string;
-  /** Time the caller will wait; absent when it named none. */
+  /** Timeout that the caller asked for; absent when it sent none. */
   readonly timeoutMs: number | undefined;
-  /** Monotonic time at which the request's head arrived. */
+  /** Monotonic time at which the request's headers arrived. */
   readonly arrivedMs: number;
-  /** Aborted when the caller has gone. */
+  /** Aborted when the caller disconnects before its answer. */
   readonly signal: AbortSignal;
 }
 
-/** The whole answer of a server. */
+/** The complete answer of a backend server. */
 export interface ServerAnswer {
   readonly status: number;
-  /** Headers to pass on, names and values in turn. */
+  /** Headers to forward, as alternating names and values. */
   readonly headers: readonly string[];
   readonly body: Uint8Array;
   /**
-   * The answer had no length and ended with its connection, so that nobody can
-   * tell whether it is whole. It is passed on in the same way.
+   * The body had no declared length and ended when its connection closed, so
+   * truncation can't be detected. The answer is forwarded in the same way.
    */
   readonly endsWithConnection?: boolean;
 }
 
-/** What the caller is told. */
+/** The answer to a caller: every request ends in one of these outcomes. */
 export type CallerAnswer =
   | { readonly kind: "answered"; readonly answer: ServerAnswer }
   | {
@@ -42,7 +42,7 @@
     readonly reason: contracts.NotRunReason;
     readonly retryAfterMs: number;
     readonly message: string;
-    /** HTTP status, when the reason's usual one is not exact enough. */
+    /** HTTP status in place of the reason's default. */
     readonly status?: number;
   }
   | {
@@ -58,10 +58,10 @@
   readonly status?: number;
 }
 
-/** When a caller may come back if nothing better is known. */
+/** Retry delay for callers when no better estimate is known. */
 const DEFAULT_RETRY_AFTER_MS = 1000;
 
-/** Creates the answer for a request that no server ran. */
+/** Creates the answer to a request that no server ran. */
 export function notRun(
   reason: contracts.NotRunReason,
   options: NotRunOptions,
--- a/packages/entry/src/requests/dispatched_allocator.ts
+++ b/packages/entry/src/requests/dispatched_allocator.ts
@@ -1,25 +1,25 @@
 /**
- * Slots of an unkeyed service from its dispatcher, which may be another entry
- * VM. When the dispatcher is silent, or the service's policy is another, this
- * VM chooses by itself.
+ * Allocates slots of an unkeyed service through the service's dispatcher, which
+ * may run on another entry VM. While the dispatcher does not respond, or when
+ * the service has a different policy, this VM chooses servers by itself.
  */
 import type * as contracts from "@guavatide/contracts";
 import * as routing from "@guavatide/decisions/routing/mod";
 import type { ServerView } from "../contracts/views.ts";
 import type { PartLog } from "../utils/log.ts";
 import { OncePerTurn } from "../utils/once_per_turn.ts";
-import type { PeerCalls } from "./peer_calls.ts";
-import type { Slot, SlotAllocator, SlotWish } from "./slot_allocator.ts";
+import type { PeerRpc } from "./peer_calls.ts";
+import type { Slot, SlotAllocator, SlotRequest } from "./slot_allocator.ts";
 import type { SlotDispatcher } from "./slot_dispatcher.ts";
 import * as messages from "./slot_messages.ts";
 
 /** Options of {@link DispatchedAllocator}. */
 export interface DispatchedAllocatorOptions {
   readonly service: contracts.Service;
-  readonly peers: PeerCalls;
+  readonly peers: PeerRpc;
   /** This VM's own dispatcher. */
   readonly dispatcher: SlotDispatcher;
-  /** Used while the dispatcher is silent and by other policies. */
+  /** Used while the dispatcher is unresponsive, and for other policies. */
   readonly fallback: SlotAllocator;
   readonly servers: ServerView;
   readonly clock: contracts.Clock;
@@ -27,38 +27,41 @@
   readonly log: PartLog;
 }
 
-/** Time the dispatcher has to answer an update. */
+/** Timeout of an update to the dispatcher. */
 const UPDATE_TIMEOUT_MS = 250;
-/** Updates on their way at a time; more are gathered into one. */
-const UPDATES_IN_FLIGHT = 2;
-/** Interval at which a silent dispatcher is asked again. */
-const SILENT_MS = 1000;
-/** A dispatcher that said nothing for this long while requests wait is asked. */
-const ASK_AGAIN_MS = 50;
+/** Concurrent updates; later changes are batched into the next one. */
+const MAX_UPDATES_IN_FLIGHT = 2;
+/** Interval at which an unresponsive dispatcher is probed. */
+const PROBE_INTERVAL_MS = 1000;
+/**
+ * Time without a message after which the dispatcher is probed while requests
+ * wait.
+ */
+const MAX_QUIET_MS = 50;
 
 interface HeldGrant {
   readonly grant: number;
   readonly dispatcher: contracts.Incarnation;
 }
 
-/** The entry VM's side of one service's dispatcher. */
+/** Client of the dispatcher of one service. */
 export class DispatchedAllocator implements SlotAllocator {
   readonly #options: DispatchedAllocatorOptions;
-  readonly #wishes = new Map<number, SlotWish>();
-  readonly #numbers = new Map<SlotWish, number>();
-  readonly #held = new Map<Slot, HeldGrant>();
-  #wants: messages.SlotWant[] = [];
+  readonly #requests = new Map<number, SlotRequest>();
+  readonly #requestNumbers = new Map<SlotRequest, number>();
+  readonly #heldGrants = new Map<Slot, HeldGrant>();
+  #newRequests: messages.SlotRequestMessage[] = [];
   #withdrawn: number[] = [];
-  #ended: messages.SlotEnd[] = [];
+  #releases: messages.SlotRelease[] = [];
   #dispatcher: contracts.VmId | undefined;
-  #incarnation: contracts.Incarnation | undefined;
-  #isSilent = false;
-  #askAgainMs = -Infinity;
-  #heardMs = -Infinity;
+  #dispatcherIncarnation: contracts.Incarnation | undefined;
+  #isUnresponsive = false;
+  #nextProbeMs = -Infinity;
+  #lastMessageMs = -Infinity;
   #updatesInFlight = 0;
-  #nextWish = 1;
-  /** What changes in one turn of the event loop leaves together. */
-  readonly #flushing = new OncePerTurn(() => this.#flush());
+  #nextRequestNumber = 1;
+  /** Sends all changes of one event loop turn in one update. */
+  readonly #flushScheduler = new OncePerTurn(() => this.#flush());
   #service: contracts.Service;
 
   constructor(options: DispatchedAllocatorOptions) {
@@ -66,53 +69,53 @@
     this.#service = options.service;
   }
 
-  get waiting(): number {
-    return this.#wishes.size + this.#options.fallback.waiting;
+  get waitingCount(): number {
+    return this.#requests.size + this.#options.fallback.waitingCount;
   }
 
-  acquire(wish: SlotWish): void {
+  acquire(request: SlotRequest): void {
     if (this.#dispatcher === undefined) this.#chooseDispatcher();
     const nowMs = this.#options.clock.nowMs();
-    const isAlone = this.#dispatcher === undefined ||
+    const choosesLocally = this.#dispatcher === undefined ||
       this.#service.policy !== routing.DISPATCHED_POLICY ||
-      this.#isSilent;
-    if (isAlone) {
-      this.#options.fallback.acquire(wish);
+      this.#isUnresponsive;
+    if (choosesLocally) {
+      this.#options.fallback.acquire(request);
       return;
     }
-    const number = this.#nextWish++;
-    this.#wishes.set(number, wish);
-    this.#numbers.set(wish, number);
-    this.#wants.push({
+    const number = this.#nextRequestNumber++;
+    this.#requests.set(number, request);
+    this.#requestNumbers.set(request, number);
+    this.#newRequests.push({
       wish: number,
-      timeLeftMs: wish.deadlineMs - nowMs,
-      tenant: wish.tenant,
-      tried: [...wish.tried],
+      timeLeftMs: request.deadlineMs - nowMs,
+      tenant: request.tenant,
+      tried: [...request.tried],
     });
-    this.#flushing.schedule();
+    this.#flushScheduler.schedule();
   }
 
-  withdraw(wish: SlotWish): void {
-    const number = this.#forget(wish);
+  withdraw(request: SlotRequest): void {
+    const number = this.#forgetRequest(request);
     if (number === undefined) {
-      this.#options.fallback.withdraw(wish);
+      this.#options.fallback.withdraw(request);
       return;
     }
     this.#withdrawn.push(number);
-    this.#flushing.schedule();
+    this.#flushScheduler.schedule();
   }
 
-  release(slot: Slot, end: routing.AttemptEnd): void {
-    const held = this.#held.get(slot);
+  release(slot: Slot, outcome: routing.AttemptEnd): void {
+    const held = this.#heldGrants.get(slot);
     if (held === undefined) {
-      this.#options.fallback.release(slot, end);
+      this.#options.fallback.release(slot, outcome);
       return;
     }
-    this.#held.delete(slot);
-    // A dispatcher that has restarted knows nothing of the grant.
-    if (held.dispatcher !== this.#incarnation) return;
-    this.#ended.push({ grant: held.grant, end });
-    this.#flushing.schedule();
+    this.#heldGrants.delete(slot);
+    // A restarted dispatcher does not know the grant.
+    if (held.dispatcher !== this.#dispatcherIncarnation) return;
+    this.#releases.push({ grant: held.grant, end: outcome });
+    this.#flushScheduler.schedule();
   }
 
   configure(service: contracts.Service): void {
@@ -120,36 +123,36 @@
     this.#options.fallback.configure(service);
   }
 
-  hasOther(tried: ReadonlySet<contracts.ServerId>): boolean {
-    return this.#options.fallback.hasOther(tried);
+  hasUntriedServer(tried: ReadonlySet<contracts.ServerId>): boolean {
+    return this.#options.fallback.hasUntriedServer(tried);
   }
 
   refresh(): void {
     this.#options.fallback.refresh();
     this.#chooseDispatcher();
     const nowMs = this.#options.clock.nowMs();
-    const isQuiet = nowMs - this.#heardMs > ASK_AGAIN_MS;
-    // Without this a dispatcher that froze after it took a want would hold
-    // the request until its deadline.
-    const mustHear = this.#wishes.size > 0 && isQuiet;
-    // No request pays for finding out whether the dispatcher is back.
-    const mustAsk = this.#isSilent && nowMs >= this.#askAgainMs;
-    if (mustAsk) this.#askAgainMs = nowMs + SILENT_MS;
-    if (mustHear || mustAsk) this.#flushing.schedule();
+    const isQuiet = nowMs - this.#lastMessageMs > MAX_QUIET_MS;
+    // Detects a dispatcher that froze after it accepted a request, which would
+    // otherwise wait until its deadline.
+    const mustCheck = this.#requests.size > 0 && isQuiet;
+    // Probes for recovery with separate updates, so that no request waits.
+    const mustProbe = this.#isUnresponsive && nowMs >= this.#nextProbeMs;
+    if (mustProbe) this.#nextProbeMs = nowMs + PROBE_INTERVAL_MS;
+    if (mustCheck || mustProbe) this.#flushScheduler.schedule();
   }
 
-  /** Takes decisions that a dispatcher sent later. */
-  decided(decided: messages.SlotsDecided): void {
-    this.#heardMs = this.#options.clock.nowMs();
-    const isCurrent = decided.vm === this.#dispatcher;
-    if (isCurrent) this.#incarnation = decided.incarnation;
-    for (const decision of decided.decisions) {
-      const wish = this.#wishes.get(decision.wish);
+  /** Applies decisions that a dispatcher sent, in a reply or later. */
+  applyDecisions(message: messages.SlotsDecided): void {
+    this.#lastMessageMs = this.#options.clock.nowMs();
+    const isCurrent = message.vm === this.#dispatcher;
+    if (isCurrent) this.#dispatcherIncarnation = message.incarnation;
+    for (const decision of message.decisions) {
+      const request = this.#requests.get(decision.wish);
       if (decision.kind === "granted") {
-        this.#takeGrant(wish, decision, decided.incarnation);
-      } else if (wish !== undefined) {
-        this.#forget(wish);
-        wish.refused(decision.reason, {
+        this.#acceptGrant(request, decision, message.incarnation);
+      } else if (request !== undefined) {
+        this.#forgetRequest(request);
+        request.onRefused(decision.reason, {
           retryAfterMs: decision.retryAfterMs,
           message: "Too many requests wait for the service; come back later",
         });
@@ -157,34 +160,34 @@
     }
   }
 
-  #takeGrant(
-    wish: SlotWish | undefined,
+  #acceptGrant(
+    request: SlotRequest | undefined,
     decision: Extract<messages.SlotDecision, { kind: "granted" }>,
     dispatcher: contracts.Incarnation,
   ): void {
     const { grant, server } = decision;
     const address = this.#options.servers.server(server);
-    if (wish === undefined || address === undefined) {
-      this.#ended.push({ grant, end: { kind: "abandoned" } });
-      this.#flushing.schedule();
-      // A server that this VM does not know yet; another is asked for.
-      if (wish !== undefined) {
-        this.#forget(wish);
-        this.acquire(wish);
+    if (request === undefined || address === undefined) {
+      this.#releases.push({ grant, end: { kind: "abandoned" } });
+      this.#flushScheduler.schedule();
+      // This VM does not know the server yet, so it requests another slot.
+      if (request !== undefined) {
+        this.#forgetRequest(request);
+        this.acquire(request);
       }
       return;
     }
-    this.#forget(wish);
+    this.#forgetRequest(request);
     const slot: Slot = { address, sentMs: this.#options.clock.nowMs() };
-    this.#held.set(slot, { grant, dispatcher });
-    wish.granted(slot);
+    this.#heldGrants.set(slot, { grant, dispatcher });
+    request.onGranted(slot);
   }
 
-  #forget(wish: SlotWish): number | undefined {
-    const number = this.#numbers.get(wish);
+  #forgetRequest(request: SlotRequest): number | undefined {
+    const number = this.#requestNumbers.get(request);
     if (number === undefined) return undefined;
-    this.#numbers.delete(wish);
-    this.#wishes.delete(number);
+    this.#requestNumbers.delete(request);
+    this.#requests.delete(number);
     return number;
   }
 
@@ -194,25 +197,25 @@
     const members = peers.members();
     const chosen = routing.chooseByRendezvous(members, name, { hash });
     if (chosen === this.#dispatcher) return;
-    this.#options.log.info("Has a new dispatcher.", {
+    this.#options.log.info("Service has a new dispatcher.", {
       service: name,
       vm: chosen,
     });
     this.#dispatcher = chosen;
-    this.#incarnation = undefined;
-    this.#isSilent = false;
-    this.#startAnew();
+    this.#dispatcherIncarnation = undefined;
+    this.#isUnresponsive = false;
+    this.#requeueAll();
   }
 
-  /** Requests that wait at a dispatcher which is no longer asked. */
-  #startAnew(): void {
-    this.#wants = [];
+  /** Requests slots again for all that wait at the previous dispatcher. */
+  #requeueAll(): void {
+    this.#newRequests = [];
     this.#withdrawn = [];
-    this.#ended = [];
-    const wishes = [...this.#numbers.keys()];
-    this.#wishes.clear();
-    this.#numbers.clear();
-    for (const wish of wishes) this.acquire(wish);
+    this.#releases = [];
+    const requests = [...this.#requestNumbers.keys()];
+    this.#requests.clear();
+    this.#requestNumbers.clear();
+    for (const request of requests) this.acquire(request);
   }
 
   #flush(): void {
@@ -220,35 +223,35 @@
     const to = this.#dispatcher;
     if (to === undefined) return;
     if (to === peers.self.vm) {
-      this.decided(dispatcher.update(this.#drainOutbox()));
+      this.applyDecisions(dispatcher.handleUpdate(this.#takeUpdate()));
       return;
     }
-    if (this.#updatesInFlight >= UPDATES_IN_FLIGHT) return;
-    this.#send(to, this.#drainOutbox()).catch(() => {});
+    if (this.#updatesInFlight >= MAX_UPDATES_IN_FLIGHT) return;
+    this.#send(to, this.#takeUpdate()).catch(() => {});
   }
 
-  #drainOutbox(): messages.SlotsUpdate {
+  #takeUpdate(): messages.SlotsUpdate {
     const { peers } = this.#options;
     const update: messages.SlotsUpdate = {
       service: this.#service.name,
       vm: peers.self.vm,
       incarnation: peers.self.incarnation,
-      dispatcher: this.#incarnation,
-      wants: this.#wants,
+      dispatcher: this.#dispatcherIncarnation,
+      wants: this.#newRequests,
       withdrawn: this.#withdrawn,
-      ended: this.#ended,
-      held: this.#heldNumbers(),
+      ended: this.#releases,
+      held: this.#heldGrantNumbers(),
     };
-    this.#wants = [];
+    this.#newRequests = [];
     this.#withdrawn = [];
-    this.#ended = [];
+    this.#releases = [];
     return update;
   }
 
-  #heldNumbers(): number[] {
+  #heldGrantNumbers(): number[] {
     const numbers: number[] = [];
-    for (const { grant, dispatcher } of this.#held.values()) {
-      if (dispatcher === this.#incarnation) numbers.push(grant);
+    for (const { grant, dispatcher } of this.#heldGrants.values()) {
+      if (dispatcher === this.#dispatcherIncarnation) numbers.push(grant);
     }
     return numbers;
   }
@@ -267,34 +270,37 @@
     this.#updatesInFlight--;
     if (to !== this.#dispatcher) return;
     if (reply === undefined) {
-      this.#noteSilent(update);
+      this.#handleNoReply(update);
       return;
     }
-    if (this.#isSilent) this.#noteBack();
-    this.decided(reply);
-    const hasMore = this.#wants.length + this.#withdrawn.length +
-        this.#ended.length > 0;
-    if (hasMore) this.#flushing.schedule();
+    if (this.#isUnresponsive) this.#handleRecovery();
+    this.applyDecisions(reply);
+    const hasMore = this.#newRequests.length + this.#withdrawn.length +
+        this.#releases.length > 0;
+    if (hasMore) this.#flushScheduler.schedule();
   }
 
-  #noteSilent(update: messages.SlotsUpdate): void {
-    // The dispatcher drops an end that it has seen before.
-    const ended = [...update.ended, ...this.#ended];
-    this.#askAgainMs = this.#options.clock.nowMs() + SILENT_MS;
-    if (!this.#isSilent) {
-      this.#options.log.info("Dispatcher is silent; chooses alone.", {
-        service: this.#service.name,
-        vm: this.#dispatcher,
-      });
+  #handleNoReply(update: messages.SlotsUpdate): void {
+    // Sent again: the dispatcher ignores a release that it has already applied.
+    const unsent = [...update.ended, ...this.#releases];
+    this.#nextProbeMs = this.#options.clock.nowMs() + PROBE_INTERVAL_MS;
+    if (!this.#isUnresponsive) {
+      this.#options.log.info(
+        "Dispatcher is unresponsive; this VM chooses servers.",
+        {
+          service: this.#service.name,
+          vm: this.#dispatcher,
+        },
+      );
     }
-    this.#isSilent = true;
-    this.#startAnew();
-    this.#ended = ended;
+    this.#isUnresponsive = true;
+    this.#requeueAll();
+    this.#releases = unsent;
   }
 
-  #noteBack(): void {
-    this.#isSilent = false;
-    this.#options.log.info("Dispatcher is back.", {
+  #handleRecovery(): void {
+    this.#isUnresponsive = false;
+    this.#options.log.info("Dispatcher responds again.", {
       service: this.#service.name,
       vm: this.#dispatcher,
     });
--- a/packages/entry/src/requests/dispatched_slots_test.ts
+++ b/packages/entry/src/requests/dispatched_slots_test.ts
@@ -6,8 +6,8 @@
 import { createLog } from "../utils/log.ts";
 import { DispatchedAllocator } from "./dispatched_allocator.ts";
 import { waitUntil } from "./fakes_test_support.ts";
-import type { PeerCallOptions, PeerCalls } from "./peer_calls.ts";
-import type { Slot, SlotAllocator, SlotWish } from "./slot_allocator.ts";
+import type { PeerCallOptions, PeerRpc } from "./peer_calls.ts";
+import type { Slot, SlotAllocator, SlotRequest } from "./slot_allocator.ts";
 import { SlotDispatcher } from "./slot_dispatcher.ts";
 import * as messages from "./slot_messages.ts";
 
@@ -17,24 +17,24 @@
 } as contracts.Service;
 const SERVER = { server: "s0" as contracts.ServerId } as ServerAddress;
 const DISPATCHER = "vm1" as contracts.VmId;
-const ENTRY = "vm0" as contracts.VmId;
+const ENTRY_VM = "vm0" as contracts.VmId;
 
-/** Grants one slot at a time. */
-class OneSlot implements SlotAllocator {
-  readonly queue: SlotWish[] = [];
+/** Allocator with a single slot. */
+class SingleSlotAllocator implements SlotAllocator {
+  readonly queue: SlotRequest[] = [];
   isFree = true;
 
-  get waiting(): number {
+  get waitingCount(): number {
     return this.queue.length;
   }
 
-  acquire(wish: SlotWish): void {
-    this.queue.push(wish);
+  acquire(request: SlotRequest): void {
+    this.queue.push(request);
     this.refresh();
   }
 
-  withdraw(wish: SlotWish): void {
-    this.queue.splice(this.queue.indexOf(wish), 1);
+  withdraw(request: SlotRequest): void {
+    this.queue.splice(this.queue.indexOf(request), 1);
   }
 
   release(): void {
@@ -42,7 +42,7 @@
     this.refresh();
   }
 
-  hasOther(): boolean {
+  hasUntriedServer(): boolean {
     return true;
   }
 
@@ -50,23 +50,24 @@
 
   refresh(): void {
     if (!this.isFree) return;
-    const wish = this.queue.shift();
-    if (wish === undefined) return;
+    const request = this.queue.shift();
+    if (request === undefined) return;
     this.isFree = false;
-    wish.granted({ address: SERVER, sentMs: 0 });
+    request.onGranted({ address: SERVER, sentMs: 0 });
   }
 }
 
 type Handler = (params: unknown) => unknown;
 
-/** Calls between two VMs of one test, which may be lost. */
+/** In-memory calls between two VMs, which can lose replies. */
 class TestNetwork {
   readonly #handlers = new Map<string, Handler>();
-  /** Whether calls to the dispatcher are answered. */
-  losesAnswers = false;
-  isSilent = false;
+  /** Calls are handled but their replies are lost. */
+  losesReplies = false;
+  /** Calls are lost. */
+  isUnreachable = false;
 
-  peers(vm: contracts.VmId): PeerCalls {
+  peers(vm: contracts.VmId): PeerRpc {
     const register = (
       method: string,
       _schema: z.ZodType,
@@ -76,7 +77,7 @@
     };
     return {
       self: { vm, incarnation: `${vm}-run` as contracts.Incarnation },
-      members: () => [ENTRY, DISPATCHER],
+      members: () => [ENTRY_VM, DISPATCHER],
       call: (to, method, options) => this.#call(`${to} ${method}`, options),
       register,
     };
@@ -86,47 +87,47 @@
     name: string,
     options: PeerCallOptions<Schema>,
   ): Promise<z.infer<Schema> | undefined> {
-    if (this.isSilent) return Promise.resolve(undefined);
-    const answer = this.#handlers.get(name)!(options.params);
+    if (this.isUnreachable) return Promise.resolve(undefined);
+    const reply = this.#handlers.get(name)!(options.params);
     return Promise.resolve(
-      this.losesAnswers ? undefined : options.schema.parse(answer),
+      this.losesReplies ? undefined : options.schema.parse(reply),
     );
   }
 }
 
-class TestWish implements SlotWish {
+class TestSlotRequest implements SlotRequest {
   readonly tenant = "host";
   readonly deadlineMs = 10_000;
   readonly keyHash = undefined;
   readonly tried = new Set<contracts.ServerId>();
   slot: Slot | undefined;
 
-  granted(slot: Slot): void {
+  onGranted(slot: Slot): void {
     this.slot = slot;
   }
 
-  refused(): void {}
+  onRefused(): void {}
 }
 
-function createPair() {
+function createEntryAndDispatcher() {
   const network = new TestNetwork();
   const clock = { now: 0, nowMs: () => clock.now };
-  const shared = new OneSlot();
+  const shared = new SingleSlotAllocator();
   const dispatcher = new SlotDispatcher({
     peers: network.peers(DISPATCHER),
     clock,
-    onDecided: () => {},
+    onDecisions: () => {},
     createAllocator: () => shared,
   });
-  const peers = network.peers(ENTRY);
-  const fallback = new OneSlot();
+  const peers = network.peers(ENTRY_VM);
+  const fallback = new SingleSlotAllocator();
   const entry = new DispatchedAllocator({
     service: SERVICE,
     peers,
     dispatcher: new SlotDispatcher({
-      peers: network.peers(ENTRY),
+      peers: network.peers(ENTRY_VM),
       clock,
-      onDecided: () => {},
+      onDecisions: () => {},
       createAllocator: () => undefined,
     }),
     fallback,
@@ -142,18 +143,18 @@
   peers.register(
     messages.SLOTS_DECIDED_METHOD,
     messages.slotsDecidedSchema,
-    (decided) => {
-      entry.decided(decided);
+    (message) => {
+      entry.applyDecisions(message);
       return {};
     },
   );
   return { network, clock, dispatcher, shared, fallback, entry };
 }
 
-test("should pass a slot on as soon as it is free", async () => {
-  const { entry, fallback } = createPair();
-  const first = new TestWish();
-  const second = new TestWish();
+test("should grant a slot to the next request as soon as it is free", async () => {
+  const { entry, fallback } = createEntryAndDispatcher();
+  const first = new TestSlotRequest();
+  const second = new TestSlotRequest();
   entry.acquire(first);
   entry.acquire(second);
   await waitUntil(() => first.slot !== undefined);
@@ -163,34 +164,34 @@
   expect(fallback.isFree).toEqual(true);
 });
 
-test("should choose alone while the dispatcher is silent", async () => {
-  // The VM that gives out the slots of a service freezes. Hosts whose
-  // requests come in elsewhere must not wait for it until their deadline.
-  const { entry, network, clock, shared } = createPair();
-  network.isSilent = true;
-  const wish = new TestWish();
-  entry.acquire(wish);
-  await waitUntil(() => wish.slot !== undefined);
-  entry.release(wish.slot!, { kind: "answer" });
-
-  network.isSilent = false;
+test("should choose servers locally while the dispatcher is unresponsive", async () => {
+  // The dispatcher of a service freezes. Requests that arrive at other entry
+  // VMs must not wait for it until their deadline.
+  const { entry, network, clock, shared } = createEntryAndDispatcher();
+  network.isUnreachable = true;
+  const request = new TestSlotRequest();
+  entry.acquire(request);
+  await waitUntil(() => request.slot !== undefined);
+  entry.release(request.slot!, { kind: "answer" });
+
+  network.isUnreachable = false;
   clock.now = 2000;
   entry.refresh();
-  const later = new TestWish();
+  const later = new TestSlotRequest();
   await waitUntil(() => {
     entry.acquire(later);
     return !shared.isFree;
   });
 });
 
-test("should take back a slot whose grant was lost on its way", async () => {
-  // The answer that carried a grant is lost. The entry VM serves the request
-  // by itself; without a correction the slot stays empty until the deadline.
-  const { entry, network, clock, shared } = createPair();
-  network.losesAnswers = true;
-  entry.acquire(new TestWish());
+test("should revoke a slot whose grant was lost in transit", async () => {
+  // The reply that carried a grant is lost and the entry VM allocates the
+  // request locally. Unless revoked, the slot stays unused until the deadline.
+  const { entry, network, clock, shared } = createEntryAndDispatcher();
+  network.losesReplies = true;
+  entry.acquire(new TestSlotRequest());
   await waitUntil(() => !shared.isFree);
-  network.losesAnswers = false;
+  network.losesReplies = false;
   clock.now = 2000;
   await waitUntil(() => {
     clock.now += 1000;
--- a/packages/entry/src/requests/doors_test.ts
+++ b/packages/entry/src/requests/doors_test.ts
@@ -3,13 +3,13 @@
 import * as net from "node:net";
 import { test } from "node:test";
 import {
-  answerWell,
+  answerOk,
   FakeBackend,
   startEntry,
   waitUntil,
 } from "./fakes_test_support.ts";
 
-/** Sends bytes and gathers everything until the other side closes. */
+/** Sends raw bytes and reads the response until the connection is closed. */
 function exchange(url: string, bytes: string): Promise<string> {
   const { hostname, port } = new URL(url);
   const socket = net.connect(Number(port), hostname);
@@ -26,13 +26,13 @@
   });
 }
 
-interface DoorCase {
+interface BadRequestCase {
   readonly name: string;
   readonly bytes: string;
   readonly status: number;
 }
 
-const CASES: readonly DoorCase[] = [
+const CASES: readonly BadRequestCase[] = [
   { name: "malformed", bytes: "HELLO\r\n\r\n", status: 400 },
   {
     name: "with a header that is too large",
@@ -58,13 +58,13 @@
     status: 408,
   },
   {
-    name: "whose path leads out of the work of the server",
+    name: "whose path escapes from the callers' part of the server",
     bytes: "POST /s/booths/../control/ownership HTTP/1.1\r\nHost: x\r\n" +
       "Connection: close\r\n\r\n",
     status: 400,
   },
   {
-    name: "whose path does so in another spelling",
+    name: "whose path escapes with percent-encoding",
     bytes: "POST /s/booths/a%2F%2e%2E/x HTTP/1.1\r\nHost: x\r\n" +
       "Connection: close\r\n\r\n",
     status: 400,
@@ -76,7 +76,7 @@
     status: 400,
   },
   {
-    name: "for no service",
+    name: "without a service",
     bytes: "GET /other HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n",
     status: 400,
   },
@@ -96,16 +96,16 @@
       const answer = await exchange(entry.url, bytes);
       expect(answer.split(" ")[1]).toEqual(String(status));
       expect(answer.toLowerCase()).toInclude("guavatide-outcome: not-run");
-      expect(backend.ran.length).toEqual(0);
+      expect(backend.received.length).toEqual(0);
     } finally {
       await entry.lifeCycle.stop();
     }
   });
 }
 
-// The rest of a booking whose length was declared too short arrives while the
-// booking runs. Told "not run" now, the producer books the hour a second time.
-test("should not answer for a request that runs when more arrives", async () => {
+// The rest of a request whose declared length was too short arrives while the
+// request runs. An answer "not run" would make the caller send it again.
+test("should not answer not-run to extra bytes while a request runs", async () => {
   const backend = new FakeBackend(() => {});
   const entry = await startEntry([backend]);
   try {
@@ -115,7 +115,7 @@
     socket.write(
       "POST /s/booths/x HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nab",
     );
-    await waitUntil(() => backend.ran.length === 1);
+    await waitUntil(() => backend.received.length === 1);
     socket.write("REST\r\n\r\n");
     expect(await answers).toEqual("");
   } finally {
@@ -123,33 +123,35 @@
   }
 });
 
-test("should tell the server when its caller has gone", async () => {
-  // A host closes the app while a check runs. Without a word to the server
-  // the check would hold one of its few slots for nobody.
+test("should cancel a request at the server when its caller disconnects", async () => {
+  // Without a cancellation the request would occupy one of the server's few
+  // slots although nobody awaits its answer.
   const backend = new FakeBackend(() => {});
   const entry = await startEntry([backend]);
   try {
-    const gone = new AbortController();
-    const call = fetch(`${entry.url}/s/booths/x`, { signal: gone.signal });
-    await waitUntil(() => backend.ran.length === 1);
-    gone.abort();
+    const disconnect = new AbortController();
+    const call = fetch(`${entry.url}/s/booths/x`, {
+      signal: disconnect.signal,
+    });
+    await waitUntil(() => backend.received.length === 1);
+    disconnect.abort();
     await call.catch(() => {});
     await waitUntil(() => backend.cancelled.length === 1);
-    const id = backend.ran[0]!.headers[names.REQUEST_ID_HEADER] as string;
+    const id = backend.received[0]!.headers[names.REQUEST_ID_HEADER] as string;
     expect(backend.cancelled).toEqual([id]);
   } finally {
     await entry.lifeCycle.stop();
   }
 });
 
-test("should let a request in flight end when the process stops", async () => {
+test("should finish a request in flight when the process stops", async () => {
   let release = () => {};
   const backend = new FakeBackend((incoming, response) => {
-    release = () => answerWell(incoming, response);
+    release = () => answerOk(incoming, response);
   });
   const entry = await startEntry([backend]);
   const call = fetch(`${entry.url}/s/booths/x`);
-  await waitUntil(() => backend.ran.length === 1);
+  await waitUntil(() => backend.received.length === 1);
   const stopped = entry.lifeCycle.stop();
   release();
   expect((await call).status).toEqual(200);
@@ -157,10 +159,10 @@
   expect(report.failed).toEqual([]);
 });
 
-test("should answer what arrives on an open connection in a stop", async () => {
-  // A caller sends its next check on a connection that is open, just as the
-  // entry VM is told to stop. Were the connection closed at once, the caller
-  // would see it reset and not know what became of the request.
+test("should answer a request that arrives on an open connection during a stop", async () => {
+  // A caller sends its next request on an open connection just as the entry VM
+  // begins to stop. If the connection were closed at once, the caller would see
+  // a reset and not know whether the request ran.
   const entry = await startEntry([new FakeBackend()], {
     settings: { lingerMs: 5000 },
   });
@@ -178,21 +180,21 @@
   expect((await stopped).failed).toEqual([]);
 });
 
-test("should try a new connection once an old one went silent", async () => {
-  // Something between the two ends lost track of the open connections. They
-  // look open, take bytes and never bring an answer; new ones work.
-  const silent = new Set<net.Socket>();
+test("should open a new connection when existing ones are unresponsive", async () => {
+  // A middlebox has dropped the state of the open connections. They look open
+  // and accept bytes but never deliver an answer; new connections work.
+  const deadSockets = new Set<net.Socket>();
   const backend = new FakeBackend((incoming, response) => {
-    if (!silent.has(incoming.socket)) answerWell(incoming, response);
+    if (!deadSockets.has(incoming.socket)) answerOk(incoming, response);
   });
   const entry = await startEntry([backend], { service: { slotsPerServer: 4 } });
   try {
     const url = `${entry.url}/s/booths/x`;
     await Promise.all([1, 2, 3].map(() => fetch(url)));
-    for (const { socket } of backend.ran) silent.add(socket);
+    for (const { socket } of backend.received) deadSockets.add(socket);
     const headers = { [names.TIMEOUT_HEADER]: "150" };
-    const lost = await fetch(url, { method: "POST", headers });
-    expect(lost.headers.get(names.OUTCOME_HEADER)).toEqual("unknown");
+    const first = await fetch(url, { method: "POST", headers });
+    expect(first.headers.get(names.OUTCOME_HEADER)).toEqual("unknown");
     const next = await fetch(url, { method: "POST" });
     expect(next.headers.get(names.OUTCOME_HEADER)).toEqual("answered");
   } finally {
--- a/packages/entry/src/requests/fakes_test_support.ts
+++ b/packages/entry/src/requests/fakes_test_support.ts
@@ -1,4 +1,4 @@
-/** Views and a backend server in memory, for tests of the request path. */
+/** Fake views and a fake backend server for tests of the request path. */
 import type * as contracts from "@guavatide/contracts";
 import * as names from "@guavatide/contracts";
 import * as http from "node:http";
@@ -15,15 +15,16 @@
 import { LifeCycle } from "../utils/life_cycle.ts";
 import { createLog } from "../utils/log.ts";
 import { CallerListener } from "./caller_listener.ts";
-import { NO_METRICS } from "./request_metrics.ts";
+import { NOOP_METRICS } from "./request_metrics.ts";
 import { RequestRouter } from "./request_router.ts";
 import { REQUEST_DEFAULTS, type RequestSettings } from "./request_settings.ts";
 
-/** A backend server whose behaviour a test sets. */
+/** A backend server that answers with a handler of the test. */
 export class FakeBackend {
   readonly server: http.Server;
-  /** Requests for work that arrived, in order. */
-  readonly ran: http.IncomingMessage[] = [];
+  /** Requests of callers in order of arrival, without control requests. */
+  readonly received: http.IncomingMessage[] = [];
+  /** Ids of cancelled requests. */
   readonly cancelled: string[] = [];
   address!: ServerAddress;
 
@@ -31,7 +32,7 @@
     answer: (
       incoming: http.IncomingMessage,
       response: http.ServerResponse,
-    ) => void = answerWell,
+    ) => void = answerOk,
   ) {
     this.server = http.createServer((incoming, response) => {
       if (incoming.url!.startsWith("/control/requests/")) {
@@ -43,7 +44,7 @@
         response.end("{}");
         return;
       }
-      this.ran.push(incoming);
+      this.received.push(incoming);
       answer(incoming, response);
     });
   }
@@ -63,8 +64,8 @@
   }
 }
 
-/** Echoes the request's id and says hello. */
-export function answerWell(
+/** Answers 200 with the request's id and the body "hello". */
+export function answerOk(
   incoming: http.IncomingMessage,
   response: http.ServerResponse,
 ): void {
@@ -77,7 +78,7 @@
   response.end("hello");
 }
 
-/** Echoes the request's id and refuses. */
+/** Creates a handler that refuses requests with the given reason. */
 export function answerRefusal(refusal: contracts.ServerRefusal) {
   return (
     incoming: http.IncomingMessage,
@@ -85,7 +86,7 @@
   ): void => {
     response.statusCode = 503;
     response.setHeader(names.NOT_RUN_HEADER, refusal);
-    answerWell(incoming, response);
+    answerOk(incoming, response);
   };
 }
 
@@ -97,7 +98,7 @@
   readonly owners?: OwnerView;
 }
 
-/** One entry VM's request path over fakes. */
+/** Request path of one entry VM with fake views. */
 export interface TestEntry {
   readonly url: string;
   readonly lifeCycle: LifeCycle;
@@ -106,7 +107,7 @@
 
 export const TEST_SERVICE = "booths" as contracts.ServiceId;
 
-/** Starts a listener and a router over the given backend servers. */
+/** Starts a listener and a router for the given backend servers. */
 export async function startEntry(
   backends: readonly FakeBackend[],
   options: StartEntryOptions = {},
@@ -175,16 +176,16 @@
     config,
     servers,
     owners,
-    links: new ServerLinks(SERVER_LINKS_DEFAULTS, lifeCycle),
+    connectionPools: new ServerLinks(SERVER_LINKS_DEFAULTS, lifeCycle),
     hashKey: (key) => key.length,
     entryVmCount: () => 9,
     clock,
     random: new SystemRandom(),
     log: createLog({ format: "text", level: "silent" }),
     lifeCycle,
-    metrics: NO_METRICS,
-    longestTimeoutMs: settings.longestTimeoutMs,
-    unfencedRunMs: 400,
+    metrics: NOOP_METRICS,
+    maxTimeoutMs: settings.maxTimeoutMs,
+    unfencedTimeoutMs: 400,
   });
   const listener = new CallerListener({
     settings,
@@ -196,14 +197,16 @@
   return { url: `http://127.0.0.1:${port}`, lifeCycle, addresses };
 }
 
-/** Waits for a condition. Errors: rejects after the deadline. */
+/** Polls a condition. Errors: rejects after the timeout. */
 export async function waitUntil(
   condition: () => boolean,
   timeoutMs = 5000,
 ): Promise<void> {
   const endMs = performance.now() + timeoutMs;
   while (!condition()) {
-    if (performance.now() > endMs) throw new Error("The wait ran out of time");
+    if (performance.now() > endMs) {
+      throw new Error("The condition was not met before the timeout");
+    }
     await new Promise((resolve) => setTimeout(resolve, 2));
   }
 }
--- a/packages/entry/src/requests/keyed_allocator.ts
+++ b/packages/entry/src/requests/keyed_allocator.ts
@@ -1,216 +1,228 @@
 /**
- * Slots of a keyed service: a request goes to the owner of its key and to
- * nobody else. While the key's slice is between two owners, it waits.
+ * Allocates slots of a keyed service: a request is sent only to the owner of
+ * its key. It waits while the key's slice is handed over between two owners.
  */
 import type * as contracts from "@guavatide/contracts";
 import type * as routing from "@guavatide/decisions/routing/mod";
 import type { OwnerLookup, OwnerView } from "../contracts/views.ts";
-import { Lane } from "./lane.ts";
-import { ServerWatch, type ServerWatchOptions } from "./server_watch.ts";
-import type { Slot, SlotAllocator, SlotWish } from "./slot_allocator.ts";
+import { RequestQueue } from "./lane.ts";
+import { ServerMonitor, type ServerMonitorOptions } from "./server_watch.ts";
+import type { Slot, SlotAllocator, SlotRequest } from "./slot_allocator.ts";
 
 /** Options of {@link KeyedAllocator}. */
-export interface KeyedAllocatorOptions extends ServerWatchOptions {
+export interface KeyedAllocatorOptions extends ServerMonitorOptions {
   readonly owners: OwnerView;
 }
 
 /**
- * Time before an owner that lets a key go, or has not yet got it, is asked
- * again at the same revision.
+ * Delay before requests are sent again, at the same revision, to an owner that
+ * is giving up the slice or has not taken it over yet.
  */
-const MOVE_PAUSE_MS = 50;
+const REFUSAL_RETRY_DELAY_MS = 50;
 
 interface SliceRefusal {
   readonly revision: number;
-  readonly untilMs: number;
+  readonly retryAtMs: number;
 }
 
-type Owned = Extract<OwnerLookup, { kind: "owned" }>;
+type OwnedSlice = Extract<OwnerLookup, { kind: "owned" }>;
 
-/** Queues of one entry VM for the owners of one service's keys. */
+/** Queues requests of one keyed service by the owner of their keys. */
 export class KeyedAllocator implements SlotAllocator {
   readonly #options: KeyedAllocatorOptions;
-  readonly #lanes = new Map<contracts.ServerId, Lane>();
-  /** Requests whose slice has no owner at present. */
-  readonly #ownerless = new Lane();
-  readonly #watch: ServerWatch;
+  readonly #queues = new Map<contracts.ServerId, RequestQueue>();
+  /** Requests whose slice has no owner that serves it at present. */
+  readonly #ownerlessQueue = new RequestQueue();
+  readonly #monitor: ServerMonitor;
   #service: contracts.Service;
-  /** Slices whose owner does not serve them, with the revision and the time. */
+  /** Slices whose owner refused a request, with the revision and retry time. */
   readonly #refusals = new Map<contracts.SliceId, SliceRefusal>();
-  #wakeUp: NodeJS.Timeout | undefined;
+  #retryTimer: NodeJS.Timeout | undefined;
 
   constructor(options: KeyedAllocatorOptions) {
     this.#options = options;
     this.#service = options.service;
-    this.#watch = new ServerWatch(options, () => this.#pumpAll());
+    this.#monitor = new ServerMonitor(options, () => this.#serveAllQueues());
   }
 
-  get waiting(): number {
-    let count = this.#ownerless.size;
-    for (const lane of this.#lanes.values()) count += lane.size;
+  get waitingCount(): number {
+    let count = this.#ownerlessQueue.size;
+    for (const queue of this.#queues.values()) count += queue.size;
     return count;
   }
 
-  acquire(wish: SlotWish): void {
-    const lane = this.#enqueue(wish);
-    if (lane === undefined) return;
-    this.#pump(lane);
-    lane.shorten(this.#service.queueRequests);
+  acquire(request: SlotRequest): void {
+    const queue = this.#enqueue(request);
+    if (queue === undefined) return;
+    this.#serveQueue(queue);
+    queue.evictExcess(this.#service.queueRequests);
   }
 
-  withdraw(wish: SlotWish): void {
-    if (this.#ownerless.remove(wish)) return;
-    for (const lane of this.#lanes.values()) {
-      if (lane.remove(wish)) return;
+  withdraw(request: SlotRequest): void {
+    if (this.#ownerlessQueue.remove(request)) return;
+    for (const queue of this.#queues.values()) {
+      if (queue.remove(request)) return;
     }
   }
 
-  release(slot: Slot, end: routing.AttemptEnd): void {
+  release(slot: Slot, outcome: routing.AttemptEnd): void {
     const nowMs = this.#options.clock.nowMs();
-    const lane = this.#lanes.get(slot.address.server);
-    if (end.kind === "answer") {
-      lane?.noteAnswered(nowMs - slot.sentMs, nowMs);
+    const queue = this.#queues.get(slot.address.server);
+    if (outcome.kind === "answer") {
+      queue?.recordAnswer(nowMs - slot.sentMs, nowMs);
     }
-    this.#watch.release(slot, end);
-    if (end.kind === "refusal") this.#noteRefusal(slot, end.refusal);
-    if (lane !== undefined) this.#pump(lane);
+    this.#monitor.releaseSlot(slot, outcome);
+    if (outcome.kind === "refusal") this.#handleRefusal(slot, outcome.refusal);
+    if (queue !== undefined) this.#serveQueue(queue);
   }
 
   configure(service: contracts.Service): void {
     this.#service = service;
-    this.#watch.configure(service);
+    this.#monitor.configure(service);
   }
 
-  /** The owner of a key stays the only choice, also after a failure. */
-  hasOther(): boolean {
+  /** Always true: only the owner can serve a key, even after it failed. */
+  hasUntriedServer(): boolean {
     return true;
   }
 
-  /** Looks up every waiting request's owner again. */
+  /** Looks up the owner of every waiting request again. */
   refresh(): void {
-    this.#watch.refresh();
-    const wishes = this.#ownerless.drain();
-    for (const lane of this.#lanes.values()) wishes.push(...lane.drain());
-    for (const wish of wishes) this.#enqueue(wish);
-    for (const [server, lane] of this.#lanes) {
-      this.#pump(lane);
-      const isGone = this.#options.servers.server(server) === undefined;
-      if (isGone && lane.size === 0) this.#lanes.delete(server);
+    this.#monitor.refresh();
+    const requests = this.#ownerlessQueue.drain();
+    for (const queue of this.#queues.values()) requests.push(...queue.drain());
+    for (const request of requests) this.#enqueue(request);
+    for (const [server, queue] of this.#queues) {
+      this.#serveQueue(queue);
+      const isRemoved = this.#options.servers.server(server) === undefined;
+      if (isRemoved && queue.size === 0) this.#queues.delete(server);
     }
-    this.#forgetRefusals();
+    this.#expireRefusals();
   }
 
-  /** The requests of the slice wait for a newer revision, or a while. */
-  #noteRefusal(slot: Slot, refusal: contracts.ServerRefusal): void {
-    const isLeaving = refusal === "draining";
-    if (refusal !== "not-owner" && !isLeaving) return;
-    this.#park(slot.ownership!);
-    if (isLeaving) return;
+  /** Holds requests of the slice until a newer revision or the retry time. */
+  #handleRefusal(slot: Slot, refusal: contracts.ServerRefusal): void {
+    const isDraining = refusal === "draining";
+    if (refusal !== "not-owner" && !isDraining) return;
+    this.#blockSlice(slot.ownership!);
+    if (isDraining) return;
     const { revision } = slot.ownership!;
     this.#options.owners.noteNotOwner(this.#service.name, revision);
   }
 
-  #park(slice: NonNullable<Slot["ownership"]>): void {
-    const untilMs = this.#options.clock.nowMs() + MOVE_PAUSE_MS;
-    this.#refusals.set(slice.slice, { revision: slice.revision, untilMs });
+  #blockSlice(slice: NonNullable<Slot["ownership"]>): void {
+    const retryAtMs = this.#options.clock.nowMs() + REFUSAL_RETRY_DELAY_MS;
+    this.#refusals.set(slice.slice, {
+      revision: slice.revision,
+      retryAtMs,
+    });
   }
 
   /**
-   * Whether the right to forward is there at present. It is asked again right
-   * before the bytes leave; asked only there, a request without it would go
-   * round and round and open a connection each time.
+   * Whether this VM may forward requests to the owner now. The check is
+   * repeated right before the bytes are sent; checked only there, a request
+   * that may not be forwarded would be retried in a loop and open a connection
+   * each time.
    */
-  #mayForward(owner: Owned): boolean {
+  #mayForward(owner: OwnedSlice): boolean {
     const { server, slice, fence } = owner;
     const { owners } = this.#options;
     return owners.mayForward(this.#service.name, server, slice, fence);
   }
 
-  #forgetRefusals(): void {
+  #expireRefusals(): void {
     const nowMs = this.#options.clock.nowMs();
     for (const [slice, refusal] of this.#refusals) {
-      if (refusal.untilMs < nowMs) this.#refusals.delete(slice);
+      if (refusal.retryAtMs < nowMs) this.#refusals.delete(slice);
     }
   }
 
-  /** Puts a request where it has to wait; nothing when it was refused. */
-  #enqueue(wish: SlotWish): Lane | undefined {
-    const owner = this.#owner(wish);
+  /** Queues a request and returns its queue; undefined when it was refused. */
+  #enqueue(request: SlotRequest): RequestQueue | undefined {
+    const owner = this.#lookUpOwner(request);
     if (owner.kind === "none") {
-      wish.refused("no-owner", { message: "No server owns the key yet" });
+      request.onRefused("no-owner", { message: "No server owns the key yet" });
       return undefined;
     }
-    const isOpen = owner.kind === "owned" && this.#mayAsk(owner);
-    const lane = isOpen ? this.#lane(owner.server) : this.#ownerless;
-    lane.push(wish);
-    return lane;
+    const canQueueAtOwner = owner.kind === "owned" && this.#isSliceOpen(owner);
+    const queue = canQueueAtOwner
+      ? this.#queueOf(owner.server)
+      : this.#ownerlessQueue;
+    queue.push(request);
+    return queue;
   }
 
-  #lane(server: contracts.ServerId): Lane {
-    const found = this.#lanes.get(server);
+  #queueOf(server: contracts.ServerId): RequestQueue {
+    const found = this.#queues.get(server);
     if (found !== undefined) return found;
-    const lane = new Lane();
-    this.#lanes.set(server, lane);
-    return lane;
+    const queue = new RequestQueue();
+    this.#queues.set(server, queue);
+    return queue;
   }
 
-  #pump(lane: Lane): void {
-    if (lane === this.#ownerless) return;
-    let wish = lane.peek();
-    while (wish !== undefined && this.#serve(lane, wish)) wish = lane.peek();
+  #serveQueue(queue: RequestQueue): void {
+    if (queue === this.#ownerlessQueue) return;
+    let request = queue.peek();
+    while (request !== undefined && this.#serveNext(queue, request)) {
+      request = queue.peek();
+    }
   }
 
-  /** Grants or moves the request; false when it has to wait. */
-  #serve(lane: Lane, wish: SlotWish): boolean {
-    const owner = this.#owner(wish);
-    if (owner.kind !== "owned" || this.#lane(owner.server) !== lane) {
-      lane.shift();
-      this.#enqueue(wish);
+  /** Grants or requeues the request; false when it has to wait. */
+  #serveNext(queue: RequestQueue, request: SlotRequest): boolean {
+    const owner = this.#lookUpOwner(request);
+    if (owner.kind !== "owned" || this.#queueOf(owner.server) !== queue) {
+      queue.shift();
+      this.#enqueue(request);
       return true;
     }
     const address = this.#options.servers.server(owner.server);
     if (address === undefined) return false;
     if (!this.#mayForward(owner)) {
-      lane.shift();
-      this.#park(owner);
-      this.#enqueue(wish);
+      queue.shift();
+      this.#blockSlice(owner);
+      this.#enqueue(request);
       return true;
     }
-    const [candidate] = this.#watch.candidates([owner.server]);
+    const [candidate] = this.#monitor.candidates([owner.server]);
     if (candidate === undefined) return false;
-    lane.shift();
+    queue.shift();
     const { slice, fence, revision } = owner;
-    wish.granted(this.#watch.take(address, { slice, fence, revision }));
+    request.onGranted(
+      this.#monitor.acquireSlot(address, { slice, fence, revision }),
+    );
     return true;
   }
 
-  /** Whether the owner is worth asking after it refused as not owner. */
-  #mayAsk(owner: Owned): boolean {
+  /** Whether requests of the slice may be sent to its owner after a refusal. */
+  #isSliceOpen(owner: OwnedSlice): boolean {
     const refusal = this.#refusals.get(owner.slice);
     if (refusal === undefined) return true;
-    const leftMs = refusal.untilMs - this.#options.clock.nowMs();
-    if (owner.revision <= refusal.revision && leftMs > 0) {
-      this.#wakeIn(leftMs);
+    const waitMs = refusal.retryAtMs - this.#options.clock.nowMs();
+    if (owner.revision <= refusal.revision && waitMs > 0) {
+      this.#scheduleRetry(waitMs);
       return false;
     }
     this.#refusals.delete(owner.slice);
     return true;
   }
 
-  #wakeIn(waitMs: number): void {
-    this.#wakeUp ??= setTimeout(() => {
-      this.#wakeUp = undefined;
-      for (const wish of this.#ownerless.drain()) this.#enqueue(wish);
-      this.#pumpAll();
+  #scheduleRetry(waitMs: number): void {
+    this.#retryTimer ??= setTimeout(() => {
+      this.#retryTimer = undefined;
+      for (const request of this.#ownerlessQueue.drain()) {
+        this.#enqueue(request);
+      }
+      this.#serveAllQueues();
     }, Math.ceil(waitMs));
   }
 
-  #pumpAll(): void {
-    for (const lane of this.#lanes.values()) this.#pump(lane);
+  #serveAllQueues(): void {
+    for (const queue of this.#queues.values()) this.#serveQueue(queue);
   }
 
-  #owner(wish: SlotWish): OwnerLookup {
+  #lookUpOwner(request: SlotRequest): OwnerLookup {
     const { owners } = this.#options;
-    return owners.lookup(this.#service.name, wish.keyHash!);
+    return owners.lookup(this.#service.name, request.keyHash!);
   }
 }
--- a/packages/entry/src/requests/lane.ts
+++ b/packages/entry/src/requests/lane.ts
@@ -1,54 +1,57 @@
-/** A bounded queue of requests that wait for slots. */
+/** Queue of requests that wait for slots, with an adaptive length limit. */
 import * as routing from "@guavatide/decisions/routing/mod";
-import type { SlotWish } from "./slot_allocator.ts";
+import type { SlotRequest } from "./slot_allocator.ts";
 
-/** Waiting requests, with refusals for those that find no room. */
-export class Lane {
-  readonly #queue = new routing.FairQueue<SlotWish>();
-  readonly #limit = new routing.QueueLimit();
+/** Waiting requests; those beyond the limit are evicted and refused. */
+export class RequestQueue {
+  readonly #queue = new routing.FairQueue<SlotRequest>();
+  readonly #queueLimit = new routing.QueueLimit();
 
   get size(): number {
     return this.#queue.size;
   }
 
-  push(wish: SlotWish): void {
-    this.#queue.push(wish);
+  push(request: SlotRequest): void {
+    this.#queue.push(request);
   }
 
-  peek(): SlotWish | undefined {
+  peek(): SlotRequest | undefined {
     return this.#queue.peek();
   }
 
-  shift(): SlotWish | undefined {
+  shift(): SlotRequest | undefined {
     return this.#queue.shift();
   }
 
-  remove(wish: SlotWish): boolean {
-    return this.#queue.remove(wish);
+  remove(request: SlotRequest): boolean {
+    return this.#queue.remove(request);
   }
 
-  /** Takes out everything. */
-  drain(): SlotWish[] {
-    const wishes = [...this.#queue.items()];
-    for (const wish of wishes) this.#queue.remove(wish);
-    return wishes;
+  /** Removes and returns all requests. */
+  drain(): SlotRequest[] {
+    const requests = [...this.#queue.items()];
+    for (const request of requests) this.#queue.remove(request);
+    return requests;
   }
 
-  /** A request from this queue was answered after this time. */
-  noteAnswered(attemptMs: number, nowMs: number): void {
+  /**
+   * Records the duration of an answered attempt, from which the limit is
+   * computed.
+   */
+  recordAnswer(attemptMs: number, nowMs: number): void {
     const isWaiting = this.#queue.size > 0;
-    this.#limit.noteAnswered(attemptMs, { nowMs, isWaiting });
+    this.#queueLimit.noteAnswered(attemptMs, { nowMs, isWaiting });
   }
 
   /**
-   * Refuses requests until no more wait than can be served in a useful time,
-   * and at most `mostRequests`.
+   * Refuses requests with `queue-full` until no more wait than the servers can
+   * drain in an acceptable time, and no more than `maxRequests`.
    */
-  shorten(mostRequests: number): void {
-    const limit = this.#limit.limit(mostRequests);
+  evictExcess(maxRequests: number): void {
+    const limit = this.#queueLimit.limit(maxRequests);
     while (this.#queue.size > limit) {
-      this.#queue.displace()!.refused("queue-full", {
-        retryAfterMs: this.#limit.drainMs(limit),
+      this.#queue.displace()!.onRefused("queue-full", {
+        retryAfterMs: this.#queueLimit.drainMs(limit),
         message: "Too many requests wait for the service; come back later",
       });
     }
--- a/packages/entry/src/requests/local_allocator.ts
+++ b/packages/entry/src/requests/local_allocator.ts
@@ -1,97 +1,105 @@
-/** Slots of an unkeyed service by what this entry VM knows alone. */
+/** Allocates slots of an unkeyed service by local state of this entry VM. */
 import type * as contracts from "@guavatide/contracts";
 import * as routing from "@guavatide/decisions/routing/mod";
-import { Lane } from "./lane.ts";
-import { ServerWatch, type ServerWatchOptions } from "./server_watch.ts";
-import type { Slot, SlotAllocator, SlotWish } from "./slot_allocator.ts";
+import { RequestQueue } from "./lane.ts";
+import { ServerMonitor, type ServerMonitorOptions } from "./server_watch.ts";
+import type { Slot, SlotAllocator, SlotRequest } from "./slot_allocator.ts";
 
 /** Options of {@link LocalAllocator}. */
-export interface LocalAllocatorOptions extends ServerWatchOptions {
-  /** Policy for choosing servers, in place of the service's own. */
+export interface LocalAllocatorOptions extends ServerMonitorOptions {
+  /** Load balancing policy that overrides the service's own. */
   readonly policy?: string;
   readonly random: contracts.RandomSource;
 }
 
-/** Queue and choice of one entry VM for one service. */
+/** Queue and load balancer of one entry VM for one service. */
 export class LocalAllocator implements SlotAllocator {
   readonly #options: LocalAllocatorOptions;
-  readonly #lane = new Lane();
-  readonly #watch: ServerWatch;
+  readonly #queue = new RequestQueue();
+  readonly #monitor: ServerMonitor;
   #service: contracts.Service;
-  #choice: routing.ServerChoice;
+  #balancer: routing.ServerChoice;
 
   constructor(options: LocalAllocatorOptions) {
     this.#options = options;
     this.#service = options.service;
-    this.#choice = this.#createChoice();
-    this.#watch = new ServerWatch(options, () => this.#pump());
+    this.#balancer = this.#createBalancer();
+    this.#monitor = new ServerMonitor(options, () => this.#serveQueue());
   }
 
-  get waiting(): number {
-    return this.#lane.size;
+  get waitingCount(): number {
+    return this.#queue.size;
   }
 
-  acquire(wish: SlotWish): void {
-    this.#lane.push(wish);
-    this.#pump();
-    // Only now: a request that found a server at once takes no place.
-    this.#lane.shorten(this.#service.queueRequests);
+  acquire(request: SlotRequest): void {
+    this.#queue.push(request);
+    this.#serveQueue();
+    // Evicts last: a request that is granted at once does not count as queued.
+    this.#queue.evictExcess(this.#service.queueRequests);
   }
 
-  withdraw(wish: SlotWish): void {
-    this.#lane.remove(wish);
+  withdraw(request: SlotRequest): void {
+    this.#queue.remove(request);
   }
 
-  release(slot: Slot, end: routing.AttemptEnd): void {
+  release(slot: Slot, outcome: routing.AttemptEnd): void {
     const nowMs = this.#options.clock.nowMs();
-    if (end.kind === "answer") {
-      this.#lane.noteAnswered(nowMs - slot.sentMs, nowMs);
+    if (outcome.kind === "answer") {
+      this.#queue.recordAnswer(nowMs - slot.sentMs, nowMs);
     }
-    this.#watch.release(slot, end);
-    this.#pump();
+    this.#monitor.releaseSlot(slot, outcome);
+    this.#serveQueue();
   }
 
   configure(service: contracts.Service): void {
-    const isOtherPolicy = service.policy !== this.#service.policy;
+    const hasPolicyChanged = service.policy !== this.#service.policy;
     this.#service = service;
-    if (isOtherPolicy) this.#choice = this.#createChoice();
-    this.#watch.configure(service);
+    if (hasPolicyChanged) this.#balancer = this.#createBalancer();
+    this.#monitor.configure(service);
   }
 
-  hasOther(tried: ReadonlySet<contracts.ServerId>): boolean {
-    return this.#watch.live().some((address) => !tried.has(address.server));
+  hasUntriedServer(tried: ReadonlySet<contracts.ServerId>): boolean {
+    return this.#monitor.liveServers().some((address) =>
+      !tried.has(address.server)
+    );
   }
 
   refresh(): void {
-    this.#watch.refresh();
-    this.#pump();
+    this.#monitor.refresh();
+    this.#serveQueue();
   }
 
-  #createChoice(): routing.ServerChoice {
+  #createBalancer(): routing.ServerChoice {
     const policy = this.#options.policy ?? this.#service.policy;
     return routing.createServerChoice(policy);
   }
 
-  #pump(): void {
-    let wish = this.#lane.peek();
-    while (wish !== undefined && this.#serve(wish)) wish = this.#lane.peek();
+  #serveQueue(): void {
+    let request = this.#queue.peek();
+    while (request !== undefined && this.#serveNext(request)) {
+      request = this.#queue.peek();
+    }
   }
 
-  /** Grants or refuses the request; false when it has to wait. */
-  #serve(wish: SlotWish): boolean {
-    const live = this.#watch.live().filter((it) => !wish.tried.has(it.server));
-    if (live.length === 0) {
-      this.#lane.shift();
-      wish.refused("no-server", { message: "No other live server is known" });
+  /** Grants or refuses the next request; false when it has to wait. */
+  #serveNext(request: SlotRequest): boolean {
+    const liveServers = this.#monitor.liveServers().filter((it) =>
+      !request.tried.has(it.server)
+    );
+    if (liveServers.length === 0) {
+      this.#queue.shift();
+      request.onRefused("no-server", {
+        message: "No other live server is known",
+      });
       return true;
     }
-    const ids = live.map((address) => address.server);
-    const candidates = this.#watch.candidates(ids);
-    const chosen = this.#choice.choose(candidates, this.#options.random);
+    const ids = liveServers.map((address) => address.server);
+    const candidates = this.#monitor.candidates(ids);
+    const chosen = this.#balancer.choose(candidates, this.#options.random);
     if (chosen === undefined) return false;
-    this.#lane.shift();
-    const address = live.find((it) => it.server === chosen.server)!;
-    wish.granted(this.#watch.take(address));
+    this.#queue.shift();
+    const address = liveServers.find((it) => it.server === chosen.server)!;
+    request.onGranted(this.#monitor.acquireSlot(address));
     return true;
   }
 }
--- a/packages/entry/src/requests/mod.ts
+++ b/packages/entry/src/requests/mod.ts
@@ -1,4 +1,4 @@
-/** The request path of an entry VM: listener, router, allocators. */
+/** The request path of an entry VM: listener, router and slot allocators. */
 export * from "./caller_listener.ts";
 export * from "./caller_request.ts";
 export * from "./request_metrics.ts";
--- a/packages/entry/src/requests/request_metrics.ts
+++ b/packages/entry/src/requests/request_metrics.ts
@@ -1,39 +1,39 @@
-/** What the request path tells the metrics. */
+/** Events that the request path reports to the metrics. */
 import type * as contracts from "@guavatide/contracts";
 
-/** One finished request. */
+/** A finished request. */
 export interface FinishedRequest {
   readonly service: contracts.ServiceId;
   readonly outcome: contracts.Outcome["kind"];
-  /** Why it was not run or is unknown; absent when answered. */
+  /** Reason for the outcome "not-run" or "unknown"; undefined when answered. */
   readonly reason: string | undefined;
   readonly durationMs: number;
-  /** Time spent waiting for a server, in milliseconds. */
+  /** Time spent waiting for slots, in milliseconds. */
   readonly queuedMs: number;
   readonly attempts: number;
 }
 
-/** A keyed request that a server has answered. */
-export interface KeyedWork {
+/** Measurement of a keyed request that a server has answered. */
+export interface KeyedRequestSample {
   readonly service: contracts.ServiceId;
   readonly server: contracts.ServerId;
   readonly keyHash: number;
   readonly workMs: number;
-  /** The server had a slot free, so `workMs` holds no time in its queue. */
-  readonly foundSlotFree: boolean;
+  /** The server had a free slot, so `workMs` includes no queueing there. */
+  readonly hadFreeSlot: boolean;
 }
 
-/** Receives events of the request path; implementations must be quick. */
+/** Receives events of the request path. Called inline: must not block. */
 export interface RequestMetrics {
   finished(request: FinishedRequest): void;
   retried(service: contracts.ServiceId): void;
   ejected(service: contracts.ServiceId, server: contracts.ServerId): void;
-  /** A keyed request was answered; feeds the planner's load figures. */
-  keyedWork(work: KeyedWork): void;
+  /** A keyed request was answered; input of the planner's load estimates. */
+  keyedWork(work: KeyedRequestSample): void;
 }
 
-/** Metrics that go nowhere. */
-export const NO_METRICS: RequestMetrics = {
+/** Discards all events. */
+export const NOOP_METRICS: RequestMetrics = {
   finished() {},
   retried() {},
   ejected() {},
--- a/packages/entry/src/requests/request_path_test.ts
+++ b/packages/entry/src/requests/request_path_test.ts
@@ -2,13 +2,13 @@
 import { expect } from "earl";
 import { test } from "node:test";
 import {
+  answerOk,
   answerRefusal,
-  answerWell,
   FakeBackend,
   startEntry,
 } from "./fakes_test_support.ts";
 
-test("should bring back the whole answer of a server", async () => {
+test("should return the complete answer of a server", async () => {
   const backend = new FakeBackend();
   const entry = await startEntry([backend]);
   try {
@@ -19,20 +19,20 @@
     expect(answer.status).toEqual(200);
     expect(answer.headers.get(names.OUTCOME_HEADER)).toEqual("answered");
     expect(await answer.text()).toEqual("hello");
-    expect(backend.ran[0]!.url).toEqual("/serve/slots?day=1");
-    expect(backend.ran[0]!.method).toEqual("POST");
+    expect(backend.received[0]!.url).toEqual("/serve/slots?day=1");
+    expect(backend.received[0]!.method).toEqual("POST");
   } finally {
     await entry.lifeCycle.stop();
   }
 });
 
-test("should send what one server refused to another", async () => {
-  // A server sheds a booking. It proves that it did not run it, so the
-  // booking may go to another server; the host notices nothing.
+test("should retry at another server what one refused", async () => {
+  // The refusal proves that the server did not run the request, so it can be
+  // retried at another server, invisibly to the caller.
   const entry = await startEntry([
     new FakeBackend(answerRefusal("busy")),
     new FakeBackend(answerRefusal("draining")),
-    new FakeBackend(answerWell),
+    new FakeBackend(answerOk),
   ]);
   try {
     for (let count = 0; count < 6; count++) {
@@ -52,7 +52,7 @@
 
 const BAD_ANSWERS: readonly BadAnswerCase[] = [
   {
-    name: "bears another request's id",
+    name: "carries another request's id",
     answer: (_incoming, response) => {
       response.setHeader(names.REQUEST_ID_HEADER, "other");
       response.end("crossed");
@@ -60,7 +60,7 @@
     reason: "bad-answer",
   },
   {
-    name: "breaks off within its body",
+    name: "ends within its body",
     answer: (incoming, response) => {
       response.setHeader("content-length", "100");
       response.setHeader(
@@ -84,16 +84,16 @@
     reason: "bad-answer",
   },
   {
-    name: "never comes",
+    name: "never arrives",
     answer: () => {},
     reason: "timeout-after-send",
   },
 ];
 
 for (const { name, answer, reason } of BAD_ANSWERS) {
-  test(`should say unknown when an answer ${name}`, async () => {
-    // The booking left us and nothing trustworthy came back. The producer
-    // must not be told that it did not run, and it must not run twice.
+  test(`should report unknown when an answer ${name}`, async () => {
+    // The request was sent and no valid answer came back. The caller must not
+    // get "not run", and the request must not run twice.
     const backends = [new FakeBackend(answer), new FakeBackend(answer)];
     const entry = await startEntry(backends);
     try {
@@ -103,7 +103,7 @@
       });
       expect(response.headers.get(names.OUTCOME_HEADER)).toEqual("unknown");
       expect(response.headers.get(names.REASON_HEADER)).toEqual(reason);
-      const runs = backends[0]!.ran.length + backends[1]!.ran.length;
+      const runs = backends[0]!.received.length + backends[1]!.received.length;
       expect(runs).toEqual(1);
     } finally {
       await entry.lifeCycle.stop();
@@ -111,8 +111,8 @@
   });
 }
 
-test("should say not-run when no connection can be made", async () => {
-  // The server's port is closed, so no byte of the booking can have left.
+test("should report not-run when no connection can be made", async () => {
+  // The server's port is closed, so no byte of the request can have arrived.
   const backend = new FakeBackend();
   const entry = await startEntry([backend]);
   try {
--- a/packages/entry/src/requests/request_router.ts
+++ b/packages/entry/src/requests/request_router.ts
@@ -1,4 +1,4 @@
-/** Routes callers' requests: limits, deadline, service, slot, answer. */
+/** Routes callers' requests: checks limits and deadline, then starts them. */
 import type * as contracts from "@guavatide/contracts";
 import * as routing from "@guavatide/decisions/routing/mod";
 import type {
@@ -18,10 +18,10 @@
 import { DispatchedAllocator } from "./dispatched_allocator.ts";
 import { KeyedAllocator } from "./keyed_allocator.ts";
 import { LocalAllocator } from "./local_allocator.ts";
-import type { PeerCalls } from "./peer_calls.ts";
+import type { PeerRpc } from "./peer_calls.ts";
 import type { RequestMetrics } from "./request_metrics.ts";
-import { RequestRun } from "./request_run.ts";
-import type { ServiceParts } from "./service_parts.ts";
+import { ActiveRequest } from "./request_run.ts";
+import type { RequestContext } from "./service_parts.ts";
 import type { SlotAllocator } from "./slot_allocator.ts";
 import { SlotDispatcher } from "./slot_dispatcher.ts";
 import * as messages from "./slot_messages.ts";
@@ -31,48 +31,51 @@
   readonly config: ConfigView;
   readonly servers: ServerView;
   readonly owners: OwnerView;
-  readonly links: ServerLinks;
+  readonly connectionPools: ServerLinks;
   /** Hash of a key's text, at least 0 and below `HASH_SPACE`. */
   readonly hashKey: (key: string) => number;
-  /** Entry VMs that share the connections of a server. */
+  /** Number of entry VMs that share the connections to a server. */
   readonly entryVmCount: () => number;
   readonly clock: contracts.Clock;
   readonly random: contracts.RandomSource;
   readonly log: Log;
   readonly lifeCycle: LifeCycle;
   readonly metrics: RequestMetrics;
-  readonly longestTimeoutMs: number;
-  /** Time within which a server that checks no fences must end a request. */
-  readonly unfencedRunMs: number;
-  /** Links to other entry VMs; without them each VM chooses alone. */
-  readonly peers?: PeerCalls;
+  readonly maxTimeoutMs: number;
+  /**
+   * Time from sending within which a server that does not check fencing tokens
+   * must finish a request, in milliseconds. After it the server refuses it.
+   */
+  readonly unfencedTimeoutMs: number;
+  /** Calls to other entry VMs; without them each VM chooses servers alone. */
+  readonly peers?: PeerRpc;
 }
 
-/** Interval at which silence is looked for and probes are sent. */
+/** Interval at which unresponsive servers are detected and probes sent. */
 const REFRESH_INTERVAL_MS = 50;
-/** Time a request of unknown fate stays counted as forwarded. */
-const UNKNOWN_HOLD_MS = 10_000;
+/** Time that a request with an unknown outcome stays counted as forwarded. */
+const UNKNOWN_OUTCOME_HOLD_MS = 10_000;
 /**
- * Requests that a dispatcher gives to a server beyond its slots. They bridge
- * the time from the end of one request until the next arrives; a server that
- * refuses them as busy makes the board lower its limit.
+ * Requests that a dispatcher sends to a server beyond its slots. They fill the
+ * gap between the end of one request and the arrival of the next. When a server
+ * refuses them as busy, the limit for this server is lowered.
  */
-const BRIDGING_REQUESTS = 2;
-/** Links kept free of requests, for probes and cancellations. */
-const SPARE_LINKS = 1;
+const PIPELINED_REQUESTS = 2;
+/** Connections per server reserved for probes and cancellations. */
+const RESERVED_CONNECTIONS = 1;
 
-interface ServiceEntry {
+interface ServiceRoute {
   readonly service: contracts.Service;
-  readonly parts: ServiceParts;
+  readonly context: RequestContext;
   readonly stop: () => void;
 }
 
-/** The request path of one entry VM. */
+/** Request path of one entry VM. */
 export class RequestRouter {
   readonly #options: RequestRouterOptions;
   readonly #log: PartLog;
   readonly #limits = new routing.CallerLimits();
-  readonly #services = new Map<contracts.ServiceId, ServiceEntry>();
+  readonly #services = new Map<contracts.ServiceId, ServiceRoute>();
   readonly #dispatcher: SlotDispatcher | undefined;
   readonly #idPrefix: string;
   #nextId = 0;
@@ -80,18 +83,18 @@
   constructor(options: RequestRouterOptions) {
     this.#options = options;
     this.#log = options.log.part("route");
-    const drawn = Math.floor(options.random.next() * 2 ** 48);
-    this.#idPrefix = drawn.toString(36);
+    const randomPrefix = Math.floor(options.random.next() * 2 ** 48);
+    this.#idPrefix = randomPrefix.toString(36);
     this.#dispatcher = this.#createDispatcher(options.peers);
     options.lifeCycle.every(REFRESH_INTERVAL_MS, () => this.#refresh());
   }
 
-  /** Routes one request. Resolves by its deadline at the latest. */
+  /** Routes one request. Resolves at the latest by its deadline. */
   route(request: CallerRequest): Promise<CallerAnswer> {
     const { config, clock } = this.#options;
     const service = config.service(request.service);
-    // A caller that is told "unknown service" mends its path; there is nothing
-    // to mend while this VM has no configuration yet.
+    // "unknown-service" means that the caller must correct its path, which
+    // can't be known while this VM has no configuration yet.
     if (service === undefined && config.revision === 0) {
       return this.#refuse(request, "no-server", {
         message: "No configuration is in force here yet; come back later",
@@ -108,11 +111,11 @@
         message: "The service is keyed; send the key in guavatide-key",
       });
     }
-    const limited = this.#checkLimits(service, request);
-    if (limited !== undefined) return limited;
+    const refusal = this.#checkLimits(service, request);
+    if (refusal !== undefined) return refusal;
     const timeoutMs = Math.min(
       request.timeoutMs ?? service.timeoutMs,
-      this.#options.longestTimeoutMs,
+      this.#options.maxTimeoutMs,
     );
     const deadlineMs = request.arrivedMs + timeoutMs;
     if (deadlineMs <= clock.nowMs()) {
@@ -120,8 +123,8 @@
         message: "The request took longer to arrive than its deadline",
       });
     }
-    return new RequestRun({
-      parts: this.#service(service).parts,
+    return new ActiveRequest({
+      context: this.#serviceRoute(service).context,
       request,
       tenant: request.caller,
       keyHash: service.keyed ? this.#options.hashKey(request.key!) : undefined,
@@ -162,62 +165,63 @@
     return Promise.resolve(notRun(reason, options));
   }
 
-  #service(service: contracts.Service): ServiceEntry {
-    const found = this.#services.get(service.name);
-    // The configuration hands out the same object until a revision changes.
-    if (found?.service === service) return found;
-    const isSameKind = found?.service.keyed === service.keyed;
-    const allocator = found !== undefined && isSameKind
-      ? found.parts.allocator
+  #serviceRoute(service: contracts.Service): ServiceRoute {
+    const current = this.#services.get(service.name);
+    // The configuration returns the same object until a revision changes it.
+    if (current?.service === service) return current;
+    const isSameKind = current?.service.keyed === service.keyed;
+    const allocator = current !== undefined && isSameKind
+      ? current.context.allocator
       : this.#createAllocator(service);
-    found?.stop();
+    current?.stop();
     allocator.configure(service);
     this.#dispatcher?.configure(service);
-    const entry = this.#createEntry(service, allocator);
-    this.#services.set(service.name, entry);
-    return entry;
+    const route = this.#createRoute(service, allocator);
+    this.#services.set(service.name, route);
+    return route;
   }
 
-  #createEntry(
+  #createRoute(
     service: contracts.Service,
     allocator: SlotAllocator,
-  ): ServiceEntry {
-    const { owners, clock, links, metrics, servers } = this.#options;
+  ): ServiceRoute {
+    const { owners, clock, connectionPools, metrics, servers } = this.#options;
     const stop = owners.onChange(service.name, () => allocator.refresh());
-    const parts: ServiceParts = {
+    const context: RequestContext = {
       service,
       policy: service.keyed
         ? "owner"
         : service.policy ?? routing.DEFAULT_POLICY,
       allocator,
-      budget: new routing.RetryBudget(),
+      retryBudget: new routing.RetryBudget(),
       owners,
       clock,
       log: this.#log,
       metrics,
-      unknownHoldMs: UNKNOWN_HOLD_MS,
-      unfencedRunMs: this.#options.unfencedRunMs,
-      pool: (address) => links.pool(address, this.#linkLimit(service)),
-      cancel: (address, id) => links.cancel(address, id),
+      unknownOutcomeHoldMs: UNKNOWN_OUTCOME_HOLD_MS,
+      unfencedTimeoutMs: this.#options.unfencedTimeoutMs,
+      connectionPool: (address) =>
+        connectionPools.pool(address, this.#connectionLimit(service)),
+      cancel: (address, id) => connectionPools.cancel(address, id),
       noteDraining: (server) => servers.noteDraining(server),
-      nextRequestId: () => this.#drawRequestId(),
+      nextRequestId: () => this.#nextRequestId(),
     };
-    return { service, parts, stop };
+    return { service, context, stop };
   }
 
   #createAllocator(service: contracts.Service): SlotAllocator {
     if (service.keyed) {
       return new KeyedAllocator({
-        ...this.#common(service),
-        extraRequests: 0,
-        // Nobody else can serve the key, so ejecting its owner helps no one.
+        ...this.#monitorOptions(service),
+        extraRequestsPerServer: 0,
+        // No other server can serve the key, so ejecting its owner is useless.
         mayEject: false,
       });
     }
     const { peers, servers, clock, hashKey } = this.#options;
     const local = new LocalAllocator({
-      ...this.#common(service),
-      extraRequests: 0,
+      ...this.#monitorOptions(service),
+      extraRequestsPerServer: 0,
     });
     if (peers === undefined) return local;
     return new DispatchedAllocator({
@@ -232,74 +236,79 @@
     });
   }
 
-  /** What all allocators need. */
-  #common(service: contracts.Service) {
-    const { metrics, links } = this.#options;
+  /** Options that all allocators share. */
+  #monitorOptions(service: contracts.Service) {
+    const { metrics, connectionPools } = this.#options;
     return {
       ...this.#options,
       service,
       log: this.#log,
       mayEject: true,
-      linkLimit: () => this.#linkLimit(service),
+      connectionLimit: () => this.#connectionLimit(service),
       onEjected: (server: contracts.ServerId) =>
         metrics.ejected(service.name, server),
-      probe: (address: ServerAddress) => links.probe(address),
+      probe: (address: ServerAddress) => connectionPools.probe(address),
     };
   }
 
-  #createDispatcher(peers: PeerCalls | undefined): SlotDispatcher | undefined {
+  #createDispatcher(peers: PeerRpc | undefined): SlotDispatcher | undefined {
     if (peers === undefined) return undefined;
     peers.register(
       messages.SLOTS_DECIDED_METHOD,
       messages.slotsDecidedSchema,
-      (decided) => this.#noteDecided(decided),
+      (message) => this.#applyDecisions(message),
     );
     return new SlotDispatcher({
       peers,
       clock: this.#options.clock,
-      onDecided: (decided) => this.#noteDecided(decided),
-      createAllocator: (id) => this.#createDispatchedSide(id),
+      onDecisions: (message) => this.#applyDecisions(message),
+      createAllocator: (id) => this.#createDispatcherAllocator(id),
     });
   }
 
-  /** The queue and the choice of a service that this VM dispatches. */
-  #createDispatchedSide(id: contracts.ServiceId): SlotAllocator | undefined {
+  /** Creates the allocator of a service for which this VM is the dispatcher. */
+  #createDispatcherAllocator(
+    id: contracts.ServiceId,
+  ): SlotAllocator | undefined {
     const service = this.#options.config.service(id);
     if (service === undefined) return undefined;
     return new LocalAllocator({
-      ...this.#common(service),
-      // The dispatcher's own count is every VM's; its links play no part.
-      linkLimit: () => Infinity,
+      ...this.#monitorOptions(service),
+      // The dispatcher counts the requests of all VMs, so the connections of
+      // this VM are no limit.
+      connectionLimit: () => Infinity,
       policy: "least-outstanding",
-      extraRequests: BRIDGING_REQUESTS,
+      extraRequestsPerServer: PIPELINED_REQUESTS,
     });
   }
 
-  #noteDecided(decided: messages.SlotsDecided): object {
-    const allocator = this.#services.get(decided.service)?.parts.allocator;
-    if (allocator instanceof DispatchedAllocator) allocator.decided(decided);
+  #applyDecisions(message: messages.SlotsDecided): object {
+    const allocator = this.#services.get(message.service)?.context.allocator;
+    if (allocator instanceof DispatchedAllocator) {
+      allocator.applyDecisions(message);
+    }
     return {};
   }
 
-  /** This VM's share of a server's connections. */
-  #linkLimit(service: contracts.Service): number {
+  /** This VM's share of the connections to a server, less the reserved ones. */
+  #connectionLimit(service: contracts.Service): number {
     const share = service.connectionsPerServer / this.#options.entryVmCount();
-    return Math.max(1, Math.floor(share) - SPARE_LINKS);
+    return Math.max(1, Math.floor(share) - RESERVED_CONNECTIONS);
   }
 
-  #drawRequestId(): contracts.RequestId {
+  #nextRequestId(): contracts.RequestId {
     this.#nextId++;
     return `${this.#idPrefix}-${this.#nextId}` as contracts.RequestId;
   }
 
   #refresh(): void {
     const known = new Set<contracts.ServerId>();
-    for (const entry of this.#services.values()) {
-      entry.parts.allocator.refresh();
-      const servers = this.#options.servers.servers(entry.service.name);
+    for (const route of this.#services.values()) {
+      route.context.allocator.refresh();
+      const servers = this.#options.servers.servers(route.service.name);
       for (const address of servers) known.add(address.server);
     }
     this.#dispatcher?.refresh();
-    this.#options.links.keepOnly(known);
+    this.#options.connectionPools.keepOnly(known);
   }
 }
--- a/packages/entry/src/requests/request_run.ts
+++ b/packages/entry/src/requests/request_run.ts
@@ -1,4 +1,4 @@
-/** One request on its way: waiting, attempts, and its single final answer. */
+/** State of one routed request: waiting, attempts and the final answer. */
 import type * as contracts from "@guavatide/contracts";
 import * as names from "@guavatide/contracts";
 import * as routing from "@guavatide/decisions/routing/mod";
@@ -9,65 +9,65 @@
   type CallerRequest,
   notRun,
 } from "./caller_request.ts";
-import type { ServiceParts } from "./service_parts.ts";
-import type { Slot, SlotWish } from "./slot_allocator.ts";
+import type { RequestContext } from "./service_parts.ts";
+import type { Slot, SlotRequest } from "./slot_allocator.ts";
 
-/** Options of {@link RequestRun}. */
-export interface RequestRunOptions {
-  readonly parts: ServiceParts;
+/** Options of {@link ActiveRequest}. */
+export interface ActiveRequestOptions {
+  readonly context: RequestContext;
   readonly request: CallerRequest;
   readonly tenant: string;
   readonly keyHash: number | undefined;
   readonly deadlineMs: number;
 }
 
-/** Path on the backend server under which work is asked for. */
-const WORK_PATH = "/serve/";
+/** Path prefix on backend servers for requests of callers. */
+const SERVE_PATH = "/serve/";
 
-/** A request from its admission to its answer. */
-export class RequestRun implements SlotWish {
+/** A request in progress, from its admission to its answer. */
+export class ActiveRequest implements SlotRequest {
   readonly tenant: string;
   readonly deadlineMs: number;
   readonly keyHash: number | undefined;
   readonly tried = new Set<contracts.ServerId>();
-  readonly #parts: ServiceParts;
+  readonly #context: RequestContext;
   readonly #request: CallerRequest;
   readonly #startMs: number;
   #attempts = 0;
   #queuedMs = 0;
   #waitingSinceMs: number;
   #isWaiting = false;
-  /** An attempt's unknown end, while another attempt is waited for. */
-  #earlier: LinkResult | undefined;
+  /** Result of an earlier attempt, if unknown, while a retry is pending. */
+  #earlierResult: LinkResult | undefined;
   #timer: NodeJS.Timeout | undefined;
   #resolve: ((answer: CallerAnswer) => void) | undefined;
 
-  constructor(options: RequestRunOptions) {
+  constructor(options: ActiveRequestOptions) {
     this.tenant = options.tenant;
     this.deadlineMs = options.deadlineMs;
     this.keyHash = options.keyHash;
-    this.#parts = options.parts;
+    this.#context = options.context;
     this.#request = options.request;
-    this.#startMs = options.parts.clock.nowMs();
+    this.#startMs = options.context.clock.nowMs();
     this.#waitingSinceMs = this.#startMs;
   }
 
-  /** Runs the request. Resolves once, by the deadline at the latest. */
+  /** Runs the request. Resolves at the latest by the deadline. */
   run(): Promise<CallerAnswer> {
     return new Promise((resolve) => {
       this.#resolve = resolve;
       this.#request.signal.addEventListener("abort", this.#onCallerGone);
-      this.#parts.budget.noteRequest();
+      this.#context.retryBudget.noteRequest();
       this.#wait();
     });
   }
 
-  /** A server was found: makes an attempt there. */
-  granted(slot: Slot): void {
+  /** Makes an attempt at the server of the granted slot. */
+  onGranted(slot: Slot): void {
     this.#stopWaiting();
     this.#attempts++;
     this.#attempt(slot).catch((error) => {
-      this.#parts.log.error("Attempt failed.", { error: String(error) });
+      this.#context.log.error("Attempt failed.", { error: String(error) });
       this.#finish({
         kind: "unknown",
         reason: "connection-lost",
@@ -76,16 +76,16 @@
     });
   }
 
-  /** No server can be had. */
-  refused(
+  /** Ends the request because no slot can be allocated. */
+  onRefused(
     reason: contracts.NotRunReason,
     options: { readonly retryAfterMs?: number; readonly message: string },
   ): void {
     this.#stopWaiting();
-    // Without this an earlier attempt that may have run would be told as
-    // "not run" because a later one found no server.
-    if (this.#earlier?.kind === "unknown") {
-      const { reason: unknownReason, message } = this.#earlier;
+    // An earlier attempt may have run, so the outcome stays "unknown" although
+    // the retry found no server.
+    if (this.#earlierResult?.kind === "unknown") {
+      const { reason: unknownReason, message } = this.#earlierResult;
       this.#finish({ kind: "unknown", reason: unknownReason, message });
       return;
     }
@@ -93,105 +93,110 @@
   }
 
   #wait(): void {
-    const nowMs = this.#parts.clock.nowMs();
+    const nowMs = this.#context.clock.nowMs();
     this.#isWaiting = true;
     this.#waitingSinceMs = nowMs;
     this.#timer = setTimeout(
       () => this.#onDeadline(),
       Math.max(0, this.deadlineMs - nowMs),
     );
-    this.#parts.allocator.acquire(this);
+    this.#context.allocator.acquire(this);
   }
 
   #stopWaiting(): void {
     clearTimeout(this.#timer);
     if (this.#isWaiting) {
-      this.#queuedMs += this.#parts.clock.nowMs() - this.#waitingSinceMs;
+      this.#queuedMs += this.#context.clock.nowMs() - this.#waitingSinceMs;
     }
     this.#isWaiting = false;
   }
 
   #onDeadline(): void {
-    this.#parts.allocator.withdraw(this);
-    this.refused("deadline-before-send", {
+    this.#context.allocator.withdraw(this);
+    this.onRefused("deadline-before-send", {
       message: "The deadline passed before a server was free",
     });
   }
 
   readonly #onCallerGone = (): void => {
     if (!this.#isWaiting) return;
-    this.#parts.allocator.withdraw(this);
-    this.refused("deadline-before-send", { message: "The caller has gone" });
+    this.#context.allocator.withdraw(this);
+    this.onRefused("deadline-before-send", { message: "The caller has gone" });
   };
 
   async #attempt(slot: Slot): Promise<void> {
-    const parts = this.#parts;
-    const id = parts.nextRequestId();
+    const context = this.#context;
+    const id = context.nextRequestId();
     const { server } = slot.address;
-    parts.log.debug("Sends.", {
-      service: parts.service.name,
+    context.log.debug("Sends the request.", {
+      service: context.service.name,
       server,
       id,
       keyHash: this.keyHash,
       revision: slot.ownership?.revision,
-      reason: slot.ownership === undefined ? parts.policy : "owner",
+      reason: slot.ownership === undefined ? context.policy : "owner",
     });
-    const sentAtMs = parts.clock.nowMs();
-    const pool = parts.pool(slot.address);
-    const forwarded = { mark: undefined as { done(): void } | undefined };
+    const sentAtMs = context.clock.nowMs();
+    const pool = context.connectionPool(slot.address);
+    const forwarded = { handle: undefined as { done(): void } | undefined };
     const result = await pool.send(
-      this.#linkRequest(slot, id, { forwarded, serverClock: pool.serverClock }),
+      this.#createAttemptRequest(slot, id, {
+        forwarded,
+        serverClock: pool.serverClock,
+      }),
       {
         timeoutMs: this.#attemptTimeoutMs(),
         signal: this.#request.signal,
       },
     );
-    this.#noteForwardEnd(forwarded.mark, result);
+    this.#endForwarded(forwarded.handle, result);
     const isAbandoned = result.kind === "unknown" &&
       result.reason !== "bad-answer";
-    if (isAbandoned) parts.cancel(slot.address, id);
-    parts.allocator.release(slot, this.#endOf(result));
-    this.#noteWork(server, result, parts.clock.nowMs() - sentAtMs);
+    if (isAbandoned) context.cancel(slot.address, id);
+    context.allocator.release(slot, this.#outcomeOf(result));
+    this.#recordKeyedSample(server, result, context.clock.nowMs() - sentAtMs);
     this.#conclude(slot, result);
   }
 
-  #noteWork(
+  #recordKeyedSample(
     server: contracts.ServerId,
     result: LinkResult,
     workMs: number,
   ): void {
     if (this.keyHash === undefined || result.kind !== "answer") return;
-    const { name, slotsPerServer } = this.#parts.service;
-    this.#parts.metrics.keyedWork({
+    const { name, slotsPerServer } = this.#context.service;
+    this.#context.metrics.keyedWork({
       service: name,
       server,
       keyHash: this.keyHash,
       workMs,
-      foundSlotFree: (result.inFlight ?? Infinity) < slotsPerServer,
+      hadFreeSlot: (result.inFlight ?? Infinity) < slotsPerServer,
     });
   }
 
   /**
-   * An idempotent request that hangs may be answered by another server, so
-   * its first attempts leave time for one more.
+   * Timeout of the next attempt, in milliseconds. The first attempt of an
+   * idempotent request gets half of the time left, so that a request that hangs
+   * can be retried at another server.
    */
   #attemptTimeoutMs(): number {
-    const leftMs = this.deadlineMs - this.#parts.clock.nowMs();
-    const mayRepeat = this.#isIdempotent() && this.keyHash === undefined &&
+    const leftMs = this.deadlineMs - this.#context.clock.nowMs();
+    const leavesTimeForRetry = this.#isIdempotent() &&
+      this.keyHash === undefined &&
       this.#attempts === 1 &&
-      this.#parts.allocator.hasOther(new Set(this.tried));
-    return Math.max(1, mayRepeat ? leftMs / 2 : leftMs);
+      this.#context.allocator.hasUntriedServer(new Set(this.tried));
+    return Math.max(1, leavesTimeForRetry ? leftMs / 2 : leftMs);
   }
 
-  #linkRequest(
+  #createAttemptRequest(
     slot: Slot,
     id: contracts.RequestId,
     { forwarded, serverClock }: {
-      readonly forwarded: { mark: { done(): void } | undefined };
+      readonly forwarded: { handle: { done(): void } | undefined };
       readonly serverClock: ServerClock;
     },
   ): LinkRequest {
-    const { owners, service, clock } = this.#parts;
+    const { owners, service, clock } = this.#context;
     const { ownership } = slot;
     const { server } = slot.address;
     const leftMs = Math.max(1, Math.floor(this.deadlineMs - clock.nowMs()));
@@ -204,64 +209,65 @@
     if (ownership !== undefined) {
       headers.push(names.SLICE_HEADER, ownership.slice);
       headers.push(names.FENCE_HEADER, String(ownership.fence));
-      const deadline = this.#boundedDeadline(server, serverClock);
+      const deadline = this.#unfencedDeadline(server, serverClock);
       if (deadline !== undefined) {
         headers.push(names.DEADLINE_STAMP_HEADER, deadline);
       }
     }
-    const mayLeave = () => {
+    const maySend = () => {
       if (clock.nowMs() >= this.deadlineMs) return false;
       if (ownership === undefined) return true;
       const { slice, fence } = ownership;
       if (!owners.mayForward(service.name, server, slice, fence)) return false;
-      forwarded.mark = owners.noteForwarded(service.name, server, slice);
+      forwarded.handle = owners.noteForwarded(service.name, server, slice);
       return true;
     };
-    const { method, rest, body } = this.#request;
+    const { method, pathAndQuery, body } = this.#request;
     return {
       id,
       method,
-      path: WORK_PATH + rest,
+      path: SERVE_PATH + pathAndQuery,
       headers,
       body,
-      mayLeave,
+      mayLeave: maySend,
       noteStamp: (text) => serverClock.note(text),
     };
   }
 
   /**
-   * A server that checks no fences may be frozen with this request in its
-   * buffers and wake when the key has another owner. A mover waits for as
-   * long as this bound says; after it the server refuses the request.
+   * Deadline on the clock of a server that does not check fencing tokens. Such
+   * a server may freeze with the request in its buffers and resume after the
+   * key has moved to another owner. The server refuses the request after this
+   * deadline, and a handover waits that long.
    */
-  #boundedDeadline(
+  #unfencedDeadline(
     server: contracts.ServerId,
     serverClock: ServerClock,
   ): string | undefined {
-    const { owners, service, clock, unfencedRunMs } = this.#parts;
+    const { owners, service, clock, unfencedTimeoutMs } = this.#context;
     if (owners.checksFences(service.name, server)) return undefined;
-    const boundMs = clock.nowMs() + unfencedRunMs;
-    return serverClock.deadlineText(Math.min(this.deadlineMs, boundMs));
+    const latestEndMs = clock.nowMs() + unfencedTimeoutMs;
+    return serverClock.deadlineText(Math.min(this.deadlineMs, latestEndMs));
   }
 
   /**
-   * A request whose fate is unknown may still run at the server, so it stays
-   * counted as in flight for a while; a mover that asks would otherwise give
-   * the key to another server while this one still works on it.
+   * Stops counting a request as forwarded. One with an unknown outcome may
+   * still run at the server, so it stays counted for a while; otherwise a
+   * handover could give the key to another server while it runs.
    */
-  #noteForwardEnd(
-    mark: { done(): void } | undefined,
+  #endForwarded(
+    handle: { done(): void } | undefined,
     result: LinkResult,
   ): void {
-    if (mark === undefined) return;
+    if (handle === undefined) return;
     if (result.kind !== "unknown") {
-      mark.done();
+      handle.done();
       return;
     }
-    setTimeout(() => mark.done(), this.#parts.unknownHoldMs).unref();
+    setTimeout(() => handle.done(), this.#context.unknownOutcomeHoldMs).unref();
   }
 
-  #endOf(result: LinkResult): routing.AttemptEnd {
+  #outcomeOf(result: LinkResult): routing.AttemptEnd {
     switch (result.kind) {
       case "answer":
         return { kind: "answer", inFlight: result.inFlight };
@@ -291,19 +297,21 @@
     }
     const { server } = slot.address;
     const isBusy = result.kind === "refusal" && result.refusal === "busy";
-    // A key has one owner, and a full server may be free a moment later.
-    const mayAskAgain = this.keyHash !== undefined || isBusy;
-    if (!mayAskAgain) this.tried.add(server);
+    // A key has only one owner, and a busy server may soon have a free slot.
+    const mayRetrySameServer = this.keyHash !== undefined || isBusy;
+    if (!mayRetrySameServer) this.tried.add(server);
     if (result.kind === "refusal" && result.refusal === "draining") {
-      this.#parts.noteDraining(server);
+      this.#context.noteDraining(server);
     }
-    if (result.kind === "unknown") this.#earlier = result;
+    if (result.kind === "unknown") this.#earlierResult = result;
     const failure = failureOf(result);
     const decision = this.#decide(failure);
-    this.#parts.log.info(
-      decision.kind === "retry" ? "Tries again." : "Gives up.",
+    this.#context.log.info(
+      decision.kind === "retry"
+        ? "Retries the request."
+        : "Gives up the request.",
       {
-        service: this.#parts.service.name,
+        service: this.#context.service.name,
         server,
         reason: failure.reason,
         refusal: failure.kind === "not-run" ? failure.refusal : undefined,
@@ -311,7 +319,7 @@
       },
     );
     if (decision.kind === "retry") {
-      this.#parts.metrics.retried(this.#parts.service.name);
+      this.#context.metrics.retried(this.#context.service.name);
       this.#wait();
       return;
     }
@@ -324,9 +332,9 @@
       isIdempotent: this.#isIdempotent(),
       isKeyed: this.keyHash !== undefined,
       attempts: this.#attempts,
-      hasOtherServer: this.#parts.allocator.hasOther(this.tried),
-      timeLeftMs: this.deadlineMs - this.#parts.clock.nowMs(),
-      budget: this.#parts.budget,
+      hasOtherServer: this.#context.allocator.hasUntriedServer(this.tried),
+      timeLeftMs: this.deadlineMs - this.#context.clock.nowMs(),
+      budget: this.#context.retryBudget,
     });
   }
 
@@ -335,14 +343,16 @@
       ? result.message
       : "The server refused the request";
     if (failure.kind === "not-run") {
-      this.refused(failure.reason, { message });
+      this.onRefused(failure.reason, { message });
       return;
     }
     this.#finish({ kind: "unknown", reason: failure.reason, message });
   }
 
   #isIdempotent(): boolean {
-    return this.#parts.service.idempotentMethods.includes(this.#request.method);
+    return this.#context.service.idempotentMethods.includes(
+      this.#request.method,
+    );
   }
 
   #finish(answer: CallerAnswer): void {
@@ -350,11 +360,11 @@
     if (resolve === undefined) return;
     this.#resolve = undefined;
     this.#request.signal.removeEventListener("abort", this.#onCallerGone);
-    this.#parts.metrics.finished({
-      service: this.#parts.service.name,
+    this.#context.metrics.finished({
+      service: this.#context.service.name,
       outcome: answer.kind,
       reason: answer.kind === "answered" ? undefined : answer.reason,
-      durationMs: this.#parts.clock.nowMs() - this.#startMs,
+      durationMs: this.#context.clock.nowMs() - this.#startMs,
       queuedMs: this.#queuedMs,
       attempts: this.#attempts,
     });
--- a/packages/entry/src/requests/request_settings.ts
+++ b/packages/entry/src/requests/request_settings.ts
@@ -1,26 +1,28 @@
-/** Settings of the request path with their defaults. */
+/** Settings of the request path and their defaults. */
 
-/** Limits and times of the request path. */
+/** Limits and timeouts of the request path. */
 export interface RequestSettings {
   readonly host: string;
-  /** 0 lets the system choose. */
+  /** 0 lets the operating system choose a free port. */
   readonly port: number;
+  /** Maximum number of open connections of callers. */
   readonly connectionLimit: number;
+  /** Requests beyond this number are refused with `queue-full`. */
   readonly inFlightLimit: number;
   readonly headerLimitBytes: number;
   readonly bodyLimitBytes: number;
   readonly headersTimeoutMs: number;
-  /** Time for a whole request to arrive. */
+  /** Time within which a complete request must arrive. */
   readonly requestTimeoutMs: number;
   readonly keepAliveTimeoutMs: number;
-  /** Longest time that a caller may ask us to wait. */
-  readonly longestTimeoutMs: number;
+  /** Upper bound of the timeout of a request. */
+  readonly maxTimeoutMs: number;
   /**
-   * Time after the start of a stop during which connections are still served,
-   * and closed with their next answer.
+   * Time after the start of a graceful stop during which requests are still
+   * served; each connection is closed with its next answer.
    */
   readonly lingerMs: number;
-  /** Time that a graceful stop waits for requests in flight. */
+  /** Time a graceful stop waits for requests in flight, `lingerMs` included. */
   readonly drainTimeoutMs: number;
 }
 
@@ -35,7 +37,7 @@
   headersTimeoutMs: 5000,
   requestTimeoutMs: 10_000,
   keepAliveTimeoutMs: 30_000,
-  longestTimeoutMs: 60_000,
+  maxTimeoutMs: 60_000,
   lingerMs: 1000,
   drainTimeoutMs: 15_000,
 };
--- a/packages/entry/src/requests/server_watch.ts
+++ b/packages/entry/src/requests/server_watch.ts
@@ -1,6 +1,6 @@
 /**
- * Watches the servers of one service for one allocator: what is in flight,
- * which are out of use, and the probes that bring them back.
+ * Monitors the servers of one service for one allocator: requests in flight,
+ * outlier ejection, and the probes that return ejected servers to use.
  */
 import type * as contracts from "@guavatide/contracts";
 import * as routing from "@guavatide/decisions/routing/mod";
@@ -8,130 +8,139 @@
 import type { PartLog } from "../utils/log.ts";
 import type { Slot } from "./slot_allocator.ts";
 
-/** Options of {@link ServerWatch}, given by whoever makes the allocator. */
-export interface ServerWatchOptions {
+/** Options of {@link ServerMonitor}, and of the allocators that use one. */
+export interface ServerMonitorOptions {
   readonly service: contracts.Service;
   readonly servers: ServerView;
   readonly clock: contracts.Clock;
   readonly log: PartLog;
-  /** Requests given to one server beyond its slots. */
-  readonly extraRequests: number;
-  /** Whether a server that fails or falls silent may be put out of use. */
+  /** Requests that one server may get beyond its slots. */
+  readonly extraRequestsPerServer: number;
+  /** Whether a server that fails or is unresponsive may be ejected. */
   readonly mayEject: boolean;
-  /** Requests for which this VM has connections to one server. */
-  readonly linkLimit: () => number;
-  /** Called when a server went out of use. */
+  /** Requests to one server for which this VM has connections. */
+  readonly connectionLimit: () => number;
+  /** Called when a server is ejected. */
   readonly onEjected: (server: contracts.ServerId) => void;
-  /** Asks a server whether it answers at all. */
+  /** Sends a health probe; resolves to whether the server answered. */
   readonly probe: (address: ServerAddress) => Promise<boolean>;
 }
 
-/** Load and health of the servers of one service. */
-export class ServerWatch {
-  readonly #options: ServerWatchOptions;
-  readonly #board: routing.ServerBoard;
-  /** Called when a server may take a request that could not before. */
-  readonly #onOpen: () => void;
+/** Tracks load and health of the servers of one service. */
+export class ServerMonitor {
+  readonly #options: ServerMonitorOptions;
+  readonly #tracker: routing.ServerBoard;
+  /** Called when a server may have become able to take a request. */
+  readonly #onServerAvailable: () => void;
   #service: contracts.Service;
-  #wakeUp: NodeJS.Timeout | undefined;
+  #retryTimer: NodeJS.Timeout | undefined;
 
-  constructor(options: ServerWatchOptions, onOpen: () => void) {
+  constructor(options: ServerMonitorOptions, onServerAvailable: () => void) {
     this.#options = options;
-    this.#onOpen = onOpen;
+    this.#onServerAvailable = onServerAvailable;
     this.#service = options.service;
     const nowMs = options.clock.nowMs();
-    this.#board = new routing.ServerBoard(this.#boardOptions(), nowMs);
+    this.#tracker = new routing.ServerBoard(this.#trackerOptions(), nowMs);
   }
 
   configure(service: contracts.Service): void {
     this.#service = service;
-    this.#board.configure(this.#boardOptions());
+    this.#tracker.configure(this.#trackerOptions());
   }
 
-  /** Servers that take new work. */
-  live(): ServerAddress[] {
-    return this.#known().filter((address) => address.state === "live");
+  /** Servers that take new requests. */
+  liveServers(): ServerAddress[] {
+    return this.#knownServers().filter((address) => address.state === "live");
   }
 
   /**
-   * Those of the given servers that may take one more request now. When none
-   * may, `onOpen` is called as soon as a paused one may be asked again.
+   * Those of the given servers that can take one more request now. When none
+   * can, `onServerAvailable` is called as soon as a pause after a refusal ends.
    */
   candidates(servers: Iterable<contracts.ServerId>): routing.Candidate[] {
     const nowMs = this.#options.clock.nowMs();
-    const candidates = this.#board.candidates(servers, nowMs);
-    if (candidates.length === 0) this.#wakeIn(this.#board.pauseLeftMs(nowMs));
+    const candidates = this.#tracker.candidates(servers, nowMs);
+    if (candidates.length === 0) {
+      this.#scheduleRetry(this.#tracker.pauseLeftMs(nowMs));
+    }
     return candidates;
   }
 
-  /** Counts a request that is given to a server. */
-  take(
+  /** Counts a request as in flight at a server. */
+  acquireSlot(
     address: ServerAddress,
     ownership?: Slot["ownership"],
   ): Slot {
     const sentMs = this.#options.clock.nowMs();
-    this.#board.noteSent(address.server, sentMs);
+    this.#tracker.noteSent(address.server, sentMs);
     return { address, sentMs, ownership };
   }
 
-  /** The attempt of a slot has ended. */
-  release(slot: Slot, end: routing.AttemptEnd): void {
+  /** Records how the attempt of a slot ended. */
+  releaseSlot(slot: Slot, outcome: routing.AttemptEnd): void {
     const nowMs = this.#options.clock.nowMs();
     const { server } = slot.address;
-    this.#tell(
+    this.#reportEvent(
       server,
-      this.#board.noteEnd(server, slot.sentMs, { end, nowMs }),
+      this.#tracker.noteEnd(server, slot.sentMs, { end: outcome, nowMs }),
     );
   }
 
-  /** Looks for silent servers and sends the probes that are due. */
+  /** Ejects unresponsive servers and sends the probes that are due. */
   refresh(): void {
     const nowMs = this.#options.clock.nowMs();
-    const known = this.#known();
+    const known = this.#knownServers();
     const ids = known.map((address) => address.server);
-    this.#board.configure(this.#boardOptions());
-    this.#board.keepOnly(new Set(ids), nowMs);
-    for (const server of this.#board.ejectSilent(nowMs)) {
-      this.#tell(server, "ejected");
+    this.#tracker.configure(this.#trackerOptions());
+    this.#tracker.keepOnly(new Set(ids), nowMs);
+    for (const server of this.#tracker.ejectSilent(nowMs)) {
+      this.#reportEvent(server, "ejected");
     }
     for (const address of known) {
-      if (this.#board.tryProbe(address.server, nowMs)) this.#probe(address);
+      if (this.#tracker.tryProbe(address.server, nowMs)) this.#probe(address);
     }
   }
 
-  /** Calls `onOpen` after a time, once for all who ask meanwhile. */
-  #wakeIn(waitMs: number | undefined): void {
-    if (waitMs === undefined || this.#wakeUp !== undefined) return;
-    this.#wakeUp = setTimeout(() => {
-      this.#wakeUp = undefined;
-      this.#onOpen();
+  /** Calls `onServerAvailable` after the time; one timer serves all calls. */
+  #scheduleRetry(waitMs: number | undefined): void {
+    if (waitMs === undefined || this.#retryTimer !== undefined) return;
+    this.#retryTimer = setTimeout(() => {
+      this.#retryTimer = undefined;
+      this.#onServerAvailable();
     }, Math.ceil(waitMs));
   }
 
   #probe(address: ServerAddress): void {
-    this.#options.probe(address).then((isAnswered) => {
+    this.#options.probe(address).then((hasAnswered) => {
       const nowMs = this.#options.clock.nowMs();
       const { server } = address;
-      this.#tell(server, this.#board.noteProbe(server, isAnswered, nowMs));
-      this.#onOpen();
+      this.#reportEvent(
+        server,
+        this.#tracker.noteProbe(server, hasAnswered, nowMs),
+      );
+      this.#onServerAvailable();
     });
   }
 
-  #tell(server: contracts.ServerId, event: routing.BoardEvent): void {
+  #reportEvent(server: contracts.ServerId, event: routing.BoardEvent): void {
     if (event === undefined) return;
     const service = this.#service.name;
     this.#options.log.info(`Server is ${event}.`, { service, server });
     if (event === "ejected") this.#options.onEjected(server);
   }
 
-  #known(): readonly ServerAddress[] {
+  #knownServers(): readonly ServerAddress[] {
     return this.#options.servers.servers(this.#service.name);
   }
 
-  #boardOptions(): routing.ServerBoardOptions {
+  #trackerOptions(): routing.ServerBoardOptions {
     const { slotsPerServer } = this.#service;
-    const wanted = slotsPerServer + this.#options.extraRequests;
-    const localLimit = Math.min(wanted, this.#options.linkLimit());
+    const maxRequests = slotsPerServer +
+      this.#options.extraRequestsPerServer;
+    const localLimit = Math.min(
+      maxRequests,
+      this.#options.connectionLimit(),
+    );
     const { mayEject } = this.#options;
     return { slotsPerServer, localLimit, mayEject };
   }
--- a/packages/entry/src/requests/service_parts.ts
+++ b/packages/entry/src/requests/service_parts.ts
@@ -1,4 +1,4 @@
-/** What every request of one service shares. */
+/** Dependencies that the requests of one service share. */
 import type * as contracts from "@guavatide/contracts";
 import type * as routing from "@guavatide/decisions/routing/mod";
 import type { OwnerView, ServerAddress } from "../contracts/views.ts";
@@ -7,23 +7,28 @@
 import type { RequestMetrics } from "./request_metrics.ts";
 import type { SlotAllocator } from "./slot_allocator.ts";
 
-/** Parts that the requests of one service use. */
-export interface ServiceParts {
+/** What a request needs to run. */
+export interface RequestContext {
   readonly service: contracts.Service;
-  /** Name of the policy in use, for log lines. */
+  /** Name of the load balancing policy, for log lines. */
   readonly policy: string;
   readonly allocator: SlotAllocator;
-  readonly budget: routing.RetryBudget;
+  readonly retryBudget: routing.RetryBudget;
   readonly owners: OwnerView;
   readonly clock: contracts.Clock;
   readonly log: PartLog;
   readonly metrics: RequestMetrics;
-  /** Time a request of unknown fate stays counted as forwarded. */
-  readonly unknownHoldMs: number;
-  pool(address: ServerAddress): LinkPool;
-  /** Time within which a server that checks no fences must end a request. */
-  readonly unfencedRunMs: number;
+  /** Time that a request with an unknown outcome stays counted as forwarded. */
+  readonly unknownOutcomeHoldMs: number;
+  connectionPool(address: ServerAddress): LinkPool;
+  /**
+   * Time from sending within which a server that does not check fencing tokens
+   * must finish a request, in milliseconds. After it the server refuses it.
+   */
+  readonly unfencedTimeoutMs: number;
+  /** Tells a server to stop a request whose answer is no longer awaited. */
   cancel(address: ServerAddress, id: contracts.RequestId): void;
+  /** Records that the server refused a request because it is draining. */
   noteDraining(server: contracts.ServerId): void;
   nextRequestId(): contracts.RequestId;
 }
--- a/packages/entry/src/requests/slot_allocator.ts
+++ b/packages/entry/src/requests/slot_allocator.ts
@@ -1,53 +1,58 @@
 /**
- * Where a request gets the server that it may be sent to. Each way of
- * spreading requests is one implementation.
+ * Allocation of server slots to requests. Each way of distributing requests
+ * over servers is one implementation.
  */
 import type * as contracts from "@guavatide/contracts";
 import type * as routing from "@guavatide/decisions/routing/mod";
 import type { ServerAddress } from "../contracts/views.ts";
 
-/** Leave to send one request to one server. */
+/** Permission to send one request to one server. */
 export interface Slot {
   readonly address: ServerAddress;
+  /** Monotonic time at which the slot was granted. */
   readonly sentMs: number;
-  /** Set for keyed services. */
+  /** Owned slice at the time of the grant; set for keyed services only. */
   readonly ownership?: {
     readonly slice: contracts.SliceId;
+    /** Fencing token of the ownership. */
     readonly fence: number;
+    /** Revision of the assignment. */
     readonly revision: number;
   };
 }
 
 /** A request that waits for a slot. */
-export interface SlotWish {
+export interface SlotRequest {
+  /** Caller by whom the queue is shared out fairly. */
   readonly tenant: string;
   /** Monotonic time at which the caller stops waiting. */
   readonly deadlineMs: number;
-  /** Set for keyed services. */
+  /** Set for keyed services only. */
   readonly keyHash: number | undefined;
-  /** Servers that have failed this request. */
+  /** Servers that this request must not be sent to again. */
   readonly tried: ReadonlySet<contracts.ServerId>;
-  granted(slot: Slot): void;
-  refused(
+  onGranted(slot: Slot): void;
+  /** No slot can be allocated; `retryAfterMs` is when to try again. */
+  onRefused(
     reason: contracts.NotRunReason,
     options: { readonly retryAfterMs?: number; readonly message: string },
   ): void;
 }
 
-/** Gives slots to the requests of one service. */
+/** Allocates slots to the requests of one service. */
 export interface SlotAllocator {
-  /** Grants or refuses a slot, now or later, once. */
-  acquire(wish: SlotWish): void;
-  /** The request needs no slot any more. */
-  withdraw(wish: SlotWish): void;
-  /** The attempt that a slot was granted for has ended. */
-  release(slot: Slot, end: routing.AttemptEnd): void;
-  /** Whether a request that tried some servers has another to go to. */
-  hasOther(tried: ReadonlySet<contracts.ServerId>): boolean;
-  /** Takes over changed settings of the service. */
+  /** Calls `onGranted` or `onRefused` exactly once, now or later. */
+  acquire(request: SlotRequest): void;
+  /** Removes a waiting request; neither callback is called any more. */
+  withdraw(request: SlotRequest): void;
+  /** Returns a slot whose attempt has ended. */
+  release(slot: Slot, outcome: routing.AttemptEnd): void;
+  /** Whether a server exists that is not among the tried ones. */
+  hasUntriedServer(tried: ReadonlySet<contracts.ServerId>): boolean;
+  /** Applies changed settings of the service. */
   configure(service: contracts.Service): void;
-  /** Servers or settings may have changed, or time has passed. */
+  /** Reevaluates waiting requests; called at an interval and on changes. */
   refresh(): void;
-  /** Requests that wait. */
-  readonly waiting: number;
+  /** Number of waiting requests. */
+  readonly waitingCount: number;
 }
--- a/packages/entry/src/requests/slot_dispatcher.ts
+++ b/packages/entry/src/requests/slot_dispatcher.ts
@@ -1,42 +1,42 @@
 /**
- * Gives out slots of unkeyed services to all entry VMs. For each service one
- * entry VM does this at a time, named by rendezvous hashing over the members.
- * It knows every request in flight at the service's servers, which no entry
- * VM knows alone, so that a free slot and a waiting request always meet.
+ * Allocates slots of unkeyed services to all entry VMs. Each service has one
+ * dispatcher, the entry VM chosen by rendezvous hashing over the members. It
+ * knows all requests in flight at the service's servers, so no slot stays free
+ * while a request waits at any entry VM.
  *
- * Nothing here is needed for safety: two dispatchers, or none, cost refusals
- * by busy servers and no more.
+ * Safety does not depend on it: two dispatchers, or none, only cause refusals
+ * by busy servers.
  */
 import type * as contracts from "@guavatide/contracts";
 import type * as routing from "@guavatide/decisions/routing/mod";
 import { OncePerTurn } from "../utils/once_per_turn.ts";
-import type { PeerCalls } from "./peer_calls.ts";
-import type { Slot, SlotAllocator, SlotWish } from "./slot_allocator.ts";
+import type { PeerRpc } from "./peer_calls.ts";
+import type { Slot, SlotAllocator, SlotRequest } from "./slot_allocator.ts";
 import * as messages from "./slot_messages.ts";
 
 /** Options of {@link SlotDispatcher}. */
 export interface SlotDispatcherOptions {
-  readonly peers: PeerCalls;
+  readonly peers: PeerRpc;
   readonly clock: contracts.Clock;
-  /** Takes decisions for requests of this VM itself. */
-  readonly onDecided: (decided: messages.SlotsDecided) => void;
-  /** The allocator that serves a service; nothing for an unknown service. */
+  /** Receives decisions for requests of this VM. */
+  readonly onDecisions: (message: messages.SlotsDecided) => void;
+  /** Creates the allocator of a service; undefined for an unknown service. */
   readonly createAllocator: (
     service: contracts.ServiceId,
   ) => SlotAllocator | undefined;
 }
 
-/** Time a peer has to take decisions, after which its grants are taken back. */
-const DECIDED_TIMEOUT_MS = 200;
+/** Timeout for a peer to acknowledge decisions; then its grants are revoked. */
+const DECISIONS_TIMEOUT_MS = 200;
 /**
- * Time after which a grant that its VM does not list as in use is taken back:
- * the answer that carried it was lost, and the slot would stay empty.
+ * Time after which a grant that its VM does not report as held is revoked: the
+ * reply that carried it was lost, and the slot would stay unused.
  */
-const GRANT_SEEN_MS = 500;
-/** Time after its deadline at which a grant that nobody ended is dropped. */
-const GRANT_GRACE_MS = 1000;
+const GRANT_CONFIRMATION_MS = 500;
+/** Time from the deadline of a request until its unreleased grant expires. */
+const GRANT_EXPIRY_GRACE_MS = 1000;
 
-/** A grant whose request may be in flight. */
+/** A granted slot whose request may be in flight. */
 interface Grant {
   readonly vm: contracts.VmId;
   readonly slot: Slot;
@@ -44,7 +44,7 @@
   readonly expiresMs: number;
 }
 
-/** The dispatcher's side of all services. */
+/** Dispatcher of the services that peers ask this VM for. */
 export class SlotDispatcher {
   readonly #options: SlotDispatcherOptions;
   readonly #services = new Map<contracts.ServiceId, DispatchedService>();
@@ -54,14 +54,14 @@
     options.peers.register(
       messages.SLOTS_UPDATE_METHOD,
       messages.slotsUpdateSchema,
-      (update) => this.update(update),
+      (update) => this.handleUpdate(update),
     );
   }
 
-  /** Takes an update of an entry VM, this one included. */
-  update(update: messages.SlotsUpdate): messages.SlotsDecided {
+  /** Handles an update of an entry VM, including this one. */
+  handleUpdate(update: messages.SlotsUpdate): messages.SlotsDecided {
     const { self } = this.#options.peers;
-    const decisions = this.#service(update.service)?.update(update) ?? [];
+    const decisions = this.#service(update.service)?.handleUpdate(update) ?? [];
     return {
       service: update.service,
       vm: self.vm,
@@ -70,12 +70,12 @@
     };
   }
 
-  /** Time has passed. */
+  /** Expires grants and requests; called at an interval. */
   refresh(): void {
     for (const service of this.#services.values()) service.refresh();
   }
 
-  /** Takes over changed settings of a service. */
+  /** Applies changed settings of a service. */
   configure(service: contracts.Service): void {
     this.#services.get(service.name)?.configure(service);
   }
@@ -91,37 +91,37 @@
   }
 }
 
-/** Waiting requests and grants of one service. */
+/** Waiting requests and outstanding grants of one service. */
 class DispatchedService {
-  readonly #id: contracts.ServiceId;
+  readonly #serviceId: contracts.ServiceId;
   readonly #allocator: SlotAllocator;
   readonly #options: SlotDispatcherOptions;
-  readonly #wishes = new Map<string, RemoteWish>();
+  readonly #requests = new Map<string, RemoteSlotRequest>();
   readonly #grants = new Map<number, Grant>();
   /** Decisions not yet sent, by entry VM. */
   readonly #outbox = new Map<contracts.VmId, messages.SlotDecision[]>();
-  #nextGrant = 1;
-  readonly #flushing = new OncePerTurn(() => this.#flush());
+  #nextGrantNumber = 1;
+  readonly #flushScheduler = new OncePerTurn(() => this.#flush());
 
   constructor(
     id: contracts.ServiceId,
     allocator: SlotAllocator,
     options: SlotDispatcherOptions,
   ) {
-    this.#id = id;
+    this.#serviceId = id;
     this.#allocator = allocator;
     this.#options = options;
   }
 
-  /** Returns what could be decided for this VM at once. */
-  update(update: messages.SlotsUpdate): messages.SlotDecision[] {
-    for (const wish of update.withdrawn) this.#withdraw(update.vm, wish);
+  /** Returns the decisions for this VM that are available at once. */
+  handleUpdate(update: messages.SlotsUpdate): messages.SlotDecision[] {
+    for (const number of update.withdrawn) this.#withdraw(update.vm, number);
     const { incarnation } = this.#options.peers.self;
     if (update.dispatcher === incarnation) {
-      for (const { grant, end } of update.ended) this.#end(grant, end);
+      for (const { grant, end } of update.ended) this.#endGrant(grant, end);
     }
-    this.#takeBackLost(update);
-    for (const want of update.wants) this.#want(update.vm, want);
+    this.#reclaimLostGrants(update);
+    for (const message of update.wants) this.#addRequest(update.vm, message);
     const decided = this.#outbox.get(update.vm) ?? [];
     this.#outbox.delete(update.vm);
     return decided;
@@ -131,76 +131,87 @@
     this.#allocator.configure(service);
   }
 
-  #takeBackLost(update: messages.SlotsUpdate): void {
+  #reclaimLostGrants(update: messages.SlotsUpdate): void {
     const held = new Set(update.held);
-    const sinceMs = this.#options.clock.nowMs() - GRANT_SEEN_MS;
+    const confirmedBeforeMs = this.#options.clock.nowMs() -
+      GRANT_CONFIRMATION_MS;
     for (const [number, grant] of this.#grants) {
-      const isLost = grant.vm === update.vm && grant.grantedMs < sinceMs &&
+      const isLost = grant.vm === update.vm &&
+        grant.grantedMs < confirmedBeforeMs &&
         !held.has(number);
-      if (isLost) this.#end(number, { kind: "abandoned" });
+      if (isLost) this.#endGrant(number, { kind: "abandoned" });
     }
   }
 
   refresh(): void {
     const nowMs = this.#options.clock.nowMs();
     for (const [number, grant] of this.#grants) {
-      if (grant.expiresMs < nowMs) this.#end(number, { kind: "abandoned" });
+      if (grant.expiresMs < nowMs) {
+        this.#endGrant(number, { kind: "abandoned" });
+      }
     }
-    for (const wish of this.#wishes.values()) {
-      if (wish.deadlineMs < nowMs) this.#withdraw(wish.vm, wish.number);
+    for (const request of this.#requests.values()) {
+      if (request.deadlineMs < nowMs) {
+        this.#withdraw(request.vm, request.requestNumber);
+      }
     }
     this.#allocator.refresh();
   }
 
-  #want(vm: contracts.VmId, want: messages.SlotWant): void {
-    const name = wishName(vm, want.wish);
-    // A want that was sent twice is one request.
-    if (this.#wishes.has(name)) return;
-    const wish = new RemoteWish(vm, want, {
+  #addRequest(vm: contracts.VmId, message: messages.SlotRequestMessage): void {
+    const key = requestKey(vm, message.wish);
+    // A retransmitted request is the same request.
+    if (this.#requests.has(key)) return;
+    const request = new RemoteSlotRequest(vm, message, {
       nowMs: this.#options.clock.nowMs(),
-      decide: (decision) => this.#decide(wish, decision),
+      decide: (decision) => this.#decide(request, decision),
     });
-    this.#wishes.set(name, wish);
-    this.#allocator.acquire(wish);
+    this.#requests.set(key, request);
+    this.#allocator.acquire(request);
   }
 
-  #decide(wish: RemoteWish, decision: RemoteDecision): void {
-    this.#wishes.delete(wishName(wish.vm, wish.number));
-    const { vm, number } = wish;
+  #decide(request: RemoteSlotRequest, decision: RemoteDecision): void {
+    this.#requests.delete(requestKey(request.vm, request.requestNumber));
+    const { vm, requestNumber } = request;
     if (decision.kind === "refused") {
-      this.#post(vm, { ...decision, wish: number });
+      this.#enqueueDecision(vm, { ...decision, wish: requestNumber });
       return;
     }
-    const grant = this.#nextGrant++;
+    const grant = this.#nextGrantNumber++;
     const { slot } = decision;
-    const expiresMs = wish.deadlineMs + GRANT_GRACE_MS;
+    const expiresMs = request.deadlineMs + GRANT_EXPIRY_GRACE_MS;
     const grantedMs = this.#options.clock.nowMs();
     this.#grants.set(grant, { vm, slot, grantedMs, expiresMs });
     const { server } = slot.address;
-    this.#post(vm, { kind: "granted", wish: number, grant, server });
+    this.#enqueueDecision(vm, {
+      kind: "granted",
+      wish: requestNumber,
+      grant,
+      server,
+    });
   }
 
   #withdraw(vm: contracts.VmId, number: number): void {
-    const name = wishName(vm, number);
-    const wish = this.#wishes.get(name);
-    if (wish === undefined) return;
-    this.#wishes.delete(name);
-    this.#allocator.withdraw(wish);
+    const key = requestKey(vm, number);
+    const request = this.#requests.get(key);
+    if (request === undefined) return;
+    this.#requests.delete(key);
+    this.#allocator.withdraw(request);
   }
 
-  #end(number: number, end: routing.AttemptEnd): void {
+  #endGrant(number: number, outcome: routing.AttemptEnd): void {
     const grant = this.#grants.get(number);
     if (grant === undefined) return;
     this.#grants.delete(number);
-    this.#allocator.release(grant.slot, end);
+    this.#allocator.release(grant.slot, outcome);
   }
 
-  /** Decisions of one turn of the event loop leave together. */
-  #post(vm: contracts.VmId, decision: messages.SlotDecision): void {
-    const waiting = this.#outbox.get(vm) ?? [];
-    waiting.push(decision);
-    this.#outbox.set(vm, waiting);
-    this.#flushing.schedule();
+  /** Queues a decision; those of one event loop turn are sent together. */
+  #enqueueDecision(vm: contracts.VmId, decision: messages.SlotDecision): void {
+    const unsent = this.#outbox.get(vm) ?? [];
+    unsent.push(decision);
+    this.#outbox.set(vm, unsent);
+    this.#flushScheduler.schedule();
   }
 
   #flush(): void {
@@ -216,24 +227,24 @@
   ): Promise<void> {
     const { peers } = this.#options;
     const params: messages.SlotsDecided = {
-      service: this.#id,
+      service: this.#serviceId,
       vm: peers.self.vm,
       incarnation: peers.self.incarnation,
       decisions,
     };
     if (vm === peers.self.vm) {
-      this.#options.onDecided(params);
+      this.#options.onDecisions(params);
       return;
     }
     const reply = await peers.call(vm, messages.SLOTS_DECIDED_METHOD, {
       params,
       schema: messages.slotsDecidedReplySchema,
-      timeoutMs: DECIDED_TIMEOUT_MS,
+      timeoutMs: DECISIONS_TIMEOUT_MS,
     });
     if (reply !== undefined) return;
     for (const decision of decisions) {
       if (decision.kind !== "granted") continue;
-      this.#end(decision.grant, { kind: "abandoned" });
+      this.#endGrant(decision.grant, { kind: "abandoned" });
     }
   }
 }
@@ -246,10 +257,10 @@
     readonly retryAfterMs?: number;
   };
 
-/** A request that waits at an entry VM. */
-class RemoteWish implements SlotWish {
+/** A request that waits at an entry VM, possibly another one. */
+class RemoteSlotRequest implements SlotRequest {
   readonly vm: contracts.VmId;
-  readonly number: number;
+  readonly requestNumber: number;
   readonly tenant: string;
   readonly deadlineMs: number;
   readonly keyHash = undefined;
@@ -258,34 +269,34 @@
 
   constructor(
     vm: contracts.VmId,
-    want: messages.SlotWant,
+    message: messages.SlotRequestMessage,
     options: {
       readonly nowMs: number;
       readonly decide: (decision: RemoteDecision) => void;
     },
   ) {
     this.vm = vm;
-    this.number = want.wish;
-    this.tenant = want.tenant;
-    this.deadlineMs = options.nowMs + want.timeLeftMs;
-    this.tried = new Set(want.tried);
+    this.requestNumber = message.wish;
+    this.tenant = message.tenant;
+    this.deadlineMs = options.nowMs + message.timeLeftMs;
+    this.tried = new Set(message.tried);
     this.#decide = options.decide;
   }
 
-  granted(slot: Slot): void {
+  onGranted(slot: Slot): void {
     this.#decide({ kind: "granted", slot });
   }
 
-  refused(
+  onRefused(
     reason: contracts.NotRunReason,
     options: { readonly retryAfterMs?: number },
   ): void {
-    const told = reason === "no-server" ? "no-server" : "queue-full";
+    const sentReason = reason === "no-server" ? "no-server" : "queue-full";
     const { retryAfterMs } = options;
-    this.#decide({ kind: "refused", reason: told, retryAfterMs });
+    this.#decide({ kind: "refused", reason: sentReason, retryAfterMs });
   }
 }
 
-function wishName(vm: contracts.VmId, number: number): string {
+function requestKey(vm: contracts.VmId, number: number): string {
   return `${vm} ${number}`;
 }
--- a/packages/entry/src/requests/slot_messages.ts
+++ b/packages/entry/src/requests/slot_messages.ts
@@ -1,7 +1,7 @@
 /**
- * Messages between entry VMs for slots of unkeyed services. An entry VM sends
- * `slots-update` to the dispatcher of a service; decisions come back in the
- * answer or, when the request had to wait, in `slots-decided`.
+ * Messages between entry VMs about slots of unkeyed services. An entry VM sends
+ * `slots-update` to the dispatcher of a service. Decisions are returned in the
+ * reply or, for requests that had to wait, sent in `slots-decided`.
  */
 import { incarnationSchema, serverIdSchema } from "@guavatide/contracts";
 import { serviceIdSchema, vmIdSchema } from "@guavatide/contracts";
@@ -14,7 +14,7 @@
 
 const inFlightSchema = z.number().int().min(0).optional();
 
-const attemptEndSchema = z.discriminatedUnion("kind", [
+const attemptOutcomeSchema = z.discriminatedUnion("kind", [
   z.strictObject({ kind: z.literal("answer"), inFlight: inFlightSchema }),
   z.strictObject({
     kind: z.literal("refusal"),
@@ -28,38 +28,43 @@
   z.strictObject({ kind: z.literal("abandoned") }),
 ]);
 
-const slotWantSchema = z.strictObject({
-  /** Number of the request, drawn by the sender. */
+const slotRequestMessageSchema = z.strictObject({
+  /** Number that the sender assigned to the request. */
   wish: z.number().int(),
+  /** Time until the deadline of the request. */
   timeLeftMs: z.number(),
   tenant: z.string(),
+  /** Servers that must not be granted. */
   tried: z.array(serverIdSchema),
 });
-/** A request that wants a slot. */
-export type SlotWant = z.infer<typeof slotWantSchema>;
+/** A request for a slot. */
+export type SlotRequestMessage = z.infer<typeof slotRequestMessageSchema>;
 
-const slotEndSchema = z.strictObject({
-  /** Number of the grant, drawn by the dispatcher. */
+const slotReleaseSchema = z.strictObject({
+  /** Number that the dispatcher assigned to the grant. */
   grant: z.number().int(),
-  end: attemptEndSchema,
+  end: attemptOutcomeSchema,
 });
-/** A granted slot that is free again. */
-export type SlotEnd = z.infer<typeof slotEndSchema>;
+/** Release of a granted slot. */
+export type SlotRelease = z.infer<typeof slotReleaseSchema>;
 
 /** Schema of {@link SlotsUpdate}. */
 export const slotsUpdateSchema = z.strictObject({
   service: serviceIdSchema,
   vm: vmIdSchema,
   incarnation: incarnationSchema,
-  /** Run of the dispatcher that the grants in `ended` are from. */
+  /** Incarnation of the dispatcher that issued the grants in `ended`. */
   dispatcher: incarnationSchema.optional(),
-  wants: z.array(slotWantSchema),
+  /** New requests for slots. */
+  wants: z.array(slotRequestMessageSchema),
+  /** Numbers of requests that need no slot any more. */
   withdrawn: z.array(z.number().int()),
-  ended: z.array(slotEndSchema),
-  /** Every grant of this dispatcher that the sender has in use. */
+  /** Grants whose attempts have ended. */
+  ended: z.array(slotReleaseSchema),
+  /** All grants of this dispatcher that the sender still holds. */
   held: z.array(z.number().int()),
 });
-/** What changed at an entry VM since its last update. */
+/** Changes at an entry VM since its last update. */
 export type SlotsUpdate = z.infer<typeof slotsUpdateSchema>;
 
 const slotDecisionSchema = z.discriminatedUnion("kind", [
@@ -76,13 +81,13 @@
     retryAfterMs: z.number().optional(),
   }),
 ]);
-/** The dispatcher's answer to one want. */
+/** The dispatcher's decision on one request for a slot. */
 export type SlotDecision = z.infer<typeof slotDecisionSchema>;
 
 /** Schema of {@link SlotsDecided}. */
 export const slotsDecidedSchema = z.strictObject({
   service: serviceIdSchema,
-  /** The dispatcher. */
+  /** The entry VM of the dispatcher. */
   vm: vmIdSchema,
   incarnation: incarnationSchema,
   decisions: z.array(slotDecisionSchema),
@@ -90,5 +95,5 @@
 /** Decisions of a dispatcher. */
 export type SlotsDecided = z.infer<typeof slotsDecidedSchema>;
 
-/** Answer to {@link SlotsDecided}. */
+/** Schema of the reply to {@link SlotsDecided}. */
 export const slotsDecidedReplySchema = z.strictObject({});
--- a/packages/entry/src/requests/write_answer.ts
+++ b/packages/entry/src/requests/write_answer.ts
@@ -1,4 +1,4 @@
-/** Writes what became of a request as an HTTP response. */
+/** Writes the answer to a request as an HTTP response. */
 import * as contracts from "@guavatide/contracts";
 import * as http from "node:http";
 import type { CallerAnswer, ServerAnswer } from "./caller_request.ts";
@@ -18,7 +18,7 @@
   "shutting-down": 503,
 };
 
-/** HTTP status for each reason why a request's fate is unknown. */
+/** HTTP status for each reason why a request's outcome is unknown. */
 const UNKNOWN_STATUS: Readonly<Record<contracts.UnknownReason, number>> = {
   "timeout-after-send": 504,
   "connection-lost": 502,
@@ -27,7 +27,7 @@
 
 /** Options of {@link writeAnswer}. */
 export interface WriteAnswerOptions {
-  /** Whether the connection ends with this answer. */
+  /** Whether to close the connection after this answer. */
   readonly mustClose: boolean;
 }
 
@@ -70,8 +70,8 @@
   response.writeHead(answer.status, headers).end(answer.body);
 }
 
-/** An HTTP response as bytes, for a request that could not be parsed. */
-export function bareAnswer(
+/** Serializes an empty HTTP response to a request that could not be parsed. */
+export function rawErrorResponse(
   status: number,
   headers: Readonly<Record<string, string>>,
 ): string {
--- a/packages/entry/src/vms/peer_calls_of.ts
+++ b/packages/entry/src/vms/peer_calls_of.ts
@@ -1,13 +1,13 @@
 /** Gives the request path its view of the other entry VMs. */
 import type * as decisions from "@guavatide/decisions";
 import type * as contracts from "@guavatide/contracts";
-import type { PeerCalls } from "../requests/peer_calls.ts";
+import type { PeerRpc } from "../requests/peer_calls.ts";
 import type { PeerDoor } from "./peer_door.ts";
 import type { PeerTask } from "./peer_task.ts";
 
 /** Options of {@link peerCallsOf}. */
 export interface PeerCallsOfOptions {
-  readonly self: PeerCalls["self"];
+  readonly self: PeerRpc["self"];
   readonly door: PeerDoor;
   readonly membership: decisions.Membership;
   readonly clock: contracts.Clock;
@@ -17,7 +17,7 @@
 export function peerCallsOf(
   task: PeerTask,
   options: PeerCallsOfOptions,
-): PeerCalls {
+): PeerRpc {
   const { self, door, membership, clock } = options;
   // Asked for every request, changed a few times a day.
   let members: readonly contracts.VmId[] | undefined;
--- a/packages/entry/src/wire.ts
+++ b/packages/entry/src/wire.ts
@@ -295,7 +295,7 @@
     timeoutMs: settings.timings.evidenceMs,
   });
   directory.onList((vms) => peerView.noteList(vms));
-  const loads = new LoadTask({ self, peers, door, clock });
+  const loads = new LoadTask({ self, peers, peerServer: door, clock });
   const owners = new ownershipTasks.OwnershipTask({
     timings: ownershipTimingsOf(settings),
     clock,
@@ -309,9 +309,9 @@
     peers: peerView,
     connect: (address) =>
       new platform.HttpBackendControl(`http://${address.host}:${address.port}`),
-    load: (service) => loads.source(service),
+    load: (service) => loads.loadSource(service),
   });
-  loads.follow(owners);
+  loads.setOwnershipSource(owners);
   peers.join(owners);
   peers.join(loads);
   door.register(
@@ -344,7 +344,7 @@
     config: parts.config,
     servers: base.directory,
     owners: parts.owners,
-    links: parts.serverLinks,
+    connectionPools: parts.serverLinks,
     hashKey: (key) => hasher.hash(key),
     entryVmCount: () => peerCalls.members().length,
     clock,
@@ -353,10 +353,10 @@
     lifeCycle,
     metrics: {
       ...requestMetricsOf(base.metrics),
-      keyedWork: (work) => loads.record(work),
+      keyedWork: (work) => loads.recordRequest(work),
     },
-    longestTimeoutMs: requests.REQUEST_DEFAULTS.longestTimeoutMs,
-    unfencedRunMs: settings.timings.unfencedMoveWaitMs,
+    maxTimeoutMs: requests.REQUEST_DEFAULTS.maxTimeoutMs,
+    unfencedTimeoutMs: settings.timings.unfencedMoveWaitMs,
     peers: peerCalls,
   });
   return new requests.CallerListener({
--- a/packages/standins/src/bench/bench_entry_main.ts
+++ b/packages/standins/src/bench/bench_entry_main.ts
@@ -48,7 +48,7 @@
       config: this.#config(),
       servers: this.#servers(),
       owners: NO_OWNERS,
-      links: new links.ServerLinks(
+      connectionPools: new links.ServerLinks(
         links.SERVER_LINKS_DEFAULTS,
         this.#lifeCycle,
       ),
@@ -59,8 +59,8 @@
       log: createLog({ format: "text", level: "warn" }),
       lifeCycle: this.#lifeCycle,
       metrics: this.#metrics(),
-      longestTimeoutMs: requests.REQUEST_DEFAULTS.longestTimeoutMs,
-      unfencedRunMs: 2_000,
+      maxTimeoutMs: requests.REQUEST_DEFAULTS.maxTimeoutMs,
+      unfencedTimeoutMs: 2_000,
       peers: this.#peers,
     });
     const listener = new requests.CallerListener({
