--- a/packages/entry/src/contracts/views.ts
+++ b/packages/entry/src/contracts/views.ts
@@ -1,46 +1,48 @@
 /**
- * What the request path reads of the rest of the process. Each view is
- * answered from memory; none waits.
+ * Views of the rest of the process that the request path reads. All are served
+ * synchronously from memory.
  */
 import type * as contracts from "@guavatide/contracts";
 
-/** A backend server and where it listens. */
+/** A backend server and its address. */
 export interface ServerAddress {
   readonly server: contracts.ServerId;
   readonly service: contracts.ServiceId;
   readonly zone: contracts.ZoneId;
-  /** IP number. */
+  /** IP address. */
   readonly host: string;
   readonly port: number;
-  /** A leaving or draining server takes no new work. */
+  /** A leaving or draining server gets no new requests. */
   readonly state: "live" | "leaving" | "draining";
 }
 
-/** Who owns a key, as far as this process knows. */
+/** Owner of a key according to the local state of this process. */
 export type OwnerLookup =
   | {
     readonly kind: "owned";
     readonly server: contracts.ServerId;
     readonly slice: contracts.SliceId;
+    /** Fencing token of the ownership. */
     readonly fence: number;
     readonly revision: number;
   }
-  /** The slice is between two owners; `onChange` tells when that ends. */
+  /** The slice is in handover between two owners; `onChange` reports the end. */
   | { readonly kind: "vacating"; readonly revision: number }
   | { readonly kind: "none" };
 
-/** The configuration in force. */
+/** The configuration in use. */
 export interface ConfigView {
+  /** 0 until the first configuration is loaded. */
   readonly revision: number;
   service(id: contracts.ServiceId): contracts.Service | undefined;
   partner(id: contracts.PartnerId): contracts.Partner | undefined;
 }
 
-/** Servers known from the VM list, drain signals and refusals. */
+/** Servers known from the VM list, drain reports and refusals. */
 export interface ServerView {
   servers(service: contracts.ServiceId): readonly ServerAddress[];
   server(id: contracts.ServerId): ServerAddress | undefined;
-  /** The server said itself that it drains. */
+  /** Records a report of the server itself that it is draining. */
   noteDraining(id: contracts.ServerId): void;
 }
 
@@ -48,9 +50,9 @@
 export interface OwnerView {
   lookup(service: contracts.ServiceId, keyHash: number): OwnerLookup;
   /**
-   * Whether a request may leave now for this slice at this fence. Always
-   * true for servers that check fences; for others it needs evidence.
-   * Called right before the bytes leave.
+   * Whether a request for this slice with this fencing token may be sent now.
+   * Always true for servers that check fencing tokens; for others the assignment
+   * must be confirmed as current. Called right before the bytes are sent.
    */
   mayForward(
     service: contracts.ServiceId,
@@ -58,7 +60,7 @@
     slice: contracts.SliceId,
     fence: number,
   ): boolean;
-  /** Whether a server is known to refuse orders and requests of the past. */
+  /** Whether a server is known to refuse outdated fencing tokens. */
   checksFences(
     service: contracts.ServiceId,
     server: contracts.ServerId,
@@ -69,8 +71,11 @@
     server: contracts.ServerId,
     slice: contracts.SliceId,
   ): { done(): void };
-  /** Calls back after each change of the service's assignment. */
+  /**
+   * Calls back after each change of the service's assignment. The returned
+   * function unregisters the callback.
+   */
   onChange(service: contracts.ServiceId, callback: () => void): () => void;
-  /** A server refused as not owner: look for a newer revision soon. */
+  /** A server refused as not owner at this revision: fetch a newer one soon. */
   noteNotOwner(service: contracts.ServiceId, revision: number): void;
 }
--- a/packages/entry/src/wire.ts
+++ b/packages/entry/src/wire.ts
@@ -239,7 +239,7 @@
     clock,
     log: log.part("member"),
   });
-  base.directory.onList((vms) => peers.noteList(vms));
+  base.directory.onVmList((vms) => peers.noteList(vms));
   return { membership, door, peers, peerPort };
 }
 
@@ -294,7 +294,7 @@
     clock,
     timeoutMs: settings.timings.evidenceMs,
   });
-  directory.onList((vms) => peerView.noteList(vms));
+  directory.onVmList((vms) => peerView.noteList(vms));
   const loads = new LoadTask({ self, peers, peerServer: door, clock });
   const owners = new ownershipTasks.OwnershipTask({
     timings: ownershipTimingsOf(settings),
--- a/packages/entry/src/zones/server_directory.ts
+++ b/packages/entry/src/zones/server_directory.ts
@@ -1,31 +1,32 @@
 /**
- * Backend servers and entry VMs as the platform's lagging list gives them,
- * joined with what servers say themselves. A list that cannot be had leaves
- * the last one in place.
+ * Backend servers and entry VMs from the platform's VM list, which lags behind,
+ * merged with the drain reports of servers. When the list can't be fetched, the
+ * previous one stays in use.
  */
 import type * as contracts from "@guavatide/contracts";
 import type { ServerAddress, ServerView } from "../contracts/views.ts";
 import type { LifeCycle } from "../utils/life_cycle.ts";
 import type { PartLog } from "../utils/log.ts";
 
-/** How long a server's word that it drains counts, unless it is repeated. */
-const DRAIN_WORD_MS = 15_000;
+/** Time for which a server's report that it is draining stays valid. */
+const DRAIN_REPORT_TTL_MS = 15_000;
 
 /** Options of {@link ServerDirectory}. */
 export interface ServerDirectoryOptions {
   readonly vmList: contracts.VmList;
+  /** Interval of polls; a poll times out after twice this time. */
   readonly pollIntervalMs: number;
   readonly clock: contracts.Clock;
   readonly log: PartLog;
 }
 
-/** Polls the VM list and answers where servers are. */
+/** Polls the VM list and looks up addresses of servers. */
 export class ServerDirectory implements ServerView {
   readonly #options: ServerDirectoryOptions;
   readonly #byId = new Map<contracts.ServerId, ServerAddress>();
   readonly #byService = new Map<contracts.ServiceId, ServerAddress[]>();
-  /** Servers that said so themselves, with the time of their last word. */
-  readonly #drainingSinceMs = new Map<contracts.ServerId, number>();
+  /** Monotonic time of the last drain report of each server. */
+  readonly #drainReportedMs = new Map<contracts.ServerId, number>();
   #operatorDrains: ReadonlySet<contracts.ServerId> = new Set();
   #vms: contracts.ListedVm[] = [];
   readonly #listeners = new Set<(vms: contracts.ListedVm[]) => void>();
@@ -35,14 +36,14 @@
     this.#options = options;
   }
 
-  /** Polls until the process stops. Resolves after the first poll. */
+  /** Polls until the process stops. Resolves after the first attempt. */
   async start(lifeCycle: LifeCycle): Promise<void> {
     lifeCycle.every(this.#options.pollIntervalMs, () => void this.#poll());
     await this.#poll();
   }
 
-  /** Calls back with every list that arrives. */
-  onList(listener: (vms: contracts.ListedVm[]) => void): void {
+  /** Registers a listener for every list that is fetched. */
+  onVmList(listener: (vms: contracts.ListedVm[]) => void): void {
     this.#listeners.add(listener);
   }
 
@@ -55,41 +56,41 @@
   }
 
   noteDraining(id: contracts.ServerId): void {
-    const isNews = !this.saysDraining(id);
-    this.#drainingSinceMs.set(id, this.#options.clock.nowMs());
-    if (!isNews) return;
+    const isNew = !this.saysDraining(id);
+    this.#drainReportedMs.set(id, this.#options.clock.nowMs());
+    if (!isNew) return;
     const known = this.#byId.get(id);
     if (known === undefined) return;
-    this.#options.log.info("server drains and gets no new work", {
+    this.#options.log.info("server is draining and gets no new requests", {
       server: id,
     });
     this.#put({ ...known, state: "draining" });
   }
 
   /**
-   * Whether the server itself said lately that it drains. Nobody may tell when
-   * that is over, for example after a restart under the same id, and such a
-   * server would get no work for good; so it is asked again after a while.
+   * Whether the server itself has a recent report that it is draining. The end
+   * of draining may go unreported, for example after a restart under the same
+   * id, so a report expires; otherwise the server would never get work again.
    */
   saysDraining(id: contracts.ServerId): boolean {
-    const sinceMs = this.#drainingSinceMs.get(id);
-    return sinceMs !== undefined &&
-      this.#options.clock.nowMs() < sinceMs + DRAIN_WORD_MS;
+    const reportedMs = this.#drainReportedMs.get(id);
+    return reportedMs !== undefined &&
+      this.#options.clock.nowMs() < reportedMs + DRAIN_REPORT_TTL_MS;
   }
 
-  /** The server takes work again, for example after a restart. */
+  /** Records that the server takes work again, for example after a restart. */
   noteNotDraining(id: contracts.ServerId): void {
-    if (!this.#drainingSinceMs.delete(id) || this.#operatorDrains.has(id)) {
+    if (!this.#drainReportedMs.delete(id) || this.#operatorDrains.has(id)) {
       return;
     }
     const known = this.#byId.get(id);
     if (known?.state === "draining") this.#put({ ...known, state: "live" });
   }
 
-  /** Takes the servers that operators drain, in place of the last set. */
+  /** Replaces the set of servers that operators drain. */
   setOperatorDrains(servers: Iterable<contracts.ServerId>): void {
     this.#operatorDrains = new Set(servers);
-    this.#index();
+    this.#rebuildIndex();
   }
 
   async #poll(): Promise<void> {
@@ -100,15 +101,18 @@
     });
     this.#isPolling = false;
     if (result.isErr()) {
-      this.#options.log.warn("VM list not read, the last one stays", {
-        reason: result.error.message,
-      });
+      this.#options.log.warn(
+        "VM list could not be fetched, the previous one stays in use",
+        {
+          reason: result.error.message,
+        },
+      );
       return;
     }
     this.#apply(result.value.vms);
   }
 
-  #index(): void {
+  #rebuildIndex(): void {
     this.#byId.clear();
     this.#byService.clear();
     for (const vm of this.#vms) {
@@ -119,16 +123,16 @@
 
   #apply(vms: contracts.ListedVm[]): void {
     this.#vms = vms;
-    this.#index();
+    this.#rebuildIndex();
     for (const listener of this.#listeners) listener(vms);
   }
 
   #toAddress(vm: contracts.ListedVm): ServerAddress | undefined {
     if (vm.kind !== "backend") return undefined;
     if (vm.server === undefined || vm.service === undefined) return undefined;
-    const isTold = this.saysDraining(vm.server) ||
+    const hasDrainRequest = this.saysDraining(vm.server) ||
       this.#operatorDrains.has(vm.server);
-    const isDraining = isTold && vm.state === "live";
+    const isDraining = hasDrainRequest && vm.state === "live";
     return {
       server: vm.server,
       service: vm.service,
--- a/packages/entry/src/zones/server_directory_test.ts
+++ b/packages/entry/src/zones/server_directory_test.ts
@@ -18,9 +18,9 @@
   state: "live",
 });
 
-// A server drains, ends and is started again under its id. No VM that does not
-// send it orders is told, and would have kept its keys waiting for good.
-test("should give a server work again when its word to drain is old", async (t) => {
+// A server drains, stops and restarts under the same id. VMs that don't send it
+// lease commands get no report of that, and must not hold its requests forever.
+test("should treat a server as live when its drain report has expired", async (t) => {
   let nowMs = 0;
   const directory = new ServerDirectory({
     vmList: { fetch: () => neverthrow.okAsync({ vms: [LISTED] }) },
@@ -36,13 +36,13 @@
   nowMs = 10_000;
   directory.noteDraining(SERVER);
   nowMs = 20_000;
-  await nextList(directory);
+  await waitForNextList(directory);
   expect(directory.server(SERVER)?.state).toEqual("draining");
   nowMs = 30_000;
-  await nextList(directory);
+  await waitForNextList(directory);
   expect(directory.server(SERVER)?.state).toEqual("live");
 });
 
-function nextList(directory: ServerDirectory): Promise<void> {
-  return new Promise((resolve) => directory.onList(() => resolve()));
+function waitForNextList(directory: ServerDirectory): Promise<void> {
+  return new Promise((resolve) => directory.onVmList(() => resolve()));
 }
