--- a/packages/entry/src/requests/request_run.ts
+++ b/packages/entry/src/requests/active_request.ts
@@ -9,7 +9,7 @@
   type CallerRequest,
   notRun,
 } from "./caller_request.ts";
-import type { RequestContext } from "./service_parts.ts";
+import type { RequestContext } from "./request_context.ts";
 import type { Slot, SlotRequest } from "./slot_allocator.ts";
 
 /** Options of {@link ActiveRequest}. */
--- a/packages/entry/src/requests/dispatched_allocator.ts
+++ b/packages/entry/src/requests/dispatched_allocator.ts
@@ -8,7 +8,7 @@
 import type { ServerView } from "../contracts/views.ts";
 import type { PartLog } from "../utils/log.ts";
 import { OncePerTurn } from "../utils/once_per_turn.ts";
-import type { PeerRpc } from "./peer_calls.ts";
+import type { PeerRpc } from "./peer_rpc.ts";
 import type { Slot, SlotAllocator, SlotRequest } from "./slot_allocator.ts";
 import type { SlotDispatcher } from "./slot_dispatcher.ts";
 import * as messages from "./slot_messages.ts";
--- a/packages/entry/src/requests/dispatched_slots_test.ts
+++ b/packages/entry/src/requests/dispatched_allocator_test.ts
@@ -6,7 +6,7 @@
 import { createLog } from "../utils/log.ts";
 import { DispatchedAllocator } from "./dispatched_allocator.ts";
 import { waitUntil } from "./fakes_test_support.ts";
-import type { PeerCallOptions, PeerRpc } from "./peer_calls.ts";
+import type { PeerCallOptions, PeerRpc } from "./peer_rpc.ts";
 import type { Slot, SlotAllocator, SlotRequest } from "./slot_allocator.ts";
 import { SlotDispatcher } from "./slot_dispatcher.ts";
 import * as messages from "./slot_messages.ts";
--- a/packages/entry/src/requests/keyed_allocator.ts
+++ b/packages/entry/src/requests/keyed_allocator.ts
@@ -5,8 +5,8 @@
 import type * as contracts from "@guavatide/contracts";
 import type * as routing from "@guavatide/decisions/routing/mod";
 import type { OwnerLookup, OwnerView } from "../contracts/views.ts";
-import { RequestQueue } from "./lane.ts";
-import { ServerMonitor, type ServerMonitorOptions } from "./server_watch.ts";
+import { RequestQueue } from "./request_queue.ts";
+import { ServerMonitor, type ServerMonitorOptions } from "./server_monitor.ts";
 import type { Slot, SlotAllocator, SlotRequest } from "./slot_allocator.ts";
 
 /** Options of {@link KeyedAllocator}. */
--- a/packages/entry/src/requests/local_allocator.ts
+++ b/packages/entry/src/requests/local_allocator.ts
@@ -1,8 +1,8 @@
 /** Allocates slots of an unkeyed service by local state of this entry VM. */
 import type * as contracts from "@guavatide/contracts";
 import * as routing from "@guavatide/decisions/routing/mod";
-import { RequestQueue } from "./lane.ts";
-import { ServerMonitor, type ServerMonitorOptions } from "./server_watch.ts";
+import { RequestQueue } from "./request_queue.ts";
+import { ServerMonitor, type ServerMonitorOptions } from "./server_monitor.ts";
 import type { Slot, SlotAllocator, SlotRequest } from "./slot_allocator.ts";
 
 /** Options of {@link LocalAllocator}. */
--- a/packages/entry/src/requests/request_router.ts
+++ b/packages/entry/src/requests/request_router.ts
@@ -18,10 +18,10 @@
 import { DispatchedAllocator } from "./dispatched_allocator.ts";
 import { KeyedAllocator } from "./keyed_allocator.ts";
 import { LocalAllocator } from "./local_allocator.ts";
-import type { PeerRpc } from "./peer_calls.ts";
+import type { PeerRpc } from "./peer_rpc.ts";
 import type { RequestMetrics } from "./request_metrics.ts";
-import { ActiveRequest } from "./request_run.ts";
-import type { RequestContext } from "./service_parts.ts";
+import { ActiveRequest } from "./active_request.ts";
+import type { RequestContext } from "./request_context.ts";
 import type { SlotAllocator } from "./slot_allocator.ts";
 import { SlotDispatcher } from "./slot_dispatcher.ts";
 import * as messages from "./slot_messages.ts";
--- a/packages/entry/src/requests/slot_dispatcher.ts
+++ b/packages/entry/src/requests/slot_dispatcher.ts
@@ -10,7 +10,7 @@
 import type * as contracts from "@guavatide/contracts";
 import type * as routing from "@guavatide/decisions/routing/mod";
 import { OncePerTurn } from "../utils/once_per_turn.ts";
-import type { PeerRpc } from "./peer_calls.ts";
+import type { PeerRpc } from "./peer_rpc.ts";
 import type { Slot, SlotAllocator, SlotRequest } from "./slot_allocator.ts";
 import * as messages from "./slot_messages.ts";
 
--- a/packages/entry/src/vms/peer_calls_of.ts
+++ b/packages/entry/src/vms/peer_calls_of.ts
@@ -1,7 +1,7 @@
 /** Gives the request path its view of the other entry VMs. */
 import type * as decisions from "@guavatide/decisions";
 import type * as contracts from "@guavatide/contracts";
-import type { PeerRpc } from "../requests/peer_calls.ts";
+import type { PeerRpc } from "../requests/peer_rpc.ts";
 import type { PeerDoor } from "./peer_door.ts";
 import type { PeerTask } from "./peer_task.ts";
 
--- a/packages/standins/src/bench/bench_peers.ts
+++ b/packages/standins/src/bench/bench_peers.ts
@@ -1,6 +1,6 @@
 /** Links between the bench's entry processes, with the brief's delay. */
 import type * as contracts from "@guavatide/contracts";
-import type { PeerCallOptions, PeerRpc } from "guavatide/requests/peer_calls";
+import type { PeerCallOptions, PeerRpc } from "guavatide/requests/peer_rpc";
 import type { PeerDoor } from "guavatide/vms/peer_door";
 import { PeerLink } from "guavatide/vms/peer_link";
 import * as crypto from "node:crypto";
