--- a/packages/entry/src/requests/active_request.ts
+++ b/packages/entry/src/requests/active_request.ts
@@ -309,7 +309,7 @@
     this.#context.log.info(
       decision.kind === "retry"
         ? "Retries the request."
-        : "Gives up the request.",
+        : "Gives up on the request.",
       {
         service: this.#context.service.name,
         server,
--- a/packages/entry/src/requests/fakes_test_support.ts
+++ b/packages/entry/src/requests/fakes_test_support.ts
@@ -204,9 +204,7 @@
 ): Promise<void> {
   const endMs = performance.now() + timeoutMs;
   while (!condition()) {
-    if (performance.now() > endMs) {
-      throw new Error("The condition was not met before the timeout");
-    }
+    if (performance.now() > endMs) throw new Error("The wait timed out");
     await new Promise((resolve) => setTimeout(resolve, 2));
   }
 }
--- a/packages/entry/src/requests/keyed_allocator.ts
+++ b/packages/entry/src/requests/keyed_allocator.ts
@@ -32,7 +32,7 @@
   readonly #options: KeyedAllocatorOptions;
   readonly #queues = new Map<contracts.ServerId, RequestQueue>();
   /** Requests whose slice has no owner that serves it at present. */
-  readonly #ownerlessQueue = new RequestQueue();
+  readonly #ownerless = new RequestQueue();
   readonly #monitor: ServerMonitor;
   #service: contracts.Service;
   /** Slices whose owner refused a request, with the revision and retry time. */
@@ -46,7 +46,7 @@
   }
 
   get waitingCount(): number {
-    let count = this.#ownerlessQueue.size;
+    let count = this.#ownerless.size;
     for (const queue of this.#queues.values()) count += queue.size;
     return count;
   }
@@ -59,7 +59,7 @@
   }
 
   withdraw(request: SlotRequest): void {
-    if (this.#ownerlessQueue.remove(request)) return;
+    if (this.#ownerless.remove(request)) return;
     for (const queue of this.#queues.values()) {
       if (queue.remove(request)) return;
     }
@@ -89,7 +89,7 @@
   /** Looks up the owner of every waiting request again. */
   refresh(): void {
     this.#monitor.refresh();
-    const requests = this.#ownerlessQueue.drain();
+    const requests = this.#ownerless.drain();
     for (const queue of this.#queues.values()) requests.push(...queue.drain());
     for (const request of requests) this.#enqueue(request);
     for (const [server, queue] of this.#queues) {
@@ -147,7 +147,7 @@
     const canQueueAtOwner = owner.kind === "owned" && this.#isSliceOpen(owner);
     const queue = canQueueAtOwner
       ? this.#queueOf(owner.server)
-      : this.#ownerlessQueue;
+      : this.#ownerless;
     queue.push(request);
     return queue;
   }
@@ -161,15 +161,13 @@
   }
 
   #serveQueue(queue: RequestQueue): void {
-    if (queue === this.#ownerlessQueue) return;
-    let request = queue.peek();
-    while (request !== undefined && this.#serveNext(queue, request)) {
-      request = queue.peek();
-    }
+    if (queue === this.#ownerless) return;
+    let next = queue.peek();
+    while (next !== undefined && this.#serve(queue, next)) next = queue.peek();
   }
 
   /** Grants or requeues the request; false when it has to wait. */
-  #serveNext(queue: RequestQueue, request: SlotRequest): boolean {
+  #serve(queue: RequestQueue, request: SlotRequest): boolean {
     const owner = this.#lookUpOwner(request);
     if (owner.kind !== "owned" || this.#queueOf(owner.server) !== queue) {
       queue.shift();
@@ -200,19 +198,17 @@
     if (refusal === undefined) return true;
     const waitMs = refusal.retryAtMs - this.#options.clock.nowMs();
     if (owner.revision <= refusal.revision && waitMs > 0) {
-      this.#scheduleRetry(waitMs);
+      this.#retryIn(waitMs);
       return false;
     }
     this.#refusals.delete(owner.slice);
     return true;
   }
 
-  #scheduleRetry(waitMs: number): void {
+  #retryIn(waitMs: number): void {
     this.#retryTimer ??= setTimeout(() => {
       this.#retryTimer = undefined;
-      for (const request of this.#ownerlessQueue.drain()) {
-        this.#enqueue(request);
-      }
+      for (const request of this.#ownerless.drain()) this.#enqueue(request);
       this.#serveAllQueues();
     }, Math.ceil(waitMs));
   }
--- a/packages/entry/src/requests/local_allocator.ts
+++ b/packages/entry/src/requests/local_allocator.ts
@@ -75,14 +75,12 @@
   }
 
   #serveQueue(): void {
-    let request = this.#queue.peek();
-    while (request !== undefined && this.#serveNext(request)) {
-      request = this.#queue.peek();
-    }
+    let next = this.#queue.peek();
+    while (next !== undefined && this.#serve(next)) next = this.#queue.peek();
   }
 
   /** Grants or refuses the next request; false when it has to wait. */
-  #serveNext(request: SlotRequest): boolean {
+  #serve(request: SlotRequest): boolean {
     const liveServers = this.#monitor.liveServers().filter((it) =>
       !request.tried.has(it.server)
     );
--- a/packages/entry/src/requests/request_router.ts
+++ b/packages/entry/src/requests/request_router.ts
@@ -283,10 +283,8 @@
   }
 
   #applyDecisions(message: messages.SlotsDecided): object {
-    const allocator = this.#services.get(message.service)?.context.allocator;
-    if (allocator instanceof DispatchedAllocator) {
-      allocator.applyDecisions(message);
-    }
+    const client = this.#services.get(message.service)?.context.allocator;
+    if (client instanceof DispatchedAllocator) client.applyDecisions(message);
     return {};
   }
 
--- a/packages/entry/src/requests/server_monitor.ts
+++ b/packages/entry/src/requests/server_monitor.ts
@@ -59,11 +59,9 @@
    */
   candidates(servers: Iterable<contracts.ServerId>): routing.Candidate[] {
     const nowMs = this.#options.clock.nowMs();
-    const candidates = this.#tracker.candidates(servers, nowMs);
-    if (candidates.length === 0) {
-      this.#scheduleRetry(this.#tracker.pauseLeftMs(nowMs));
-    }
-    return candidates;
+    const available = this.#tracker.candidates(servers, nowMs);
+    if (available.length === 0) this.#retryIn(this.#tracker.pauseLeftMs(nowMs));
+    return available;
   }
 
   /** Counts a request as in flight at a server. */
@@ -102,7 +100,7 @@
   }
 
   /** Calls `onServerAvailable` after the time; one timer serves all calls. */
-  #scheduleRetry(waitMs: number | undefined): void {
+  #retryIn(waitMs: number | undefined): void {
     if (waitMs === undefined || this.#retryTimer !== undefined) return;
     this.#retryTimer = setTimeout(() => {
       this.#retryTimer = undefined;
--- a/packages/entry/src/requests/slot_dispatcher.ts
+++ b/packages/entry/src/requests/slot_dispatcher.ts
@@ -115,7 +115,7 @@
 
   /** Returns the decisions for this VM that are available at once. */
   handleUpdate(update: messages.SlotsUpdate): messages.SlotDecision[] {
-    for (const number of update.withdrawn) this.#withdraw(update.vm, number);
+    for (const id of update.withdrawn) this.#withdraw(update.vm, id);
     const { incarnation } = this.#options.peers.self;
     if (update.dispatcher === incarnation) {
       for (const { grant, end } of update.ended) this.#endGrant(grant, end);
@@ -135,25 +135,21 @@
     const held = new Set(update.held);
     const confirmedBeforeMs = this.#options.clock.nowMs() -
       GRANT_CONFIRMATION_MS;
-    for (const [number, grant] of this.#grants) {
+    for (const [id, grant] of this.#grants) {
       const isLost = grant.vm === update.vm &&
         grant.grantedMs < confirmedBeforeMs &&
-        !held.has(number);
-      if (isLost) this.#endGrant(number, { kind: "abandoned" });
+        !held.has(id);
+      if (isLost) this.#endGrant(id, { kind: "abandoned" });
     }
   }
 
   refresh(): void {
     const nowMs = this.#options.clock.nowMs();
-    for (const [number, grant] of this.#grants) {
-      if (grant.expiresMs < nowMs) {
-        this.#endGrant(number, { kind: "abandoned" });
-      }
+    for (const [id, grant] of this.#grants) {
+      if (grant.expiresMs < nowMs) this.#endGrant(id, { kind: "abandoned" });
     }
     for (const request of this.#requests.values()) {
-      if (request.deadlineMs < nowMs) {
-        this.#withdraw(request.vm, request.requestNumber);
-      }
+      if (request.deadlineMs < nowMs) this.#withdraw(request.vm, request.id);
     }
     this.#allocator.refresh();
   }
@@ -171,10 +167,10 @@
   }
 
   #decide(request: RemoteSlotRequest, decision: RemoteDecision): void {
-    this.#requests.delete(requestKey(request.vm, request.requestNumber));
-    const { vm, requestNumber } = request;
+    this.#requests.delete(requestKey(request.vm, request.id));
+    const { vm, id } = request;
     if (decision.kind === "refused") {
-      this.#enqueueDecision(vm, { ...decision, wish: requestNumber });
+      this.#enqueueDecision(vm, { ...decision, wish: id });
       return;
     }
     const grant = this.#nextGrantNumber++;
@@ -185,24 +181,24 @@
     const { server } = slot.address;
     this.#enqueueDecision(vm, {
       kind: "granted",
-      wish: requestNumber,
+      wish: id,
       grant,
       server,
     });
   }
 
-  #withdraw(vm: contracts.VmId, number: number): void {
-    const key = requestKey(vm, number);
+  #withdraw(vm: contracts.VmId, id: number): void {
+    const key = requestKey(vm, id);
     const request = this.#requests.get(key);
     if (request === undefined) return;
     this.#requests.delete(key);
     this.#allocator.withdraw(request);
   }
 
-  #endGrant(number: number, outcome: routing.AttemptEnd): void {
-    const grant = this.#grants.get(number);
+  #endGrant(id: number, outcome: routing.AttemptEnd): void {
+    const grant = this.#grants.get(id);
     if (grant === undefined) return;
-    this.#grants.delete(number);
+    this.#grants.delete(id);
     this.#allocator.release(grant.slot, outcome);
   }
 
@@ -260,7 +256,7 @@
 /** A request that waits at an entry VM, possibly another one. */
 class RemoteSlotRequest implements SlotRequest {
   readonly vm: contracts.VmId;
-  readonly requestNumber: number;
+  readonly id: number;
   readonly tenant: string;
   readonly deadlineMs: number;
   readonly keyHash = undefined;
@@ -276,7 +272,7 @@
     },
   ) {
     this.vm = vm;
-    this.requestNumber = message.wish;
+    this.id = message.wish;
     this.tenant = message.tenant;
     this.deadlineMs = options.nowMs + message.timeLeftMs;
     this.tried = new Set(message.tried);
@@ -297,6 +293,6 @@
   }
 }
 
-function requestKey(vm: contracts.VmId, number: number): string {
-  return `${vm} ${number}`;
+function requestKey(vm: contracts.VmId, id: number): string {
+  return `${vm} ${id}`;
 }
