--- a/packages/entry/src/requests/dispatched_allocator.ts
+++ b/packages/entry/src/requests/dispatched_allocator.ts
@@ -29,7 +29,7 @@
 
 /** Timeout of an update to the dispatcher. */
 const UPDATE_TIMEOUT_MS = 250;
-/** Concurrent updates; later changes are batched into the next one. */
+/** Limit of concurrent updates; later changes are batched into the next one. */
 const MAX_UPDATES_IN_FLIGHT = 2;
 /** Interval at which an unresponsive dispatcher is probed. */
 const PROBE_INTERVAL_MS = 1000;
