--- a/packages/entry/src/configuration/config_task.ts
+++ b/packages/entry/src/configuration/config_task.ts
@@ -23,7 +23,7 @@
   readonly vm: contracts.VmId;
   readonly store: contracts.PlatformStore;
   readonly peers: PeerConfigSource;
-  readonly choice: decisions.WatcherChoice;
+  readonly choice: decisions.WatcherSelector;
   readonly clock: contracts.Clock;
   readonly random: contracts.RandomSource;
   readonly log: PartLog;
@@ -54,7 +54,7 @@
 export class ConfigTask implements ConfigView, PeerConfigOwner {
   readonly #options: ConfigTaskOptions;
   readonly #state: decisions.ConfigState;
-  readonly #deltas = new decisions.ConfigDeltas();
+  readonly #deltas = new decisions.ConfigHistory();
   readonly #reader: ConfigReader;
   readonly #watch: storeWatch.StoreWatch;
   readonly #listeners = new Set<ConfigListener>();
@@ -71,7 +71,7 @@
   constructor(options: ConfigTaskOptions) {
     this.#options = options;
     this.#state = new decisions.ConfigState({
-      settleMs: options.settleMs,
+      peerDiscoveryMs: options.settleMs,
       startedMs: options.clock.nowMs(),
     });
     this.#reader = new ConfigReader({
@@ -101,7 +101,7 @@
   /** Whether this VM is among those that watch the store. */
   get isWatcher(): boolean {
     const live = this.#options.peers.liveVms();
-    return this.#options.choice.watchers(live).includes(this.#options.vm);
+    return this.#options.choice.select(live).includes(this.#options.vm);
   }
 
   /** Time since the store last confirmed the revision in force, if ever. */
@@ -165,7 +165,7 @@
 
   noteHeard(vm: contracts.VmId, revision: number): void {
     this.#heard.set(vm, { revision, atMs: this.#options.clock.nowMs() });
-    this.#state.noteHeard(vm, revision);
+    this.#state.notePeerRevision(vm, revision);
     void this.#fetchFromPeer();
   }
 
@@ -268,7 +268,7 @@
   }
 
   #index(config: contracts.PublishedConfig): void {
-    this.#deltas.note(config);
+    this.#deltas.add(config);
     this.#services = new Map();
     this.#partners = new Map();
     for (const object of config.objects) {
--- a/packages/entry/src/configuration/config_task_test.ts
+++ b/packages/entry/src/configuration/config_task_test.ts
@@ -56,11 +56,11 @@
 class Fleet {
   readonly store = new FakeStore();
   readonly network = new FakeNetwork();
-  readonly #choice: decisions.WatcherChoice;
+  readonly #choice: decisions.WatcherSelector;
   readonly #lifeCycles: LifeCycle[] = [];
   readonly vms: contracts.VmId[];
 
-  private constructor(choice: decisions.WatcherChoice, size: number) {
+  private constructor(choice: decisions.WatcherSelector, size: number) {
     this.#choice = choice;
     this.vms = Array.from(
       { length: size },
@@ -70,7 +70,7 @@
   }
 
   static async start(t: TestContext, size: number): Promise<Fleet> {
-    const fleet = new Fleet(await decisions.createWatcherChoice(), size);
+    const fleet = new Fleet(await decisions.createWatcherSelector(), size);
     const beats = setInterval(() => fleet.network.beat(), 10);
     t.after(() => clearInterval(beats));
     t.after(() => Promise.all(fleet.#lifeCycles.map((each) => each.stop())));
@@ -152,7 +152,7 @@
   await fleet.waitFor(2);
   const watching = [...fleet.network.tasks.values()]
     .filter((task) => task.isWatcher);
-  expect(watching.length).toEqual(decisions.WATCHERS);
+  expect(watching.length).toEqual(decisions.WATCHER_COUNT);
 });
 
 // The connection under the watch was forgotten by something between the two
--- a/packages/entry/src/configuration/publisher.ts
+++ b/packages/entry/src/configuration/publisher.ts
@@ -178,8 +178,8 @@
       drafts.value.drafts.map((draft) => draft.object),
     );
     const plan = {
-      changes: decisions.diffSets(before?.config.objects ?? [], objects),
-      findings: decisions.checkSet(objects),
+      changes: decisions.diffObjects(before?.config.objects ?? [], objects),
+      findings: decisions.validateObjects(objects),
       tag: drafts.value.tag,
       currentRevision: before?.config.revision ?? 0,
       objects,
--- a/packages/entry/src/loads/load_task.ts
+++ b/packages/entry/src/loads/load_task.ts
@@ -46,7 +46,7 @@
 export class LoadTask implements HeartbeatParticipant {
   readonly #options: LoadTaskOptions;
   readonly #trackers = new Map<contracts.ServiceId, placement.LoadTracker>();
-  readonly #reports = new Map<contracts.ServiceId, placement.LoadBook>();
+  readonly #reports = new Map<contracts.ServiceId, placement.LoadAggregator>();
   #ownership: OwnershipSource | undefined;
   readonly #leaders = new Map<contracts.ServiceId, contracts.VmId>();
 
@@ -78,7 +78,9 @@
     const { fromHash, toHash } = slice;
     const tracker = this.#trackerOf(sample.service);
     tracker.record({ fromHash, toHash, keyHash: sample.keyHash });
-    if (sample.hadFreeSlot) tracker.recordWork(sample.server, sample.workMs);
+    if (sample.hadFreeSlot) {
+      tracker.recordServiceTime(sample.server, sample.workMs);
+    }
   }
 
   /** Load estimates for the planner of a service. */
@@ -135,13 +137,13 @@
     if (leader === undefined) return;
     await this.#options.peers.link(leader)?.call(LOAD_METHOD, {
       params: load,
-      schema: contracts.loadReceiptSchema,
+      schema: contracts.serviceLoadReplySchema,
       timeoutMs: REPORT_TIMEOUT_MS,
     });
   }
 
-  #receive(load: contracts.ServiceLoad): contracts.LoadReceipt {
-    this.#reportsOf(load.service).note(load, this.#nowMs());
+  #receive(load: contracts.ServiceLoad): contracts.ServiceLoadReply {
+    this.#reportsOf(load.service).record(load, this.#nowMs());
     return { taken: true };
   }
 
@@ -153,10 +155,10 @@
     return tracker;
   }
 
-  #reportsOf(service: contracts.ServiceId): placement.LoadBook {
+  #reportsOf(service: contracts.ServiceId): placement.LoadAggregator {
     const known = this.#reports.get(service);
     if (known !== undefined) return known;
-    const reports = new placement.LoadBook(REPORT_TTL_MS);
+    const reports = new placement.LoadAggregator(REPORT_TTL_MS);
     this.#reports.set(service, reports);
     return reports;
   }
--- a/packages/entry/src/metrics/counted_moves.ts
+++ b/packages/entry/src/metrics/metered_moves.ts
@@ -3,12 +3,12 @@
  * how long each slice was without an owner.
  */
 import type * as contracts from "@guavatide/contracts";
-import type { MoveStep } from "@guavatide/decisions/ownership/mod";
+import type { SliceChange } from "@guavatide/decisions/ownership/mod";
 import type { MovedSteps, MoveRecord } from "../ownership/service_context.ts";
 import type { Metrics } from "./metrics.ts";
 
 /** A record of moves that is counted. */
-export class CountedMoves implements MoveRecord {
+export class MeteredMoves implements MoveRecord {
   readonly #record: MoveRecord;
   readonly #metrics: Metrics;
   readonly #vacatedAtMs = new Map<string, number>();
@@ -23,7 +23,7 @@
     for (const step of moved.steps) this.#count(moved.service, step);
   }
 
-  #count(service: contracts.ServiceId, step: MoveStep): void {
+  #count(service: contracts.ServiceId, step: SliceChange): void {
     this.#metrics.sliceMoves.add(1, { service, step: step.step });
     const name = `${service}/${step.slice}`;
     if (step.step === "vacate") {
--- a/packages/entry/src/ownership/assignment_store.ts
+++ b/packages/entry/src/ownership/assignment_store.ts
@@ -4,13 +4,13 @@
 
 /** A read with the time it was sent, from which evidence counts. */
 export interface TimedRead {
-  readonly read: ownership.AssignmentRead;
+  readonly read: ownership.AssignmentReadResult;
   readonly sentAtMs: number;
 }
 
 /** A write with the time it was sent. */
 export interface TimedWrite {
-  readonly write: ownership.AssignmentWrite;
+  readonly write: ownership.AssignmentWriteResult;
   readonly sentAtMs: number;
 }
 
--- a/packages/entry/src/ownership/duty_task.ts
+++ b/packages/entry/src/ownership/duty_task.ts
@@ -7,7 +7,7 @@
 export class DutyTask {
   readonly #context: ServiceContext;
   readonly #log: PartLog;
-  readonly #lease: ownership.DutyLease;
+  readonly #lease: ownership.LeaderLease;
   readonly #name: string;
   #wasHolding = false;
 
@@ -15,8 +15,8 @@
     this.#context = context;
     this.#log = context.log.part("duty");
     this.#name = `duty/${context.service}`;
-    this.#lease = new ownership.DutyLease(context.peers.self, {
-      ...ownership.DEFAULT_DUTY_SETTINGS,
+    this.#lease = new ownership.LeaderLease(context.peers.self, {
+      ...ownership.DEFAULT_LEADER_LEASE_SETTINGS,
       leaseMs: context.timings.dutyLeaseMs,
       renewMs: context.timings.dutyRenewMs,
     });
@@ -24,7 +24,7 @@
 
   /** Whether this VM holds the duty now. */
   get holds(): boolean {
-    return this.#lease.holds(this.#context.clock.nowMs());
+    return this.#lease.isLeader(this.#context.clock.nowMs());
   }
 
   tick(nowMs: number): void {
@@ -41,14 +41,14 @@
 
   /** Hands the duty back, so that the next VM need not wait for its end. */
   async stop(): Promise<void> {
-    const effect = this.#lease.release(this.#context.clock.nowMs());
+    const effect = this.#lease.resign(this.#context.clock.nowMs());
     if (effect?.kind === "write") await this.#put(effect);
   }
 
   /** Different VMs come first for different services. */
   #rank(): number {
     const { peers, hasher, service } = this.#context;
-    const ranked = ownership.rankByName(service, peers.live(), { hasher });
+    const ranked = ownership.rendezvousOrder(service, peers.live(), { hasher });
     return Math.max(0, ranked.indexOf(peers.self.vm));
   }
 
@@ -59,7 +59,7 @@
     });
     const read = result.match(
       ({ value, version }) => toRead(value, version),
-      (error): ownership.DutyRead => ({
+      (error): ownership.LeaderRecordRead => ({
         kind: error.kind === "not-found" ? "absent" : "unavailable",
       }),
     );
@@ -67,12 +67,15 @@
   }
 
   async #write(
-    effect: Extract<ownership.DutyEffect, { kind: "write" }>,
+    effect: Extract<ownership.LeaderLeaseEffect, { kind: "write" }>,
   ): Promise<void> {
     const result = await this.#put(effect);
     const write = result.match(
-      (version): ownership.DutyWrite => ({ kind: "acknowledged", version }),
-      (error): ownership.DutyWrite => ({
+      (version): ownership.LeaderRecordWrite => ({
+        kind: "acknowledged",
+        version,
+      }),
+      (error): ownership.LeaderRecordWrite => ({
         kind: error.kind === "conflict" ? "conflict" : "unavailable",
       }),
     );
@@ -80,7 +83,7 @@
     this.#lease.noteWrite(write, clock.nowMs(), random);
   }
 
-  #put(effect: Extract<ownership.DutyEffect, { kind: "write" }>) {
+  #put(effect: Extract<ownership.LeaderLeaseEffect, { kind: "write" }>) {
     const { store, timings } = this.#context;
     return store.put(this.#name, JSON.stringify(effect.record), {
       timeoutMs: timings.storeTimeoutMs,
@@ -89,18 +92,18 @@
   }
 
   #logChange(nowMs: number): void {
-    const holds = this.#lease.holds(nowMs);
+    const holds = this.#lease.isLeader(nowMs);
     if (holds === this.#wasHolding) return;
     this.#wasHolding = holds;
     const { service } = this.#context;
     const sentence = holds ? "control duty taken" : "control duty given up";
-    this.#log.info(sentence, { service, holder: this.#lease.holder });
+    this.#log.info(sentence, { service, holder: this.#lease.leader });
   }
 }
 
-function toRead(value: string, version: string): ownership.DutyRead {
+function toRead(value: string, version: string): ownership.LeaderRecordRead {
   try {
-    const record = ownership.dutyRecordSchema.parse(JSON.parse(value));
+    const record = ownership.leaderRecordSchema.parse(JSON.parse(value));
     return { kind: "found", record, version };
   } catch {
     return { kind: "unavailable" };
--- a/packages/entry/src/ownership/fake_servers_test.ts
+++ b/packages/entry/src/ownership/fake_servers_test.ts
@@ -14,8 +14,8 @@
   stillRunning = 0;
   orders = 0;
   #revision = 0;
-  #slices: readonly contracts.HeldSlice[] = [];
-  #released: contracts.OwnershipReply["releasing"] = [];
+  #slices: readonly contracts.LeasedSlice[] = [];
+  #released: contracts.LeaseCommandReply["releasing"] = [];
   #leaseEndMs = 0;
 
   constructor(name: string, service: contracts.ServiceId) {
@@ -30,14 +30,14 @@
   }
 
   /** Slices held under a lease that has not ended. */
-  get held(): readonly contracts.HeldSlice[] {
+  get held(): readonly contracts.LeasedSlice[] {
     return performance.now() < this.#leaseEndMs ? this.#slices : [];
   }
 
-  order(
-    order: contracts.OwnershipOrder,
+  sendLeaseCommand(
+    order: contracts.LeaseCommand,
   ): neverthrow.ResultAsync<
-    contracts.OwnershipReply,
+    contracts.LeaseCommandReply,
     contracts.ServerCallError
   > {
     this.orders++;
@@ -70,7 +70,7 @@
 
   async close(): Promise<void> {}
 
-  #apply(order: contracts.OwnershipOrder, isAccepted: boolean): void {
+  #apply(order: contracts.LeaseCommand, isAccepted: boolean): void {
     this.#revision = order.revision;
     const names = new Set(order.slices.map(({ slice }) => slice));
     const letGo = this.#slices.filter(({ slice }) => !names.has(slice));
--- a/packages/entry/src/ownership/keeper_review.ts
+++ b/packages/entry/src/ownership/keeper_review.ts
@@ -6,7 +6,7 @@
 /** What a review came to. */
 export interface KeepersReviewed {
   /** The set to have; empty while no VM is able to keep. */
-  readonly keepers: contracts.Keeper[];
+  readonly keepers: contracts.Voter[];
   /** Keepers off the platform's list and silent for the whole grace time. */
   readonly gone: ReadonlySet<contracts.VmId>;
 }
@@ -32,11 +32,11 @@
     const gone = this.#goneVms(nowMs);
     const able = peers.live().filter((vm) => this.#settled.has(vm));
     const present = known.keepers;
-    const keepers = ownership.chooseKeepers({
+    const keepers = ownership.chooseVoters({
       service,
-      present,
-      able,
-      gone,
+      current: present,
+      eligible: able,
+      removed: gone,
       hasher,
     });
     return { keepers, gone };
--- a/packages/entry/src/ownership/known_assignment.ts
+++ b/packages/entry/src/ownership/known_assignment.ts
@@ -17,7 +17,7 @@
 /** One service's assignment as known here; its revision never falls. */
 export class KnownAssignment {
   readonly service: contracts.ServiceId;
-  readonly #book: ownership.EvidenceBook;
+  readonly #book: ownership.AssignmentTracker;
   readonly #log: PartLog;
   readonly #listeners = new Set<() => void>();
   #slices: ownership.SliceMap | undefined;
@@ -26,7 +26,7 @@
   constructor(options: KnownAssignmentOptions) {
     this.service = options.service;
     this.#log = options.log;
-    this.#book = new ownership.EvidenceBook(
+    this.#book = new ownership.AssignmentTracker(
       options.vm,
       options.service,
       options.settings,
@@ -53,7 +53,7 @@
 
   /** Whether this process has read the store since its start. */
   get settled(): boolean {
-    return this.#book.settled;
+    return this.#book.mayVote;
   }
 
   /** The keepers in force. */
@@ -62,7 +62,7 @@
   }
 
   known(): contracts.KnownRevision {
-    return this.#book.known();
+    return this.#book.knownRevision();
   }
 
   /** Takes in an assignment that a peer told. */
@@ -84,20 +84,20 @@
     this.#book.noteStoreAbsent();
   }
 
-  noteAnswer(answer: ownership.KeeperAnswer): void {
-    this.#book.noteAnswer(answer);
+  noteAnswer(answer: ownership.VoterReply): void {
+    this.#book.noteVoterReply(answer);
   }
 
   dropEvidence(): void {
-    this.#book.dropEvidence();
+    this.#book.dropConfirmations();
   }
 
   evidenceAskedAtMs(nowMs: number): number {
-    return this.#book.evidenceAskedAtMs(nowMs);
+    return this.#book.confirmedAtMs(nowMs);
   }
 
   hasEvidence(nowMs: number): boolean {
-    return this.#book.isGood(nowMs);
+    return this.#book.isConfirmed(nowMs);
   }
 
   /** Calls back after each change; returns what ends that. */
--- a/packages/entry/src/ownership/move_task.ts
+++ b/packages/entry/src/ownership/move_task.ts
@@ -26,7 +26,7 @@
 
 /** Plans by the width of slices alone. */
 export const NO_LOAD_SOURCE: LoadSource = {
-  estimate: (slices) => placement.unknownLoad(slices.length),
+  estimate: (slices) => placement.emptyLoadEstimate(slices.length),
   speeds: () => new Map(),
 };
 
@@ -51,7 +51,7 @@
   readonly #context: ServiceContext;
   readonly #options: MoveTaskOptions;
   readonly #log: PartLog;
-  readonly #mover: ownership.Mover;
+  readonly #mover: ownership.AssignmentController;
   readonly #keepers: KeeperReview;
   #planner: placement.Planner | undefined;
   #plannerFor = "";
@@ -72,7 +72,10 @@
     this.#log = context.log.part("place");
     this.#keepers = new KeeperReview(context);
     const { service, peers, timings } = context;
-    this.#mover = new ownership.Mover({ service, ...peers.self }, timings);
+    this.#mover = new ownership.AssignmentController(
+      { service, ...peers.self },
+      timings,
+    );
     options.orders.onAnswer((answer) => this.#mover.noteReply(answer));
   }
 
@@ -90,9 +93,9 @@
     const { revision } = known;
     const report = { vm, incarnation, revision, nowMs };
     this.#keepers.noteSettled(vm, known.settled);
-    this.#mover.notePromise({ ...report, askedAtMs });
+    this.#mover.noteAck({ ...report, requestedAtMs: askedAtMs });
     const busyServers = known.busyServers ?? [];
-    this.#mover.noteForwards({ ...report, busyServers });
+    this.#mover.noteUnfencedRequests({ ...report, busyServers });
   }
 
   /** Call often; does nothing unless this VM holds the duty. */
@@ -100,7 +103,7 @@
     if (holdsDuty !== this.#isOn) this.#switch(holdsDuty, nowMs);
     if (!holdsDuty) return;
     const { peers, known, random } = this.#context;
-    this.#mover.noteNewer(known.revision);
+    this.#mover.noteNewerRevision(known.revision);
     const own = known.known();
     const busyServers = this.#options.busyServers();
     this.notePeer(peers.self, { ...own, busyServers }, Infinity);
@@ -125,7 +128,7 @@
     this.#onSinceMs = nowMs;
     this.#planner = undefined;
     this.#plannerFor = "";
-    this.#mover.forget();
+    this.#mover.reset();
     this.#options.orders.orderAll(isOn);
   }
 
@@ -141,7 +144,7 @@
   }
 
   async #write(
-    effect: Extract<ownership.MoverEffect, { kind: "write" }>,
+    effect: Extract<ownership.AssignmentEffect, { kind: "write" }>,
   ): Promise<void> {
     const { assignments, known, clock, random } = this.#context;
     const { assignment, condition } = effect;
@@ -171,7 +174,7 @@
 
   /** A promise is complete only with answers from after a majority's. */
   #askKeepers(): void {
-    if (this.#isAsking || !this.#mover.needsAnswers) return;
+    if (this.#isAsking || !this.#mover.needsVoterReplies) return;
     this.#isAsking = true;
     const { peers, service } = this.#context;
     const sets = this.#mover.assignment?.keeperSets ?? [];
@@ -194,7 +197,7 @@
 
   #hurryOrders(): void {
     const { orders } = this.#options;
-    orders.hurry(this.#mover.takeHurried());
+    orders.hurry(this.#mover.takeUrgentServers());
     // Asked again and again until the last request of the slice is over.
     orders.hurry(this.#mover.vacatingServers());
   }
@@ -204,11 +207,11 @@
     this.#keepersAtMs = nowMs;
     const review = this.#keepers.review(nowMs);
     this.#keeperCount = review.keepers.length;
-    this.#mover.noteGone(review.gone, nowMs);
+    this.#mover.noteRemovedVms(review.gone, nowMs);
     this.#mover.keepMembers(this.#context.peers.all());
     this.#mover.requestTimings(this.#context.timings);
     if (review.keepers.length === 0) return;
-    this.#mover.requestKeepers(review.keepers);
+    this.#mover.requestVoters(review.keepers);
   }
 
   #plan(nowMs: number): void {
@@ -225,7 +228,7 @@
     if (nowMs < this.#lossesAtMs + LOSS_PLAN_MS) return;
     this.#lossesAtMs = nowMs;
     if (!this.#isLossPossible(assignment)) return;
-    this.#request(planner.planLosses(this.#input(assignment, nowMs)));
+    this.#request(planner.planEvacuations(this.#input(assignment, nowMs)));
   }
 
   /**
@@ -236,7 +239,7 @@
     const live = new Set(this.#context.peers.live());
     return keeperSets.every((set) => {
       const count = set.filter(({ vm }) => live.has(vm)).length;
-      return count >= ownership.majorityOf(set.length);
+      return count >= ownership.quorumSize(set.length);
     });
   }
 
@@ -282,7 +285,7 @@
     if (met.length === 0 || (!isWhole && isPatient)) return;
     const servers = met.map(({ server }) => server).sort();
     const count = planner.initialSliceCount(servers.length);
-    this.#mover.requestFirst(
+    this.#mover.requestInitial(
       ownership.equalSlices(servers, count, { fence: 1 }),
     );
     this.#log.info("first assignment planned", {
@@ -302,7 +305,7 @@
     this.#keepersAtMs = Number.NEGATIVE_INFINITY;
     this.#reviewKeepers(nowMs);
     const listed = this.#context.peers.listed()?.size ?? Infinity;
-    return this.#keeperCount >= Math.min(listed, ownership.KEEPER_LIMIT);
+    return this.#keeperCount >= Math.min(listed, ownership.MAX_VOTERS);
   }
 
   #input(
@@ -349,8 +352,8 @@
   }
 
   #logSteps(
-    effect: Extract<ownership.MoverEffect, { kind: "write" }>,
-    write: ownership.AssignmentWrite,
+    effect: Extract<ownership.AssignmentEffect, { kind: "write" }>,
+    write: ownership.AssignmentWriteResult,
   ): void {
     const { service, revision } = effect.assignment;
     const isWritten = write.kind === "acknowledged";
@@ -361,7 +364,7 @@
         outcome: write.kind,
       });
     }
-    const steps = isWritten ? effect.steps : [];
+    const steps = isWritten ? effect.changes : [];
     this.#context.moveRecord.noteSteps({ service, revision, steps });
     for (const step of steps) {
       this.#log.info(`slice ${SENTENCES[step.step]}`, {
--- a/packages/entry/src/ownership/order_task.ts
+++ b/packages/entry/src/ownership/order_task.ts
@@ -37,8 +37,8 @@
 export class OrderTask {
   readonly #context: ServiceContext;
   readonly #log: PartLog;
-  readonly #book: ownership.OrderBook;
-  readonly #detector: ownership.LossDetector;
+  readonly #book: ownership.LeaseCommandScheduler;
+  readonly #detector: ownership.FailureDetector;
   readonly #contacts = new Map<contracts.ServerId, Contact>();
   readonly #lost = new Set<contracts.ServerId>();
   readonly #unlistedSinceMs = new Map<contracts.ServerId, number>();
@@ -50,13 +50,13 @@
   #isContactChange = true;
   #judgedAtMs = Number.NEGATIVE_INFINITY;
   #ordersAll = false;
-  #onAnswer: (answer: ownership.AnsweredOrder) => void = () => {};
+  #onAnswer: (answer: ownership.AnsweredCommand) => void = () => {};
 
   constructor(context: ServiceContext) {
     this.#context = context;
     this.#log = context.log.part("owner");
-    this.#book = new ownership.OrderBook(context.timings);
-    this.#detector = new ownership.LossDetector(context.timings);
+    this.#book = new ownership.LeaseCommandScheduler(context.timings);
+    this.#detector = new ownership.FailureDetector(context.timings);
   }
 
   /** Whether this VM renews any server. */
@@ -65,7 +65,7 @@
   }
 
   /** Calls back with each answered order. */
-  onAnswer(callback: (answer: ownership.AnsweredOrder) => void): void {
+  onAnswer(callback: (answer: ownership.AnsweredCommand) => void): void {
     this.#onAnswer = callback;
   }
 
@@ -76,11 +76,11 @@
   }
 
   hurry(servers: Iterable<contracts.ServerId>): void {
-    this.#book.hurry(servers);
+    this.#book.markUrgent(servers);
   }
 
-  facts(server: contracts.ServerId): ownership.ServerFacts | undefined {
-    return this.#book.facts(server);
+  facts(server: contracts.ServerId): ownership.ServerStatus | undefined {
+    return this.#book.status(server);
   }
 
   /** Servers that may be sent orders, listed or still answering. */
@@ -94,7 +94,7 @@
 
   /** Servers that do not answer, to tell peers. */
   silentServers(nowMs: number): NonNullable<contracts.KnownRevision["silent"]> {
-    return [...this.#detector.silentServers(nowMs)]
+    return [...this.#detector.unresponsiveServers(nowMs)]
       .map(([server, silentMs]) => ({ server, silentMs }));
   }
 
@@ -117,7 +117,7 @@
       revision: Math.max(1, known.revision),
       slices: known.slices,
       timings: known.timings,
-      evidenceAskedAtMs: known.evidenceAskedAtMs(nowMs),
+      confirmedAtMs: known.evidenceAskedAtMs(nowMs),
       servers: this.#targets,
     });
     for (const order of orders) void this.#send(order, nowMs);
@@ -131,14 +131,14 @@
   }
 
   async #send(
-    order: contracts.OwnershipOrder,
+    order: contracts.LeaseCommand,
     sentAtMs: number,
   ): Promise<void> {
     const { server } = order;
     const contact = this.#contacts.get(server);
     if (contact === undefined) return this.#book.noteFailure(server);
-    this.#detector.noteAttempt(server, sentAtMs);
-    const result = await contact.control.order(order, {
+    this.#detector.noteRequest(server, sentAtMs);
+    const result = await contact.control.sendLeaseCommand(order, {
       timeoutMs: ORDER_TIMEOUT_MS,
     });
     if (result.isErr()) {
@@ -152,15 +152,15 @@
   }
 
   #noteReply(
-    order: contracts.OwnershipOrder,
-    reply: contracts.OwnershipReply,
+    order: contracts.LeaseCommand,
+    reply: contracts.LeaseCommandReply,
     sentAtMs: number,
   ): void {
     const { clock, servers } = this.#context;
     const nowMs = clock.nowMs();
     const { server } = order;
-    const before = this.#book.facts(server);
-    this.#detector.noteContact(server, nowMs);
+    const before = this.#book.status(server);
+    this.#detector.noteReply(server, nowMs);
     this.#book.noteReply(server, reply, { sentAtMs, nowMs });
     if (before?.instance !== reply.instance) {
       this.#log.info("server met", {
@@ -171,7 +171,7 @@
     }
     if (reply.draining) servers.noteDraining(server);
     else if (before?.draining === true) servers.noteNotDraining(server);
-    this.#onAnswer({ order, reply, sentAtMs, nowMs });
+    this.#onAnswer({ command: order, reply, sentAtMs, nowMs });
   }
 
   /**
@@ -252,8 +252,8 @@
     vms: readonly contracts.VmId[],
   ): Renewers {
     const { peers, hasher, timings } = this.#context;
-    const ranked = ownership.rankByName(server, vms, { hasher })
-      .slice(0, timings.renewers);
+    const ranked = ownership.rendezvousOrder(server, vms, { hasher })
+      .slice(0, timings.renewersPerServer);
     const others = ranked.filter((vm) => vm !== peers.self.vm);
     return { isOwn: others.length < ranked.length, others };
   }
@@ -283,7 +283,7 @@
       const otherRenewers = this.#renewers.get(server)?.others ?? [];
       const isLost = this.#detector.isLost(server, { nowMs, otherRenewers });
       if (isLost) this.#noteLost(server);
-      else if (this.#detector.hasContact(server, nowMs)) {
+      else if (this.#detector.isResponsive(server, nowMs)) {
         this.#noteFound(server);
       }
     }
--- a/packages/entry/src/ownership/ownership_task.ts
+++ b/packages/entry/src/ownership/ownership_task.ts
@@ -120,13 +120,15 @@
   }
 
   /** A peer pushed an assignment; answers what is known then. */
-  takePushed(assignment: contracts.Assignment): contracts.KnownReceipt {
+  takePushed(assignment: contracts.Assignment): contracts.KnownRevisionReply {
     this.#services.get(assignment.service)?.known.learn(assignment);
     return this.answerKnown(assignment);
   }
 
   /** A peer asks what is known of a service. */
-  answerKnown({ service }: contracts.KnownQuestion): contracts.KnownReceipt {
+  answerKnown(
+    { service }: contracts.KnownRevisionRequest,
+  ): contracts.KnownRevisionReply {
     const known = this.#services.get(service)?.tell() ??
       { service, revision: 0, settled: false };
     return { ...this.#options.peers.self, known };
@@ -157,7 +159,11 @@
     for (const known of reply.known) {
       const ownership = this.#services.get(known.service);
       if (ownership === undefined) continue;
-      ownership.known.noteAnswer({ vm: reply.vm, known, askedAtMs });
+      ownership.known.noteAnswer({
+        vm: reply.vm,
+        known,
+        requestedAtMs: askedAtMs,
+      });
       ownership.notePeer(reply, known, askedAtMs);
     }
   }
--- a/packages/entry/src/ownership/peer_view.ts
+++ b/packages/entry/src/ownership/peer_view.ts
@@ -100,7 +100,7 @@
     const askedAtMs = clock.nowMs();
     const answer = await peers.link(vm)?.call(method, {
       params,
-      schema: contracts.knownReceiptSchema,
+      schema: contracts.knownRevisionReplySchema,
       timeoutMs,
     });
     return answer?.isOk() ? { ...answer.value, askedAtMs } : undefined;
--- a/packages/entry/src/ownership/service_context.ts
+++ b/packages/entry/src/ownership/service_context.ts
@@ -7,7 +7,7 @@
 import type { KnownAssignment } from "./known_assignment.ts";
 
 /** A peer's answer with the time at which the question left. */
-export interface TimedReceipt extends contracts.KnownReceipt {
+export interface TimedReceipt extends contracts.KnownRevisionReply {
   readonly askedAtMs: number;
 }
 
@@ -57,7 +57,7 @@
 export interface MovedSteps {
   readonly service: contracts.ServiceId;
   readonly revision: number;
-  readonly steps: readonly ownership.MoveStep[];
+  readonly steps: readonly ownership.SliceChange[];
 }
 
 /** Takes note of moves. */
--- a/packages/entry/src/requests/active_request.ts
+++ b/packages/entry/src/requests/active_request.ts
@@ -3,7 +3,10 @@
 import * as names from "@guavatide/contracts";
 import * as routing from "@guavatide/decisions/routing/mod";
 import type { ServerClock } from "../links/server_clock.ts";
-import type { LinkRequest, LinkResult } from "../links/server_link.ts";
+import type {
+  AttemptRequest,
+  AttemptResult,
+} from "../links/server_connection.ts";
 import {
   type CallerAnswer,
   type CallerRequest,
@@ -38,7 +41,7 @@
   #waitingSinceMs: number;
   #isWaiting = false;
   /** Result of an earlier attempt, if unknown, while a retry is pending. */
-  #earlierResult: LinkResult | undefined;
+  #earlierResult: AttemptResult | undefined;
   #timer: NodeJS.Timeout | undefined;
   #resolve: ((answer: CallerAnswer) => void) | undefined;
 
@@ -57,7 +60,7 @@
     return new Promise((resolve) => {
       this.#resolve = resolve;
       this.#request.signal.addEventListener("abort", this.#onCallerGone);
-      this.#context.retryBudget.noteRequest();
+      this.#context.retryBudget.recordRequest();
       this.#wait();
     });
   }
@@ -160,7 +163,7 @@
 
   #recordKeyedSample(
     server: contracts.ServerId,
-    result: LinkResult,
+    result: AttemptResult,
     workMs: number,
   ): void {
     if (this.keyHash === undefined || result.kind !== "answer") return;
@@ -195,7 +198,7 @@
       readonly forwarded: { handle: { done(): void } | undefined };
       readonly serverClock: ServerClock;
     },
-  ): LinkRequest {
+  ): AttemptRequest {
     const { owners, service, clock } = this.#context;
     const { ownership } = slot;
     const { server } = slot.address;
@@ -229,8 +232,8 @@
       path: SERVE_PATH + pathAndQuery,
       headers,
       body,
-      mayLeave: maySend,
-      noteStamp: (text) => serverClock.note(text),
+      maySend: maySend,
+      onServerStamp: (text) => serverClock.recordStamp(text),
     };
   }
 
@@ -247,7 +250,7 @@
     const { owners, service, clock, unfencedTimeoutMs } = this.#context;
     if (owners.checksFences(service.name, server)) return undefined;
     const latestEndMs = clock.nowMs() + unfencedTimeoutMs;
-    return serverClock.deadlineText(Math.min(this.deadlineMs, latestEndMs));
+    return serverClock.formatDeadline(Math.min(this.deadlineMs, latestEndMs));
   }
 
   /**
@@ -257,7 +260,7 @@
    */
   #endForwarded(
     handle: { done(): void } | undefined,
-    result: LinkResult,
+    result: AttemptResult,
   ): void {
     if (handle === undefined) return;
     if (result.kind !== "unknown") {
@@ -267,7 +270,7 @@
     setTimeout(() => handle.done(), this.#context.unknownOutcomeHoldMs).unref();
   }
 
-  #outcomeOf(result: LinkResult): routing.AttemptEnd {
+  #outcomeOf(result: AttemptResult): routing.AttemptOutcome {
     switch (result.kind) {
       case "answer":
         return { kind: "answer", inFlight: result.inFlight };
@@ -278,7 +281,7 @@
           inFlight: result.inFlight,
         };
       case "not-sent":
-        return result.isOurs || this.#request.signal.aborted
+        return result.isLocal || this.#request.signal.aborted
           ? { kind: "abandoned" }
           : { kind: "failure", cause: "not-connected" };
       case "unknown":
@@ -290,7 +293,7 @@
     }
   }
 
-  #conclude(slot: Slot, result: LinkResult): void {
+  #conclude(slot: Slot, result: AttemptResult): void {
     if (result.kind === "answer") {
       this.#finish({ kind: "answered", answer: result.answer });
       return;
@@ -338,7 +341,7 @@
     });
   }
 
-  #giveUp(failure: routing.FailedAttempt, result: LinkResult): void {
+  #giveUp(failure: routing.FailedAttempt, result: AttemptResult): void {
     const message = result.kind === "not-sent" || result.kind === "unknown"
       ? result.message
       : "The server refused the request";
@@ -373,7 +376,7 @@
 }
 
 function failureOf(
-  result: Exclude<LinkResult, { kind: "answer" }>,
+  result: Exclude<AttemptResult, { kind: "answer" }>,
 ): routing.FailedAttempt {
   switch (result.kind) {
     case "refusal":
--- a/packages/entry/src/requests/dispatched_allocator.ts
+++ b/packages/entry/src/requests/dispatched_allocator.ts
@@ -105,7 +105,7 @@
     this.#flushScheduler.schedule();
   }
 
-  release(slot: Slot, outcome: routing.AttemptEnd): void {
+  release(slot: Slot, outcome: routing.AttemptOutcome): void {
     const held = this.#heldGrants.get(slot);
     if (held === undefined) {
       this.#options.fallback.release(slot, outcome);
--- a/packages/entry/src/requests/fakes_test_support.ts
+++ b/packages/entry/src/requests/fakes_test_support.ts
@@ -10,7 +10,10 @@
   ServerAddress,
   ServerView,
 } from "../contracts/views.ts";
-import { SERVER_LINKS_DEFAULTS, ServerLinks } from "../links/server_links.ts";
+import {
+  CONNECTION_POOLS_DEFAULTS,
+  ConnectionPools,
+} from "../links/connection_pools.ts";
 import { MonotonicClock, SystemRandom } from "../utils/clock.ts";
 import { LifeCycle } from "../utils/life_cycle.ts";
 import { createLog } from "../utils/log.ts";
@@ -176,7 +179,7 @@
     config,
     servers,
     owners,
-    connectionPools: new ServerLinks(SERVER_LINKS_DEFAULTS, lifeCycle),
+    connectionPools: new ConnectionPools(CONNECTION_POOLS_DEFAULTS, lifeCycle),
     hashKey: (key) => key.length,
     entryVmCount: () => 9,
     clock,
--- a/packages/entry/src/requests/keyed_allocator.ts
+++ b/packages/entry/src/requests/keyed_allocator.ts
@@ -65,7 +65,7 @@
     }
   }
 
-  release(slot: Slot, outcome: routing.AttemptEnd): void {
+  release(slot: Slot, outcome: routing.AttemptOutcome): void {
     const nowMs = this.#options.clock.nowMs();
     const queue = this.#queues.get(slot.address.server);
     if (outcome.kind === "answer") {
--- a/packages/entry/src/requests/local_allocator.ts
+++ b/packages/entry/src/requests/local_allocator.ts
@@ -18,7 +18,7 @@
   readonly #queue = new RequestQueue();
   readonly #monitor: ServerMonitor;
   #service: contracts.Service;
-  #balancer: routing.ServerChoice;
+  #balancer: routing.LoadBalancer;
 
   constructor(options: LocalAllocatorOptions) {
     this.#options = options;
@@ -42,7 +42,7 @@
     this.#queue.remove(request);
   }
 
-  release(slot: Slot, outcome: routing.AttemptEnd): void {
+  release(slot: Slot, outcome: routing.AttemptOutcome): void {
     const nowMs = this.#options.clock.nowMs();
     if (outcome.kind === "answer") {
       this.#queue.recordAnswer(nowMs - slot.sentMs, nowMs);
@@ -69,9 +69,9 @@
     this.#serveQueue();
   }
 
-  #createBalancer(): routing.ServerChoice {
+  #createBalancer(): routing.LoadBalancer {
     const policy = this.#options.policy ?? this.#service.policy;
-    return routing.createServerChoice(policy);
+    return routing.createLoadBalancer(policy);
   }
 
   #serveQueue(): void {
--- a/packages/entry/src/requests/request_context.ts
+++ b/packages/entry/src/requests/request_context.ts
@@ -2,7 +2,7 @@
 import type * as contracts from "@guavatide/contracts";
 import type * as routing from "@guavatide/decisions/routing/mod";
 import type { OwnerView, ServerAddress } from "../contracts/views.ts";
-import type { LinkPool } from "../links/link_pool.ts";
+import type { ConnectionPool } from "../links/connection_pool.ts";
 import type { PartLog } from "../utils/log.ts";
 import type { RequestMetrics } from "./request_metrics.ts";
 import type { SlotAllocator } from "./slot_allocator.ts";
@@ -20,7 +20,7 @@
   readonly metrics: RequestMetrics;
   /** Time that a request with an unknown outcome stays counted as forwarded. */
   readonly unknownOutcomeHoldMs: number;
-  connectionPool(address: ServerAddress): LinkPool;
+  connectionPool(address: ServerAddress): ConnectionPool;
   /**
    * Time from sending within which a server that does not check fencing tokens
    * must finish a request, in milliseconds. After it the server refuses it.
--- a/packages/entry/src/requests/request_queue.ts
+++ b/packages/entry/src/requests/request_queue.ts
@@ -40,7 +40,7 @@
    */
   recordAnswer(attemptMs: number, nowMs: number): void {
     const isWaiting = this.#queue.size > 0;
-    this.#queueLimit.noteAnswered(attemptMs, { nowMs, isWaiting });
+    this.#queueLimit.recordAnswer(attemptMs, { nowMs, isWaiting });
   }
 
   /**
@@ -50,7 +50,7 @@
   evictExcess(maxRequests: number): void {
     const limit = this.#queueLimit.limit(maxRequests);
     while (this.#queue.size > limit) {
-      this.#queue.displace()!.onRefused("queue-full", {
+      this.#queue.evict()!.onRefused("queue-full", {
         retryAfterMs: this.#queueLimit.drainMs(limit),
         message: "Too many requests wait for the service; come back later",
       });
--- a/packages/entry/src/requests/request_router.ts
+++ b/packages/entry/src/requests/request_router.ts
@@ -7,7 +7,7 @@
   ServerAddress,
   ServerView,
 } from "../contracts/views.ts";
-import type { ServerLinks } from "../links/server_links.ts";
+import type { ConnectionPools } from "../links/connection_pools.ts";
 import type { LifeCycle } from "../utils/life_cycle.ts";
 import type { Log, PartLog } from "../utils/log.ts";
 import {
@@ -31,7 +31,7 @@
   readonly config: ConfigView;
   readonly servers: ServerView;
   readonly owners: OwnerView;
-  readonly connectionPools: ServerLinks;
+  readonly connectionPools: ConnectionPools;
   /** Hash of a key's text, at least 0 and below `HASH_SPACE`. */
   readonly hashKey: (key: string) => number;
   /** Number of entry VMs that share the connections to a server. */
--- a/packages/entry/src/requests/server_monitor.ts
+++ b/packages/entry/src/requests/server_monitor.ts
@@ -29,7 +29,7 @@
 /** Tracks load and health of the servers of one service. */
 export class ServerMonitor {
   readonly #options: ServerMonitorOptions;
-  readonly #tracker: routing.ServerBoard;
+  readonly #tracker: routing.ServerTracker;
   /** Called when a server may have become able to take a request. */
   readonly #onServerAvailable: () => void;
   #service: contracts.Service;
@@ -40,7 +40,7 @@
     this.#onServerAvailable = onServerAvailable;
     this.#service = options.service;
     const nowMs = options.clock.nowMs();
-    this.#tracker = new routing.ServerBoard(this.#trackerOptions(), nowMs);
+    this.#tracker = new routing.ServerTracker(this.#trackerOptions(), nowMs);
   }
 
   configure(service: contracts.Service): void {
@@ -70,17 +70,17 @@
     ownership?: Slot["ownership"],
   ): Slot {
     const sentMs = this.#options.clock.nowMs();
-    this.#tracker.noteSent(address.server, sentMs);
+    this.#tracker.recordSent(address.server, sentMs);
     return { address, sentMs, ownership };
   }
 
   /** Records how the attempt of a slot ended. */
-  releaseSlot(slot: Slot, outcome: routing.AttemptEnd): void {
+  releaseSlot(slot: Slot, outcome: routing.AttemptOutcome): void {
     const nowMs = this.#options.clock.nowMs();
     const { server } = slot.address;
     this.#reportEvent(
       server,
-      this.#tracker.noteEnd(server, slot.sentMs, { end: outcome, nowMs }),
+      this.#tracker.recordOutcome(server, slot.sentMs, { end: outcome, nowMs }),
     );
   }
 
@@ -91,7 +91,7 @@
     const ids = known.map((address) => address.server);
     this.#tracker.configure(this.#trackerOptions());
     this.#tracker.keepOnly(new Set(ids), nowMs);
-    for (const server of this.#tracker.ejectSilent(nowMs)) {
+    for (const server of this.#tracker.ejectUnresponsive(nowMs)) {
       this.#reportEvent(server, "ejected");
     }
     for (const address of known) {
@@ -114,13 +114,13 @@
       const { server } = address;
       this.#reportEvent(
         server,
-        this.#tracker.noteProbe(server, hasAnswered, nowMs),
+        this.#tracker.recordProbe(server, hasAnswered, nowMs),
       );
       this.#onServerAvailable();
     });
   }
 
-  #reportEvent(server: contracts.ServerId, event: routing.BoardEvent): void {
+  #reportEvent(server: contracts.ServerId, event: routing.EjectionEvent): void {
     if (event === undefined) return;
     const service = this.#service.name;
     this.#options.log.info(`Server is ${event}.`, { service, server });
@@ -131,7 +131,7 @@
     return this.#options.servers.servers(this.#service.name);
   }
 
-  #trackerOptions(): routing.ServerBoardOptions {
+  #trackerOptions(): routing.ServerTrackerOptions {
     const { slotsPerServer } = this.#service;
     const maxRequests = slotsPerServer +
       this.#options.extraRequestsPerServer;
@@ -140,6 +140,6 @@
       this.#options.connectionLimit(),
     );
     const { mayEject } = this.#options;
-    return { slotsPerServer, localLimit, mayEject };
+    return { slotsPerServer, maxLocalInFlight: localLimit, mayEject };
   }
 }
--- a/packages/entry/src/requests/slot_allocator.ts
+++ b/packages/entry/src/requests/slot_allocator.ts
@@ -46,7 +46,7 @@
   /** Removes a waiting request; neither callback is called any more. */
   withdraw(request: SlotRequest): void;
   /** Returns a slot whose attempt has ended. */
-  release(slot: Slot, outcome: routing.AttemptEnd): void;
+  release(slot: Slot, outcome: routing.AttemptOutcome): void;
   /** Whether a server exists that is not among the tried ones. */
   hasUntriedServer(tried: ReadonlySet<contracts.ServerId>): boolean;
   /** Applies changed settings of the service. */
--- a/packages/entry/src/requests/slot_dispatcher.ts
+++ b/packages/entry/src/requests/slot_dispatcher.ts
@@ -195,7 +195,7 @@
     this.#allocator.withdraw(request);
   }
 
-  #endGrant(id: number, outcome: routing.AttemptEnd): void {
+  #endGrant(id: number, outcome: routing.AttemptOutcome): void {
     const grant = this.#grants.get(id);
     if (grant === undefined) return;
     this.#grants.delete(id);
--- a/packages/entry/src/vms/peer_task.ts
+++ b/packages/entry/src/vms/peer_task.ts
@@ -73,8 +73,9 @@
     );
     options.door.register(
       "member",
-      contractsValues.memberQuestionSchema,
-      ({ about }) => options.membership.answerHelper(about, this.#nowMs()),
+      contractsValues.memberStatusRequestSchema,
+      ({ about }) =>
+        options.membership.answerIndirectProbe(about, this.#nowMs()),
     );
   }
 
@@ -105,16 +106,16 @@
 
   /** Takes the platform's list of VMs. */
   noteList(vms: readonly contracts.ListedVm[]): void {
-    this.#tell(this.#options.membership.noteList(vms, this.#nowMs()));
+    this.#tell(this.#options.membership.noteVmList(vms, this.#nowMs()));
   }
 
   /** Beats to all targets at once, for example after a new revision. */
   async beatNow(): Promise<void> {
-    const effects = this.#options.membership.beat(this.#nowMs());
+    const effects = this.#options.membership.heartbeat(this.#nowMs());
     this.#tell(effects.events);
     await Promise.all([
       ...effects.targets.map((vm) => this.#beat(vm)),
-      ...effects.questions.map((question) => this.#askHelper(question)),
+      ...effects.indirectProbes.map((question) => this.#askHelper(question)),
     ]);
   }
 
@@ -152,16 +153,16 @@
     );
   }
 
-  async #askHelper(question: decisions.HelperQuestion): Promise<void> {
+  async #askHelper(question: decisions.IndirectProbe): Promise<void> {
     const askedAtMs = this.#nowMs();
     const result = await this.link(question.to)?.call("member", {
       params: { about: question.about },
-      schema: contractsValues.memberAnswerSchema,
+      schema: contractsValues.memberStatusReplySchema,
       timeoutMs: this.#options.heartbeatTimeoutMs,
     });
     if (result === undefined || result.isErr()) return;
     const times = { askedAtMs, nowMs: this.#nowMs() };
-    this.#tell(this.#options.membership.noteHelper(result.value, times));
+    this.#tell(this.#options.membership.noteIndirectReply(result.value, times));
   }
 
   #noteReply(reply: contracts.PeerHeartbeatReply, askedAtMs: number): void {
@@ -170,7 +171,7 @@
     this.#tell(
       membership.noteReply(reply.vm, reply.incarnation, { askedAtMs, nowMs }),
     );
-    this.#tell(membership.noteNews(reply.news, nowMs));
+    this.#tell(membership.noteUpdates(reply.news, nowMs));
     for (const part of this.#participants) part.noteReply?.(reply, askedAtMs);
   }
 
@@ -185,14 +186,14 @@
   #answer(beat: contracts.PeerHeartbeat): contracts.PeerHeartbeatReply {
     const { membership } = this.#options;
     const nowMs = this.#nowMs();
-    this.#tell(membership.noteHeard(beat, nowMs));
-    this.#tell(membership.noteNews(beat.news, nowMs));
+    this.#tell(membership.noteHeartbeat(beat, nowMs));
+    this.#tell(membership.noteUpdates(beat.news, nowMs));
     const draft: HeartbeatReplyDraft = {
       vm: this.#options.self.vm,
       incarnation: this.#options.self.incarnation,
       known: [],
       configRevision: 0,
-      news: membership.takeNews(),
+      news: membership.takeUpdates(),
       newer: [],
     };
     for (const part of this.#participants) part.answer?.(beat, draft);
@@ -205,7 +206,7 @@
       leaving: this.#isLeaving,
       known: [],
       configRevision: 0,
-      news: this.#options.membership.takeNews(),
+      news: this.#options.membership.takeUpdates(),
     };
     for (const part of this.#participants) part.fill?.(draft);
     return draft;
--- a/packages/entry/src/wire.ts
+++ b/packages/entry/src/wire.ts
@@ -9,14 +9,14 @@
 import * as neverthrow from "neverthrow";
 import * as administration from "./administration/mod.ts";
 import * as configuration from "./configuration/mod.ts";
-import * as linkParts from "./links/server_links.ts";
+import * as linkParts from "./links/connection_pools.ts";
 import { LoadTask } from "./loads/load_task.ts";
-import { CountedMoves } from "./metrics/counted_moves.ts";
-import { observeState } from "./metrics/observe_state.ts";
+import { MeteredMoves } from "./metrics/metered_moves.ts";
+import { registerStateGauges } from "./metrics/state_gauges.ts";
 import * as metricsParts from "./metrics/metrics.ts";
 import { MeteredStore } from "./metrics/metered_store.ts";
-import { MetricsDoor } from "./metrics/metrics_door.ts";
-import { requestMetricsOf } from "./metrics/request_metrics_of.ts";
+import { MetricsServer } from "./metrics/metrics_server.ts";
+import { createRequestMetrics } from "./metrics/create_request_metrics.ts";
 import * as ownershipTasks from "./ownership/mod.ts";
 import * as platform from "./platform/mod.ts";
 import * as requests from "./requests/mod.ts";
@@ -90,8 +90,8 @@
     hasher,
     moves,
   });
-  const serverLinks = new linkParts.ServerLinks(
-    linkParts.SERVER_LINKS_DEFAULTS,
+  const serverLinks = new linkParts.ConnectionPools(
+    linkParts.CONNECTION_POOLS_DEFAULTS,
     lifeCycle,
   );
   const listener = createRequests(base, {
@@ -102,11 +102,11 @@
     owners,
     loads,
   });
-  observeState(metrics, {
+  registerStateGauges(metrics, {
     config,
     owners,
     loads,
-    links: serverLinks,
+    connections: serverLinks,
     membership: vms.membership,
   });
 
@@ -219,7 +219,7 @@
     ...decisions.DEFAULT_MEMBERSHIP,
     vm: settings.vm,
     random,
-    beatMs: timings.heartbeatMs,
+    heartbeatIntervalMs: timings.heartbeatMs,
   });
   const door = new PeerDoor({
     host,
@@ -257,7 +257,7 @@
       clock,
       ...vms,
     }),
-    choice: await decisions.createWatcherChoice(),
+    choice: await decisions.createWatcherSelector(),
     clock,
     random,
     log: base.log.part("config"),
@@ -305,7 +305,7 @@
     store: base.store,
     config: parts.config,
     servers: directory,
-    moveRecord: new CountedMoves(parts.moves, base.metrics),
+    moveRecord: new MeteredMoves(parts.moves, base.metrics),
     peers: peerView,
     connect: (address) =>
       new platform.HttpBackendControl(`http://${address.host}:${address.port}`),
@@ -321,14 +321,14 @@
   );
   door.register(
     ownershipTasks.KNOWN_METHOD,
-    contractsValues.knownQuestionSchema,
+    contractsValues.knownRevisionRequestSchema,
     (question) => owners.answerKnown(question),
   );
   return { owners, loads };
 }
 
 interface RequestParts extends Vms, Ownership {
-  readonly serverLinks: linkParts.ServerLinks;
+  readonly serverLinks: linkParts.ConnectionPools;
   readonly config: configuration.ConfigTask;
   readonly hasher: ownership.KeyHasher;
 }
@@ -352,7 +352,7 @@
     log: base.log,
     lifeCycle,
     metrics: {
-      ...requestMetricsOf(base.metrics),
+      ...createRequestMetrics(base.metrics),
       keyedWork: (work) => loads.recordRequest(work),
     },
     maxTimeoutMs: requests.REQUEST_DEFAULTS.maxTimeoutMs,
@@ -368,8 +368,8 @@
   });
 }
 
-function createMetricsDoor(base: Base): MetricsDoor {
-  return new MetricsDoor({
+function createMetricsDoor(base: Base): MetricsServer {
+  return new MetricsServer({
     host: base.settings.host,
     port: base.settings.ports.metrics,
     metrics: base.metrics,
--- a/packages/standins/src/bench/bench_entry_main.ts
+++ b/packages/standins/src/bench/bench_entry_main.ts
@@ -8,7 +8,7 @@
   ServerAddress,
   ServerView,
 } from "guavatide/contracts/views";
-import * as links from "guavatide/links/server_links";
+import * as links from "guavatide/links/connection_pools";
 import * as requests from "guavatide/requests/mod";
 import { MonotonicClock, SystemRandom } from "guavatide/utils/clock";
 import { LifeCycle } from "guavatide/utils/life_cycle";
@@ -48,8 +48,8 @@
       config: this.#config(),
       servers: this.#servers(),
       owners: NO_OWNERS,
-      connectionPools: new links.ServerLinks(
-        links.SERVER_LINKS_DEFAULTS,
+      connectionPools: new links.ConnectionPools(
+        links.CONNECTION_POOLS_DEFAULTS,
         this.#lifeCycle,
       ),
       hashKey,
