--- a/packages/entry/src/configuration/peer_task_config_source.ts
+++ b/packages/entry/src/configuration/peer_task_config_source.ts
@@ -2,7 +2,7 @@
 import type * as contracts from "@guavatide/contracts";
 import type * as decisions from "@guavatide/decisions";
 import * as neverthrow from "neverthrow";
-import type { PeerDoor } from "../vms/peer_door.ts";
+import type { PeerServer } from "../vms/peer_door.ts";
 import type { PeerTask } from "../vms/peer_task.ts";
 import * as source from "./peer_config_source.ts";
 
@@ -10,7 +10,7 @@
 export interface PeerTaskConfigSourceOptions {
   readonly vm: contracts.VmId;
   readonly peers: PeerTask;
-  readonly door: PeerDoor;
+  readonly door: PeerServer;
   readonly membership: decisions.Membership;
   readonly clock: contracts.Clock;
 }
@@ -35,7 +35,7 @@
   }
 
   serve(owner: source.PeerConfigOwner): void {
-    this.#options.peers.join({
+    this.#options.peers.addParticipant({
       fill: (draft) => {
         draft.configRevision = owner.revision;
       },
@@ -72,6 +72,6 @@
   }
 
   announce(): void {
-    void this.#options.peers.beatNow();
+    void this.#options.peers.sendHeartbeats();
   }
 }
--- a/packages/entry/src/loads/load_task.ts
+++ b/packages/entry/src/loads/load_task.ts
@@ -8,8 +8,8 @@
 import type { LoadSource } from "../ownership/move_task.ts";
 import type { KeyedWork } from "../requests/request_metrics.ts";
 import type { LifeCycle } from "../utils/life_cycle.ts";
-import type { PeerDoor } from "../vms/peer_door.ts";
-import type { PeerLink } from "../vms/peer_link.ts";
+import type { PeerServer } from "../vms/peer_door.ts";
+import type { PeerClient } from "../vms/peer_link.ts";
 import type { HeartbeatParticipant } from "../vms/peer_task.ts";
 
 /** Method by which a VM reports a service's load to the holder of duty. */
@@ -21,7 +21,7 @@
 const STALE_AFTER_MS = 10_000;
 
 /** What is used of the link to a peer. */
-export type PeerCaller = Pick<PeerLink, "call">;
+export type PeerCaller = Pick<PeerClient, "call">;
 
 /** Options of {@link LoadTask}. */
 export interface LoadTaskOptions {
@@ -30,7 +30,7 @@
     readonly incarnation: contracts.Incarnation;
   };
   readonly peers: { link(vm: contracts.VmId): PeerCaller | undefined };
-  readonly door: Pick<PeerDoor, "register">;
+  readonly door: Pick<PeerServer, "register">;
   readonly clock: contracts.Clock;
 }
 
--- a/packages/entry/src/ownership/peer_view.ts
+++ b/packages/entry/src/ownership/peer_view.ts
@@ -36,7 +36,7 @@
 
   constructor(options: MembershipPeerViewOptions) {
     this.#options = options;
-    options.peers.onMember(() => {
+    options.peers.onMemberChange(() => {
       this.#listsUntilMs = Number.NEGATIVE_INFINITY;
     });
   }
--- a/packages/entry/src/vms/peer_calls_of.ts
+++ b/packages/entry/src/vms/peer_calls_of.ts
@@ -1,27 +1,28 @@
-/** Gives the request path its view of the other entry VMs. */
+/** Gives the request path access to the other entry VMs. */
 import type * as decisions from "@guavatide/decisions";
 import type * as contracts from "@guavatide/contracts";
 import type { PeerCalls } from "../requests/peer_calls.ts";
-import type { PeerDoor } from "./peer_door.ts";
+import type { PeerServer } from "./peer_door.ts";
 import type { PeerTask } from "./peer_task.ts";
 
-/** Options of {@link peerCallsOf}. */
-export interface PeerCallsOfOptions {
+/** Options of {@link createPeerRpc}. */
+export interface CreatePeerRpcOptions {
   readonly self: PeerCalls["self"];
-  readonly door: PeerDoor;
+  readonly peerServer: PeerServer;
   readonly membership: decisions.Membership;
   readonly clock: contracts.Clock;
 }
 
-/** Calls through the links that a peer task owns. */
-export function peerCallsOf(
+/** Makes calls through the clients of a peer task. */
+export function createPeerRpc(
   task: PeerTask,
-  options: PeerCallsOfOptions,
+  options: CreatePeerRpcOptions,
 ): PeerCalls {
-  const { self, door, membership, clock } = options;
-  // Asked for every request, changed a few times a day.
+  const { self, peerServer, membership, clock } = options;
+  // Cached, because every request reads it and it changes only a few times a
+  // day.
   let members: readonly contracts.VmId[] | undefined;
-  task.onMember(() => members = undefined);
+  task.onMemberChange(() => members = undefined);
   return {
     self,
     members: () => {
@@ -33,7 +34,7 @@
       return result?.isOk() ? result.value : undefined;
     },
     register: (method, schema, handler) =>
-      door.register(method, schema, handler),
+      peerServer.register(method, schema, handler),
   };
 }
 
--- a/packages/entry/src/vms/peer_door.ts
+++ b/packages/entry/src/vms/peer_door.ts
@@ -1,11 +1,11 @@
 /**
- * Where other entry VMs call this one: JSON-RPC 2.0 over HTTP, `POST /peer`.
- * Each method declares the shape of its parameters; anything else is refused
- * before the handler sees it.
+ * Server for calls from other entry VMs: JSON-RPC 2.0 over HTTP, `POST /peer`.
+ * Each method declares a schema of its parameters. Parameters that don't match
+ * are refused before the handler is called.
  *
- * Node's own server instead of hono: beats are most of what an entry VM does
- * at rest, and turning each into a web request and back took more time than
- * the call itself.
+ * Uses Node's HTTP server instead of hono: heartbeats are most of the work of an
+ * idle entry VM, and the conversion of each to a web request and back takes more
+ * time than the call itself.
  */
 import * as jsonRpc from "json-rpc-2.0";
 import * as crypto from "node:crypto";
@@ -14,37 +14,37 @@
 import * as httpServer from "../utils/http_server.ts";
 import type { LifeCycle } from "../utils/life_cycle.ts";
 
-/** Largest call of a peer, in bytes: an assignment with room to spare. */
-const BODY_LIMIT_BYTES = 4 * 1024 * 1024;
-/** Time a peer may take to send a whole call. */
+/** Maximum size of a request body. Assignments are far smaller. */
+const MAX_BODY_BYTES = 4 * 1024 * 1024;
+/** Time that a peer has to send a complete request. */
 const REQUEST_TIMEOUT_MS = 5_000;
 const STOP_TIMEOUT_MS = 500;
 const PEER_PATH = "/peer";
 
-/** Options of {@link PeerDoor}. */
-export interface PeerDoorOptions {
-  /** IP number to listen on. */
+/** Options of {@link PeerServer}. */
+export interface PeerServerOptions {
+  /** IP address to listen on. */
   readonly host: string;
-  /** 0 takes any free port. */
+  /** Port to listen on; 0 picks a free port. */
   readonly port: number;
-  /** Shared by all entry VMs of one deployment. */
+  /** Secret shared by all entry VMs of one deployment. */
   readonly secret: string;
-  /** Certificate of this VM; peers are called over TLS when it is there. */
+  /** Certificate of this VM. If set, only TLS connections are accepted. */
   readonly tls?: httpServer.ServerTls;
 }
 
-/** Listens for calls of other entry VMs. */
-export class PeerDoor {
+/** HTTP server for calls from other entry VMs. */
+export class PeerServer {
   readonly #rpc = new jsonRpc.JSONRPCServer();
-  readonly #options: PeerDoorOptions;
+  readonly #options: PeerServerOptions;
   readonly #secretDigest: Buffer;
 
-  constructor(options: PeerDoorOptions) {
+  constructor(options: PeerServerOptions) {
     this.#options = options;
-    this.#secretDigest = digest(`Bearer ${options.secret}`);
+    this.#secretDigest = sha256(`Bearer ${options.secret}`);
   }
 
-  /** Adds a method. Parameters that do not fit the schema are refused. */
+  /** Registers a method. Parameters that don't match the schema are refused. */
   register<Schema extends z.ZodType>(
     method: string,
     schema: Schema,
@@ -53,11 +53,11 @@
     this.#rpc.addMethod(method, (params) => handler(schema.parse(params)));
   }
 
-  /** Starts listening and returns the port. */
+  /** Starts listening. Resolves with the port. */
   async listen(lifeCycle: LifeCycle): Promise<number> {
     const server = httpServer.createHttpServer({}, this.#options.tls);
     server.on("request", (request, response) => {
-      this.#answer(request, response).catch(() => response.destroy());
+      this.#handle(request, response).catch(() => response.destroy());
     });
     server.requestTimeout = REQUEST_TIMEOUT_MS;
     lifeCycle.onStop({
@@ -68,8 +68,8 @@
     return await httpServer.listenOn(server, this.#options);
   }
 
-  /** Nothing of a call but its headers is read before the secret is known. */
-  async #answer(
+  /** Checks the secret before it reads anything but the headers. */
+  async #handle(
     request: http.IncomingMessage,
     response: http.ServerResponse,
   ): Promise<void> {
@@ -81,7 +81,7 @@
     }
     const text = await readText(request);
     if (text === undefined) {
-      return refuse(response, 413, `Send at most ${BODY_LIMIT_BYTES} bytes`);
+      return refuse(response, 413, `Send at most ${MAX_BODY_BYTES} bytes`);
     }
     const answer = await this.#rpc.receiveJSON(text);
     if (answer === null) {
@@ -91,17 +91,17 @@
     sendJson(response, 200, answer);
   }
 
-  /** Digests are compared, so that the time taken tells nothing. */
+  /** Compares digests in constant time, so that timing reveals nothing. */
   #isAuthentic(header: string | undefined): boolean {
-    return crypto.timingSafeEqual(digest(header ?? ""), this.#secretDigest);
+    return crypto.timingSafeEqual(sha256(header ?? ""), this.#secretDigest);
   }
 }
 
-function digest(text: string): Buffer {
+function sha256(text: string): Buffer {
   return crypto.createHash("sha256").update(text).digest();
 }
 
-/** The whole body; undefined when it is larger than the limit. */
+/** Reads the whole body. Undefined if it exceeds `MAX_BODY_BYTES`. */
 async function readText(
   request: http.IncomingMessage,
 ): Promise<string | undefined> {
@@ -109,7 +109,7 @@
   let sizeBytes = 0;
   for await (const chunk of request) {
     sizeBytes += chunk.length;
-    if (sizeBytes > BODY_LIMIT_BYTES) return undefined;
+    if (sizeBytes > MAX_BODY_BYTES) return undefined;
     chunks.push(chunk);
   }
   return Buffer.concat(chunks).toString("utf8");
@@ -128,7 +128,7 @@
   response.end(text);
 }
 
-/** A refused caller's connection is closed: its body stays unread. */
+/** Sends an error and closes the connection, since the body is unread. */
 function refuse(
   response: http.ServerResponse,
   status: number,
--- a/packages/entry/src/vms/peer_error.ts
+++ b/packages/entry/src/vms/peer_error.ts
@@ -1,10 +1,10 @@
-/** What can go wrong in a call to another entry VM. */
+/** Why a call to another entry VM failed. */
 export type PeerError =
-  /** No connection was made; the peer saw nothing. */
+  /** No connection was established, so the peer received nothing. */
   | { readonly kind: "unreachable"; readonly message: string }
-  /** The peer may have seen the call; no answer came in time. */
+  /** No reply arrived in time. The peer may have received the call. */
   | { readonly kind: "timeout"; readonly message: string }
-  /** The peer refused the secret or the method, or failed inside it. */
+  /** The peer refused the secret or the method, or the method failed. */
   | { readonly kind: "refused"; readonly message: string }
-  /** The answer did not have the declared shape. */
+  /** The reply didn't match its schema. */
   | { readonly kind: "bad-answer"; readonly message: string };
--- a/packages/entry/src/vms/peer_link.ts
+++ b/packages/entry/src/vms/peer_link.ts
@@ -1,7 +1,6 @@
 /**
- * Calls one other entry VM. A connection on which a call ran out of time is
- * closed by undici and never used again, so a connection that went silent
- * costs one deadline.
+ * Calls one other entry VM. undici closes a connection on which a call timed
+ * out and doesn't reuse it, so a stalled connection costs one timeout.
  */
 import * as jsonRpc from "json-rpc-2.0";
 import * as events from "node:events";
@@ -12,41 +11,41 @@
 import { buildResettingConnector } from "../utils/reset_connection.ts";
 import type { PeerError } from "./peer_error.ts";
 
-/** Connections to one peer; a call that waits longest blocks one of them. */
-const CONNECTIONS = 4;
+/** Connections to one peer. A stalled call blocks only one of them. */
+const MAX_CONNECTIONS = 4;
 const CONNECT_TIMEOUT_MS = 400;
 
-/** Where a peer listens. */
+/** Address that a peer listens on. */
 export interface PeerAddress {
-  /** IP number. */
+  /** IP address. */
   readonly host: string;
   readonly port: number;
 }
 
-/** Options of {@link PeerLink}. */
-export interface PeerLinkOptions {
-  /** Shared by all entry VMs of one deployment. */
+/** Options of {@link PeerClient}. */
+export interface PeerClientOptions {
+  /** Secret shared by all entry VMs of one deployment. */
   readonly secret: string;
-  /** This VM's certificate and the authority that signs those of peers. */
+  /** This VM's certificate and the CA that signs the peers' certificates. */
   readonly tls?: ServerTls;
 }
 
-/** Options of {@link PeerLink.call}. */
-export interface PeerLinkCallOptions<Schema extends z.ZodType> {
+/** Options of {@link PeerClient.call}. */
+export interface PeerClientCallOptions<Schema extends z.ZodType> {
   readonly params: unknown;
-  /** Shape of the answer. */
+  /** Schema of the reply. */
   readonly schema: Schema;
   readonly timeoutMs: number;
 }
 
-/** The client side of one peer. */
-export class PeerLink {
+/** Client for the server of one peer. */
+export class PeerClient {
   readonly address: PeerAddress;
   readonly #headers: Readonly<Record<string, string>>;
   readonly #pool: undici.Pool;
   #nextId = 1;
 
-  constructor(address: PeerAddress, options: PeerLinkOptions) {
+  constructor(address: PeerAddress, options: PeerClientOptions) {
     this.address = address;
     this.#headers = {
       "authorization": `Bearer ${options.secret}`,
@@ -57,7 +56,7 @@
     this.#pool = new undici.Pool(
       `${scheme}://${address.host}:${address.port}`,
       {
-        connections: CONNECTIONS,
+        connections: MAX_CONNECTIONS,
         connect: buildResettingConnector({
           timeout: CONNECT_TIMEOUT_MS,
           ...tls,
@@ -67,22 +66,22 @@
     );
   }
 
-  /** Calls a method and checks the shape of its answer. */
+  /** Calls a method and validates its reply. */
   call<Schema extends z.ZodType>(
     method: string,
-    options: PeerLinkCallOptions<Schema>,
+    options: PeerClientCallOptions<Schema>,
   ): neverthrow.ResultAsync<z.infer<Schema>, PeerError> {
     return new neverthrow.ResultAsync(this.#call(method, options));
   }
 
-  /** Closes all connections at once. */
+  /** Closes all connections immediately. Calls in flight fail. */
   async close(): Promise<void> {
     await this.#pool.destroy();
   }
 
   async #call<Schema extends z.ZodType>(
     method: string,
-    options: PeerLinkCallOptions<Schema>,
+    options: PeerClientCallOptions<Schema>,
   ): Promise<neverthrow.Result<z.infer<Schema>, PeerError>> {
     const request = jsonRpc.createJSONRPCRequest(
       this.#nextId++,
@@ -95,63 +94,64 @@
     } catch (error) {
       return neverthrow.err(this.#toPeerError(method, error));
     }
-    return this.#readAnswer(method, text, options.schema);
+    return this.#parseReply(method, text, options.schema);
   }
 
   /**
-   * The deadline is a timer and an emitter, which undici takes as a signal:
-   * an abort signal for each call cost a tenth of a beat.
+   * The deadline is a timer with an event emitter, which undici accepts as a
+   * signal: an `AbortSignal` for each call takes a tenth of a heartbeat's time.
    */
   async #post(body: string, timeoutMs: number): Promise<string> {
     const deadline = new events.EventEmitter();
     const timer = setTimeout(() => deadline.emit("abort"), timeoutMs);
     try {
-      const answer = await this.#pool.request({
+      const response = await this.#pool.request({
         path: "/peer",
         method: "POST",
         headers: this.#headers,
         body,
         signal: deadline,
       });
-      const text = await answer.body.text();
-      if (answer.statusCode === 200) return text;
-      throw new RefusedError(`status ${answer.statusCode}`);
+      const text = await response.body.text();
+      if (response.statusCode === 200) return text;
+      throw new RefusedError(`status ${response.statusCode}`);
     } finally {
       clearTimeout(timer);
     }
   }
 
-  #readAnswer<Schema extends z.ZodType>(
+  #parseReply<Schema extends z.ZodType>(
     method: string,
     text: string,
     schema: Schema,
   ): neverthrow.Result<z.infer<Schema>, PeerError> {
-    const answer = parseJson(text) as jsonRpc.JSONRPCResponse | undefined;
-    if (answer?.error) {
-      const message = `Peer ${this.#name()} refused "${method}": ` +
-        `${answer.error.message}; run the same release on both VMs`;
+    const reply = parseJson(text) as jsonRpc.JSONRPCResponse | undefined;
+    if (reply?.error) {
+      const message = `Peer ${this.#peerName()} refused "${method}": ` +
+        `${reply.error.message}; run the same release on both VMs`;
       return neverthrow.err({ kind: "refused", message });
     }
-    const parsed = schema.safeParse(answer?.result);
+    const parsed = schema.safeParse(reply?.result);
     if (parsed.success) return neverthrow.ok(parsed.data);
-    const message = `Peer ${this.#name()} answered "${method}" in another ` +
-      "shape; run the same release on both VMs";
+    const message =
+      `Peer ${this.#peerName()} sent an invalid reply to "${method}"` +
+      "; run the same release on both VMs";
     return neverthrow.err({ kind: "bad-answer", message });
   }
 
   #toPeerError(method: string, error: unknown): PeerError {
     if (error instanceof RefusedError) {
-      const message = `Peer ${this.#name()} refused "${method}" with ` +
+      const message = `Peer ${this.#peerName()} refused "${method}" with ` +
         `${error.message}; check that both VMs have the same peer secret`;
       return { kind: "refused", message };
     }
     const kind = isNotConnected(error) ? "unreachable" : "timeout";
-    const message = `Peer ${this.#name()} did not answer "${method}" ` +
-      `(${String(error)}); it is asked again at the next beat`;
+    const message = `Peer ${this.#peerName()} did not answer "${method}" ` +
+      `(${String(error)}); it is called again with the next heartbeat`;
     return { kind, message };
   }
 
-  #name(): string {
+  #peerName(): string {
     return `${this.address.host}:${this.address.port}`;
   }
 }
--- a/packages/entry/src/vms/peer_link_test.ts
+++ b/packages/entry/src/vms/peer_link_test.ts
@@ -2,68 +2,86 @@
 import { test } from "node:test";
 import * as z from "zod";
 import { LifeCycle } from "../utils/life_cycle.ts";
-import { PeerDoor } from "./peer_door.ts";
-import { PeerLink } from "./peer_link.ts";
+import { PeerServer } from "./peer_door.ts";
+import { PeerClient } from "./peer_link.ts";
 
 const HOST = "127.0.0.1";
 const TIMEOUT_MS = 5_000;
 
-async function openDoor(lifeCycle: LifeCycle): Promise<number> {
-  const door = new PeerDoor({ host: HOST, port: 0, secret: "right-secret" });
-  door.register("echo", z.strictObject({ text: z.string() }), (given) => given);
-  return await door.listen(lifeCycle);
+async function startServer(lifeCycle: LifeCycle): Promise<number> {
+  const server = new PeerServer({
+    host: HOST,
+    port: 0,
+    secret: "right-secret",
+  });
+  server.register(
+    "echo",
+    z.strictObject({ text: z.string() }),
+    (given) => given,
+  );
+  return await server.listen(lifeCycle);
 }
 
-// A process that does not know the shared secret reaches a peer's port. The
-// call must be refused and its method never run, or anybody on the network
-// could tell an entry VM of a newer assignment.
+// A process without the shared secret connects to a peer's port. Its call must be
+// refused without running the method. Otherwise anyone on the network could send
+// an entry VM a newer assignment.
 test("should refuse a peer with another secret", async () => {
   const lifeCycle = new LifeCycle();
-  const port = await openDoor(lifeCycle);
-  const link = new PeerLink({ host: HOST, port }, { secret: "wrong-secret" });
-  const result = await link.call("echo", {
+  const port = await startServer(lifeCycle);
+  const client = new PeerClient({ host: HOST, port }, {
+    secret: "wrong-secret",
+  });
+  const result = await client.call("echo", {
     params: { text: "hello" },
     schema: z.unknown(),
     timeoutMs: TIMEOUT_MS,
   });
-  await link.close();
+  await client.close();
   await lifeCycle.stop();
   expect(result._unsafeUnwrapErr().kind).toEqual("refused");
 });
 
 const REFUSED_CALLS = [
   { name: "an unknown method", method: "no-such", params: { text: "a" } },
-  { name: "parameters of another shape", method: "echo", params: { size: 1 } },
+  {
+    name: "parameters that do not match the schema",
+    method: "echo",
+    params: { size: 1 },
+  },
 ];
 
 for (const { name, method, params } of REFUSED_CALLS) {
   test(`should refuse ${name}`, async () => {
     const lifeCycle = new LifeCycle();
-    const port = await openDoor(lifeCycle);
-    const link = new PeerLink({ host: HOST, port }, { secret: "right-secret" });
-    const result = await link.call(method, {
+    const port = await startServer(lifeCycle);
+    const client = new PeerClient({ host: HOST, port }, {
+      secret: "right-secret",
+    });
+    const result = await client.call(method, {
       params,
       schema: z.unknown(),
       timeoutMs: TIMEOUT_MS,
     });
-    await link.close();
+    await client.close();
     await lifeCycle.stop();
     expect(result._unsafeUnwrapErr().kind).toEqual("refused");
   });
 }
 
-// The peer has ended and its port is closed: nothing can have run there, and
-// the caller of the link may safely ask another VM.
-test("should tell that a closed port was not reached", async () => {
+// The peer has stopped and its port is closed: it can't have executed the call,
+// so the caller may safely call another VM.
+test("should report a closed port as unreachable", async () => {
   const lifeCycle = new LifeCycle();
-  const port = await openDoor(lifeCycle);
+  const port = await startServer(lifeCycle);
   await lifeCycle.stop();
-  const link = new PeerLink({ host: HOST, port }, { secret: "right-secret" });
-  const result = await link.call("echo", {
+  const client = new PeerClient({ host: HOST, port }, {
+    secret: "right-secret",
+  });
+  const result = await client.call("echo", {
     params: { text: "hello" },
     schema: z.unknown(),
     timeoutMs: TIMEOUT_MS,
   });
-  await link.close();
+  await client.close();
   expect(result._unsafeUnwrapErr().kind).toEqual("unreachable");
 });
--- a/packages/entry/src/vms/peer_task.ts
+++ b/packages/entry/src/vms/peer_task.ts
@@ -1,7 +1,7 @@
 /**
- * Beats to other entry VMs and answers their beats. One beat serves
- * membership, evidence for assignment revisions and the spread of newer
- * state: each participating part fills in its fields and reads the answers.
+ * Sends heartbeats to other entry VMs and replies to theirs. Heartbeats serve
+ * membership, the confirmation of assignment revisions and the distribution of
+ * newer state: each participant fills in its fields and reads the replies.
  */
 import type * as contracts from "@guavatide/contracts";
 import * as contractsValues from "@guavatide/contracts";
@@ -9,27 +9,33 @@
 import type { LifeCycle } from "../utils/life_cycle.ts";
 import type { ServerTls } from "../utils/http_server.ts";
 import type { PartLog } from "../utils/log.ts";
-import type { PeerDoor } from "./peer_door.ts";
+import type { PeerServer } from "./peer_door.ts";
 import type { PeerError } from "./peer_error.ts";
-import { type PeerAddress, PeerLink } from "./peer_link.ts";
+import { type PeerAddress, PeerClient } from "./peer_link.ts";
 
-/** A beat before its participants have filled it in. */
+/** A heartbeat that participants fill in. */
 export type HeartbeatDraft = contracts.PeerHeartbeat;
-/** An answer before its participants have filled it in. */
+/** A reply that participants fill in. */
 export type HeartbeatReplyDraft = contracts.PeerHeartbeatReply;
 
-/** A part that takes part in beats. Every method is optional. */
+/** A component that exchanges data in heartbeats. All methods are optional. */
 export interface HeartbeatParticipant {
-  /** Adds the part's own fields to a beat that is about to leave. */
+  /** Adds the participant's fields to a heartbeat before it's sent. */
   fill?(draft: HeartbeatDraft): void;
-  /** A peer's beat arrived; adds the part's fields to the answer. */
-  answer?(beat: contracts.PeerHeartbeat, draft: HeartbeatReplyDraft): void;
-  /** A peer answered a beat that left at `askedAtMs`. */
-  noteReply?(reply: contracts.PeerHeartbeatReply, askedAtMs: number): void;
+  /** Handles a peer's heartbeat and adds the participant's fields to the reply. */
+  answer?(
+    heartbeat: contracts.PeerHeartbeat,
+    draft: HeartbeatReplyDraft,
+  ): void;
+  /** Handles the reply to a heartbeat that was sent at `sentAtMs`. */
+  noteReply?(
+    reply: contracts.PeerHeartbeatReply,
+    sentAtMs: number,
+  ): void;
 }
 
-/** Where a member listens; absent once it has been forgotten. */
-export interface PeerTarget extends PeerAddress {
+/** Address that a member listens on. */
+export interface PeerEndpoint extends PeerAddress {
   readonly vm: contracts.VmId;
 }
 
@@ -39,154 +45,165 @@
     readonly vm: contracts.VmId;
     readonly incarnation: contracts.Incarnation;
     readonly zone: contracts.ZoneId;
-    /** IP number and port that peers call. */
+    /** IP address and port that peers call. */
     readonly host: string;
     readonly peerPort: number;
   };
+  /** Secret shared by all entry VMs of one deployment. */
   readonly secret: string;
-  /** When there, peers are called over TLS with this certificate. */
+  /** If set, peers are called over TLS with this certificate. */
   readonly tls?: ServerTls;
+  /** Heartbeat interval. */
   readonly heartbeatMs: number;
-  /** Time that a peer has to answer a beat. */
+  /** Timeout of one heartbeat. */
   readonly heartbeatTimeoutMs: number;
-  readonly door: PeerDoor;
+  readonly peerServer: PeerServer;
   readonly membership: decisions.Membership;
   readonly clock: contracts.Clock;
   readonly log: PartLog;
 }
 
-/** Owns the links to all peers. */
+/** Exchanges heartbeats with peers and owns the clients for all of them. */
 export class PeerTask {
   readonly #options: PeerTaskOptions;
-  readonly #links = new Map<contracts.VmId, PeerLink>();
+  readonly #clients = new Map<contracts.VmId, PeerClient>();
   readonly #participants: HeartbeatParticipant[] = [];
-  readonly #waiting = new Set<contracts.VmId>();
+  readonly #pending = new Set<contracts.VmId>();
   readonly #listeners = new Set<(event: decisions.MemberEvent) => void>();
   #isLeaving = false;
 
   constructor(options: PeerTaskOptions) {
     this.#options = options;
-    options.door.register(
+    options.peerServer.register(
       "heartbeat",
       contractsValues.peerHeartbeatSchema,
-      (beat) => this.#answer(beat),
+      (heartbeat) => this.#answer(heartbeat),
     );
-    options.door.register(
+    options.peerServer.register(
       "member",
       contractsValues.memberQuestionSchema,
       ({ about }) => options.membership.answerHelper(about, this.#nowMs()),
     );
   }
 
-  /** Adds a part whose fields travel in beats. */
-  join(participant: HeartbeatParticipant): void {
+  /** Adds a participant that exchanges data in heartbeats. */
+  addParticipant(participant: HeartbeatParticipant): void {
     this.#participants.push(participant);
   }
 
-  /** Beats until the process stops; the last beat says that it leaves. */
+  /** Sends heartbeats until the process stops. The last one says it leaves. */
   start(lifeCycle: LifeCycle): void {
     lifeCycle.onStop({
       name: "peer links",
       timeoutMs: 1_000,
-      run: () => this.#closeLinks(),
+      run: () => this.#closeClients(),
     });
     lifeCycle.onStop({
       name: "tell peers",
       timeoutMs: this.#options.heartbeatTimeoutMs + 100,
-      run: () => this.#tellLeaving(),
+      run: () => this.#announceLeave(),
     });
-    lifeCycle.every(this.#options.heartbeatMs, () => void this.beatNow());
+    lifeCycle.every(
+      this.#options.heartbeatMs,
+      () => void this.sendHeartbeats(),
+    );
   }
 
-  /** Calls back with each change of membership. */
-  onMember(listener: (event: decisions.MemberEvent) => void): void {
+  /** Calls the listener with each membership event. */
+  onMemberChange(listener: (event: decisions.MemberEvent) => void): void {
     this.#listeners.add(listener);
   }
 
-  /** Takes the platform's list of VMs. */
-  noteList(vms: readonly contracts.ListedVm[]): void {
-    this.#tell(this.#options.membership.noteList(vms, this.#nowMs()));
+  /** Passes the platform's list of VMs to membership. */
+  noteVmList(vms: readonly contracts.ListedVm[]): void {
+    this.#emit(this.#options.membership.noteList(vms, this.#nowMs()));
   }
 
-  /** Beats to all targets at once, for example after a new revision. */
-  async beatNow(): Promise<void> {
+  /** Sends a round of heartbeats now, for example after a new revision. */
+  async sendHeartbeats(): Promise<void> {
     const effects = this.#options.membership.beat(this.#nowMs());
-    this.#tell(effects.events);
+    this.#emit(effects.events);
     await Promise.all([
-      ...effects.targets.map((vm) => this.#beat(vm)),
-      ...effects.questions.map((question) => this.#askHelper(question)),
+      ...effects.targets.map((vm) => this.#sendHeartbeat(vm)),
+      ...effects.questions.map((probe) => this.#probeIndirectly(probe)),
     ]);
   }
 
-  /** The link to a member, made when first needed. */
-  link(vm: contracts.VmId): PeerLink | undefined {
+  /** Returns the client for a member. Undefined if it isn't a member. */
+  link(vm: contracts.VmId): PeerClient | undefined {
     const member = this.#options.membership.member(vm, this.#nowMs());
     if (member === undefined) return undefined;
     const address = { host: member.host, port: member.peerPort };
-    const known = this.#links.get(vm);
-    if (known !== undefined && isSameAddress(known.address, address)) {
-      return known;
+    const existing = this.#clients.get(vm);
+    if (existing !== undefined && isSameAddress(existing.address, address)) {
+      return existing;
     }
-    void known?.close();
-    const link = new PeerLink(address, this.#options);
-    this.#links.set(vm, link);
-    return link;
-  }
-
-  async #beat(vm: contracts.VmId): Promise<void> {
-    // A peer that does not answer must not collect a call for every beat.
-    if (this.#waiting.has(vm)) return;
-    const link = this.link(vm);
-    if (link === undefined) return;
-    this.#waiting.add(vm);
-    const askedAtMs = this.#nowMs();
-    const result = await link.call("heartbeat", {
-      params: this.#draft(),
+    void existing?.close();
+    const client = new PeerClient(address, this.#options);
+    this.#clients.set(vm, client);
+    return client;
+  }
+
+  async #sendHeartbeat(vm: contracts.VmId): Promise<void> {
+    // Calls must not pile up at a peer that doesn't respond.
+    if (this.#pending.has(vm)) return;
+    const client = this.link(vm);
+    if (client === undefined) return;
+    this.#pending.add(vm);
+    const sentAtMs = this.#nowMs();
+    const result = await client.call("heartbeat", {
+      params: this.#createHeartbeat(),
       schema: contractsValues.peerHeartbeatReplySchema,
       timeoutMs: this.#options.heartbeatTimeoutMs,
     });
-    this.#waiting.delete(vm);
+    this.#pending.delete(vm);
     result.match(
-      (reply) => this.#noteReply(reply, askedAtMs),
+      (reply) => this.#noteReply(reply, sentAtMs),
       (error) => this.#noteFailure(vm, error),
     );
   }
 
-  async #askHelper(question: decisions.HelperQuestion): Promise<void> {
-    const askedAtMs = this.#nowMs();
-    const result = await this.link(question.to)?.call("member", {
-      params: { about: question.about },
+  async #probeIndirectly(probe: decisions.HelperQuestion): Promise<void> {
+    const sentAtMs = this.#nowMs();
+    const result = await this.link(probe.to)?.call("member", {
+      params: { about: probe.about },
       schema: contractsValues.memberAnswerSchema,
       timeoutMs: this.#options.heartbeatTimeoutMs,
     });
     if (result === undefined || result.isErr()) return;
-    const times = { askedAtMs, nowMs: this.#nowMs() };
-    this.#tell(this.#options.membership.noteHelper(result.value, times));
+    const times = { askedAtMs: sentAtMs, nowMs: this.#nowMs() };
+    this.#emit(this.#options.membership.noteHelper(result.value, times));
   }
 
-  #noteReply(reply: contracts.PeerHeartbeatReply, askedAtMs: number): void {
+  #noteReply(
+    reply: contracts.PeerHeartbeatReply,
+    sentAtMs: number,
+  ): void {
     const { membership } = this.#options;
     const nowMs = this.#nowMs();
-    this.#tell(
-      membership.noteReply(reply.vm, reply.incarnation, { askedAtMs, nowMs }),
+    this.#emit(
+      membership.noteReply(reply.vm, reply.incarnation, {
+        askedAtMs: sentAtMs,
+        nowMs,
+      }),
     );
-    this.#tell(membership.noteNews(reply.news, nowMs));
-    for (const part of this.#participants) part.noteReply?.(reply, askedAtMs);
+    this.#emit(membership.noteNews(reply.news, nowMs));
+    for (const each of this.#participants) each.noteReply?.(reply, sentAtMs);
   }
 
   #noteFailure(vm: contracts.VmId, error: PeerError): void {
-    this.#options.log.debug("beat not answered", {
+    this.#options.log.debug("heartbeat not answered", {
       peer: vm,
       kind: error.kind,
     });
-    this.#tell(this.#options.membership.noteFailure(vm, this.#nowMs()));
+    this.#emit(this.#options.membership.noteFailure(vm, this.#nowMs()));
   }
 
-  #answer(beat: contracts.PeerHeartbeat): contracts.PeerHeartbeatReply {
+  #answer(heartbeat: contracts.PeerHeartbeat): contracts.PeerHeartbeatReply {
     const { membership } = this.#options;
     const nowMs = this.#nowMs();
-    this.#tell(membership.noteHeard(beat, nowMs));
-    this.#tell(membership.noteNews(beat.news, nowMs));
+    this.#emit(membership.noteHeard(heartbeat, nowMs));
+    this.#emit(membership.noteNews(heartbeat.news, nowMs));
     const draft: HeartbeatReplyDraft = {
       vm: this.#options.self.vm,
       incarnation: this.#options.self.incarnation,
@@ -195,11 +212,11 @@
       news: membership.takeNews(),
       newer: [],
     };
-    for (const part of this.#participants) part.answer?.(beat, draft);
+    for (const each of this.#participants) each.answer?.(heartbeat, draft);
     return draft;
   }
 
-  #draft(): HeartbeatDraft {
+  #createHeartbeat(): HeartbeatDraft {
     const draft: HeartbeatDraft = {
       ...this.#options.self,
       leaving: this.#isLeaving,
@@ -207,11 +224,11 @@
       configRevision: 0,
       news: this.#options.membership.takeNews(),
     };
-    for (const part of this.#participants) part.fill?.(draft);
+    for (const each of this.#participants) each.fill?.(draft);
     return draft;
   }
 
-  #tell(events: readonly decisions.MemberEvent[]): void {
+  #emit(events: readonly decisions.MemberEvent[]): void {
     for (const event of events) {
       this.#options.log.info(`entry VM ${event.kind}`, { vm: event.vm });
       for (const listener of this.#listeners) listener(event);
@@ -222,14 +239,16 @@
     return this.#options.clock.nowMs();
   }
 
-  async #tellLeaving(): Promise<void> {
+  async #announceLeave(): Promise<void> {
     this.#isLeaving = true;
-    this.#waiting.clear();
-    await this.beatNow();
+    this.#pending.clear();
+    await this.sendHeartbeats();
   }
 
-  async #closeLinks(): Promise<void> {
-    await Promise.all([...this.#links.values()].map((link) => link.close()));
+  async #closeClients(): Promise<void> {
+    await Promise.all(
+      [...this.#clients.values()].map((client) => client.close()),
+    );
   }
 }
 
--- a/packages/entry/src/vms/peer_tls_test.ts
+++ b/packages/entry/src/vms/peer_tls_test.ts
@@ -4,16 +4,16 @@
 import * as z from "zod";
 import type { ServerTls } from "../utils/http_server.ts";
 import { LifeCycle } from "../utils/life_cycle.ts";
-import { PeerDoor } from "./peer_door.ts";
-import { PeerLink } from "./peer_link.ts";
+import { PeerServer } from "./peer_door.ts";
+import { PeerClient } from "./peer_link.ts";
 
 const HOST = "127.0.0.1";
 const SECRET = "secret-of-all-entry-vms";
 const TIMEOUT_MS = 5_000;
-/** `subjectAltName` of kind IP, as X.509 numbers them. */
+/** Type number of an IP address in `subjectAltName` (X.509). */
 const ALT_NAME_IP = 7;
 
-/** A certificate that is its own authority, for the loopback address. */
+/** Creates a self-signed certificate for the loopback address. */
 function createCertificate(): Required<ServerTls> {
   const pems = selfsigned.generate([{ name: "commonName", value: HOST }], {
     keySize: 2048,
@@ -26,8 +26,8 @@
   return { cert: pems.cert, key: pems.private, ca: pems.cert };
 }
 
-const OURS = createCertificate();
-const STRANGERS = createCertificate();
+const TRUSTED = createCertificate();
+const UNTRUSTED = createCertificate();
 
 interface TlsCase {
   readonly name: string;
@@ -35,43 +35,50 @@
   readonly answer: "answered" | "refused";
 }
 
-// A process without a certificate of our authority reaches the port of an
-// entry VM. The connection must end before the secret or a call is read; a
-// peer with a certificate is served.
+// A process without a certificate of the deployment's CA connects to the port of
+// an entry VM. The connection must be refused before the secret or a call is
+// read. A peer with such a certificate is served.
 const CASES: readonly TlsCase[] = [
-  { name: "a peer with our certificate", tls: OURS, answer: "answered" },
+  {
+    name: "a peer with a trusted certificate",
+    tls: TRUSTED,
+    answer: "answered",
+  },
   { name: "a peer without TLS", tls: undefined, answer: "refused" },
   {
-    name: "a peer that shows a stranger's certificate",
-    tls: { ...STRANGERS, ca: OURS.ca },
+    name: "a peer with an untrusted certificate",
+    tls: { ...UNTRUSTED, ca: TRUSTED.ca },
     answer: "refused",
   },
   {
-    name: "a peer that trusts another authority",
-    tls: { ...OURS, ca: STRANGERS.ca },
+    name: "a peer that trusts another CA",
+    tls: { ...TRUSTED, ca: UNTRUSTED.ca },
     answer: "refused",
   },
 ];
 
 for (const { name, tls, answer } of CASES) {
-  test(`should leave ${name} ${answer} over TLS`, async () => {
+  test(`should have ${name} ${answer} over TLS`, async () => {
     const lifeCycle = new LifeCycle();
     let calls = 0;
-    const door = new PeerDoor({
+    const server = new PeerServer({
       host: HOST,
       port: 0,
       secret: SECRET,
-      tls: OURS,
+      tls: TRUSTED,
+    });
+    server.register("count", z.strictObject({}), () => ++calls);
+    const port = await server.listen(lifeCycle);
+    const client = new PeerClient({ host: HOST, port }, {
+      secret: SECRET,
+      tls,
     });
-    door.register("count", z.strictObject({}), () => ++calls);
-    const port = await door.listen(lifeCycle);
-    const link = new PeerLink({ host: HOST, port }, { secret: SECRET, tls });
-    const result = await link.call("count", {
+    const result = await client.call("count", {
       params: {},
       schema: z.number(),
       timeoutMs: TIMEOUT_MS,
     });
-    await link.close();
+    await client.close();
     await lifeCycle.stop();
     expect(result.isOk()).toEqual(answer === "answered");
     expect(calls).toEqual(answer === "answered" ? 1 : 0);
--- a/packages/entry/src/wire.ts
+++ b/packages/entry/src/wire.ts
@@ -26,8 +26,8 @@
 import { MonotonicClock, SystemRandom } from "./utils/clock.ts";
 import { LifeCycle } from "./utils/life_cycle.ts";
 import * as logParts from "./utils/log.ts";
-import { peerCallsOf } from "./vms/peer_calls_of.ts";
-import { PeerDoor } from "./vms/peer_door.ts";
+import { createPeerRpc } from "./vms/peer_calls_of.ts";
+import { PeerServer } from "./vms/peer_door.ts";
 import { PeerTask } from "./vms/peer_task.ts";
 import { ServerDirectory } from "./zones/server_directory.ts";
 
@@ -207,7 +207,7 @@
 /** Other entry VMs, as this process knows and calls them. */
 interface Vms {
   readonly membership: decisions.Membership;
-  readonly door: PeerDoor;
+  readonly door: PeerServer;
   readonly peers: PeerTask;
   readonly peerPort: number;
 }
@@ -221,7 +221,7 @@
     random,
     beatMs: timings.heartbeatMs,
   });
-  const door = new PeerDoor({
+  const door = new PeerServer({
     host,
     port: settings.ports.peers,
     secret,
@@ -234,12 +234,12 @@
     tls: tls.peers,
     heartbeatMs: timings.heartbeatMs,
     heartbeatTimeoutMs: timings.heartbeatMs * HEARTBEAT_TIMEOUT_BEATS,
-    door,
+    peerServer: door,
     membership,
     clock,
     log: log.part("member"),
   });
-  base.directory.onList((vms) => peers.noteList(vms));
+  base.directory.onList((vms) => peers.noteVmList(vms));
   return { membership, door, peers, peerPort };
 }
 
@@ -312,8 +312,8 @@
     load: (service) => loads.source(service),
   });
   loads.follow(owners);
-  peers.join(owners);
-  peers.join(loads);
+  peers.addParticipant(owners);
+  peers.addParticipant(loads);
   door.register(
     ownershipTasks.ASSIGNMENT_METHOD,
     contractsValues.assignmentSchema,
@@ -339,7 +339,12 @@
 ): requests.CallerListener {
   const { settings, self, clock, lifeCycle } = base;
   const { membership, door, hasher, loads } = parts;
-  const peerCalls = peerCallsOf(parts.peers, { self, door, membership, clock });
+  const peerCalls = createPeerRpc(parts.peers, {
+    self,
+    peerServer: door,
+    membership,
+    clock,
+  });
   const router = new requests.RequestRouter({
     config: parts.config,
     servers: base.directory,
