--- a/packages/entry/src/administration/store_journal.ts
+++ b/packages/entry/src/administration/store_journal.ts
@@ -103,13 +103,14 @@
       if (before === undefined) return false;
       const lines = [...before.lines, ...batch].slice(-this.#options.lines);
       const last = batch.at(-1)!.id;
-      const written = await storeWrite.writeResolved(
+      const written = await storeWrite.writeWithReadBack(
         this.#options.store,
         this.#slot,
         {
           value: JSON.stringify(lines),
           condition: before.condition,
-          isOurs: (value) => this.#parse(value).some(({ id }) => id === last),
+          isOwnWrite: (value) =>
+            this.#parse(value).some(({ id }) => id === last),
           clock: this.#options.clock,
           timeoutMs: 2 * this.#options.callTimeoutMs,
           callTimeoutMs: this.#options.callTimeoutMs,
--- a/packages/entry/src/configuration/config_reader.ts
+++ b/packages/entry/src/configuration/config_reader.ts
@@ -1,28 +1,28 @@
-/** Reads the published configuration from the platform's store. */
+/** Reads the published configuration from the platform store. */
 import type * as contracts from "@guavatide/contracts";
 import * as neverthrow from "neverthrow";
 import * as currentConfig from "./current_config.ts";
 
-/** What a read found. */
-export interface ReadConfig {
+/** The published configuration as read from the store. */
+export interface StoredConfig {
   readonly config: contracts.PublishedConfig;
   readonly current: currentConfig.CurrentConfig;
-  /** Store version of the object that names the revision. */
+  /** Store version of `config/current`, for conditional updates. */
   readonly version: string;
 }
 
 /** Options of {@link ConfigReader}. */
 export interface ConfigReaderOptions {
   readonly store: contracts.PlatformStore;
-  /** Time for one call to the store. */
+  /** Timeout of one store call. */
   readonly callTimeoutMs: number;
 }
 
 type ReadResult<Value> = Promise<
-  neverthrow.Result<Value, currentConfig.ReadConfigError>
+  neverthrow.Result<Value, currentConfig.ConfigReadError>
 >;
 
-/** Reads what is in force by the store's word. */
+/** Reads the revision that the store holds. */
 export class ConfigReader {
   readonly #options: ConfigReaderOptions;
 
@@ -31,33 +31,33 @@
   }
 
   /**
-   * Reads the configuration when it is newer than `aboveRevision`, otherwise
-   * answers undefined without fetching chunks.
+   * Reads the configuration if it's newer than `aboveRevision`. Otherwise
+   * returns undefined without fetching chunks.
    */
-  async readNewer(aboveRevision: number): ReadResult<ReadConfig | undefined> {
+  async readNewer(aboveRevision: number): ReadResult<StoredConfig | undefined> {
     const stored = await this.#options.store.get(currentConfig.CURRENT_NAME, {
       timeoutMs: this.#options.callTimeoutMs,
     });
-    if (stored.isErr()) return neverthrow.err(toReadError(stored.error));
+    if (stored.isErr()) return neverthrow.err(toConfigReadError(stored.error));
     return await this.decodeNewer(stored.value, aboveRevision);
   }
 
-  /** The same for an object that a watch or a list brought. */
+  /** Same as {@link readNewer}, for an object from a watch or a list. */
   async decodeNewer(
     stored: contracts.StoredObject,
     aboveRevision: number,
-  ): ReadResult<ReadConfig | undefined> {
-    const parsed = currentConfig.parseCurrent(stored.value);
+  ): ReadResult<StoredConfig | undefined> {
+    const parsed = currentConfig.parseCurrentConfig(stored.value);
     if (parsed.isErr()) return neverthrow.err(parsed.error);
     const current = parsed.value;
     const { revision } = currentConfig.latestEntry(current);
     if (revision <= aboveRevision) return neverthrow.ok(undefined);
-    const text = await this.#textOf(current);
-    return text.andThen((whole) => currentConfig.decodeSet(current, whole))
+    const text = await this.#readText(current);
+    return text.andThen((json) => currentConfig.decodeConfig(current, json))
       .map((config) => ({ config, current, version: stored.version }));
   }
 
-  async #textOf(current: currentConfig.CurrentConfig): ReadResult<string> {
+  async #readText(current: currentConfig.CurrentConfig): ReadResult<string> {
     if (current.text !== undefined) return neverthrow.ok(current.text);
     const entry = currentConfig.latestEntry(current);
     const values: string[] = [];
@@ -73,9 +73,9 @@
   }
 }
 
-function toReadError(
+function toConfigReadError(
   error: contracts.StoreError,
-): currentConfig.ReadConfigError {
+): currentConfig.ConfigReadError {
   if (error.kind === "not-found") {
     const message = "Nothing has been published yet: publish a set first";
     return { kind: "not-found", message };
@@ -84,10 +84,10 @@
   return { kind: "unavailable", message };
 }
 
-/** A chunk that is gone belongs to a set that was replaced meanwhile. */
+/** A missing chunk belongs to a revision that was replaced meanwhile. */
 function chunkError(
   error: contracts.StoreError,
-): currentConfig.ReadConfigError {
+): currentConfig.ConfigReadError {
   const message = `A part of the configuration was not read ` +
     `(${error.message}): it is read again shortly`;
   return { kind: "unavailable", message };
--- a/packages/entry/src/configuration/config_task.ts
+++ b/packages/entry/src/configuration/config_task.ts
@@ -1,9 +1,9 @@
 /**
  * Delivers the published configuration to this entry VM. Two VMs watch the
- * store; all others hear of a new revision in heartbeats and fetch it from a
- * peer. A few VMs, drawn anew each time, compare with the store in case a
- * watch has gone silent. What is in force here never gives way to an older
- * revision.
+ * store. All others learn of a new revision from heartbeats and fetch it from a
+ * peer. A few VMs, picked at random each time, also compare their revision with
+ * the store in case a watch has stalled. The configuration in force is never
+ * replaced by an older revision.
  */
 import type * as contracts from "@guavatide/contracts";
 import * as decisions from "@guavatide/decisions";
@@ -11,11 +11,8 @@
 import type { LifeCycle } from "../utils/life_cycle.ts";
 import type { PartLog } from "../utils/log.ts";
 import { ConfigReader } from "./config_reader.ts";
-import type { ReadConfigError } from "./current_config.ts";
-import type {
-  PeerConfigOwner,
-  PeerConfigSource,
-} from "./peer_config_source.ts";
+import type { ConfigReadError } from "./current_config.ts";
+import type { ConfigProvider, PeerConfigSource } from "./peer_config_source.ts";
 import * as storeWatch from "./store_watch.ts";
 
 /** Options of {@link ConfigTask}. */
@@ -23,42 +20,42 @@
   readonly vm: contracts.VmId;
   readonly store: contracts.PlatformStore;
   readonly peers: PeerConfigSource;
-  readonly choice: decisions.WatcherChoice;
+  readonly watcherSelector: decisions.WatcherChoice;
   readonly clock: contracts.Clock;
   readonly random: contracts.RandomSource;
   readonly log: PartLog;
-  /** Longest wait of one long poll of the store's watch. */
+  /** Maximum wait of one long poll of the store watch. */
   readonly watchWaitMs: number;
-  /** Mean time between two draws whether to compare with the store. */
-  readonly compareMs: number;
-  /** How long a fresh start listens before it takes a peer's word. */
-  readonly settleMs: number;
-  /** Time for one call to the store. */
+  /** Mean time between random decisions whether to compare with the store. */
+  readonly compareIntervalMs: number;
+  /** After a start, how long to collect peers' revisions before a fetch. */
+  readonly peerDiscoveryMs: number;
+  /** Timeout of one store call. */
   readonly storeTimeoutMs: number;
-  /** Time for one call to a peer. */
+  /** Timeout of one call to a peer. */
   readonly peerTimeoutMs: number;
 }
 
-/** The revision that one entry VM has in force, as far as is known here. */
+/** The revision that an entry VM last reported to have in force. */
 export interface VmRevision {
   readonly vm: contracts.VmId;
   readonly revision: number;
-  /** How long ago it was heard; 0 for this VM. */
+  /** Age of the report; 0 for this VM. */
   readonly ageMs: number;
 }
 
-/** Called after a configuration came into force. */
+/** Called after a configuration has come into force. */
 export type ConfigListener = (config: contracts.PublishedConfig) => void;
 
-/** Owns the configuration in force. */
-export class ConfigTask implements ConfigView, PeerConfigOwner {
+/** Holds the configuration in force and keeps it up to date. */
+export class ConfigTask implements ConfigView, ConfigProvider {
   readonly #options: ConfigTaskOptions;
   readonly #state: decisions.ConfigState;
-  readonly #deltas = new decisions.ConfigDeltas();
+  readonly #history = new decisions.ConfigDeltas();
   readonly #reader: ConfigReader;
   readonly #watch: storeWatch.StoreWatch;
   readonly #listeners = new Set<ConfigListener>();
-  readonly #heard = new Map<
+  readonly #peerRevisions = new Map<
     contracts.VmId,
     { readonly revision: number; readonly atMs: number }
   >();
@@ -66,12 +63,12 @@
   #partners = new Map<contracts.PartnerId, contracts.Partner>();
   #confirmedAtMs: number | undefined;
   #isFetching = false;
-  #isWholeNeeded = false;
+  #isFullFetchNeeded = false;
 
   constructor(options: ConfigTaskOptions) {
     this.#options = options;
     this.#state = new decisions.ConfigState({
-      settleMs: options.settleMs,
+      settleMs: options.peerDiscoveryMs,
       startedMs: options.clock.nowMs(),
     });
     this.#reader = new ConfigReader({
@@ -82,9 +79,9 @@
       ...options,
       waitMs: options.watchWaitMs,
       callTimeoutMs: options.storeTimeoutMs,
-      idleMs: options.settleMs,
-      isChosen: () => this.isWatcher,
-      onObject: (stored) => this.#takeStored(stored),
+      roleCheckIntervalMs: options.peerDiscoveryMs,
+      isWatcher: () => this.isWatcher,
+      onObject: (stored) => this.#applyStored(stored),
     });
     options.peers.serve(this);
   }
@@ -93,18 +90,20 @@
     return this.#state.revision;
   }
 
-  /** The configuration in force; undefined until the first one arrives. */
+  /** The configuration in force. Undefined until the first one arrives. */
   get config(): contracts.PublishedConfig | undefined {
     return this.#state.config;
   }
 
-  /** Whether this VM is among those that watch the store. */
+  /** Whether this VM is one of the watchers of the store. */
   get isWatcher(): boolean {
     const live = this.#options.peers.liveVms();
-    return this.#options.choice.watchers(live).includes(this.#options.vm);
+    return this.#options.watcherSelector.watchers(live).includes(
+      this.#options.vm,
+    );
   }
 
-  /** Time since the store last confirmed the revision in force, if ever. */
+  /** Time since the last successful read of the store, if there was one. */
   get confirmedAgeMs(): number | undefined {
     return this.#confirmedAtMs === undefined
       ? undefined
@@ -124,22 +123,22 @@
     return this.#partners.get(id);
   }
 
-  /** Servers that operators drain. */
+  /** Servers that operators have drained. */
   drains(): readonly contracts.Drain[] {
     return this.config?.drains ?? [];
   }
 
-  /** Calls back after each configuration that comes into force. */
+  /** Calls the listener after each configuration that comes into force. */
   onApplied(listener: ConfigListener): void {
     this.#listeners.add(listener);
   }
 
-  /** What each entry VM has in force, this one first. */
+  /** Revision in force at each live entry VM, this one first. */
   revisions(): readonly VmRevision[] {
     const nowMs = this.#options.clock.nowMs();
     const own = { vm: this.#options.vm, revision: this.revision, ageMs: 0 };
     const live = new Set(this.#options.peers.liveVms());
-    const others = [...this.#heard]
+    const others = [...this.#peerRevisions]
       .filter(([vm]) => live.has(vm))
       .map(([vm, { revision, atMs }]) => ({
         vm,
@@ -150,27 +149,30 @@
     return [own, ...others];
   }
 
-  /** Runs until the process stops. */
+  /** Starts watching and comparing, until the process stops. */
   start(lifeCycle: LifeCycle): void {
     void this.#watch.run(lifeCycle.signal);
     void this.#compareLoop(lifeCycle.signal);
   }
 
-  /** A publish through this VM was acknowledged by the store. */
+  /** Applies a publish through this VM that the store has acknowledged. */
   notePublished(config: contracts.PublishedConfig): void {
     this.#confirmedAtMs = this.#options.clock.nowMs();
     this.#offer(config, "publisher");
     this.#options.peers.announce();
   }
 
-  noteHeard(vm: contracts.VmId, revision: number): void {
-    this.#heard.set(vm, { revision, atMs: this.#options.clock.nowMs() });
+  notePeerRevision(vm: contracts.VmId, revision: number): void {
+    this.#peerRevisions.set(vm, {
+      revision,
+      atMs: this.#options.clock.nowMs(),
+    });
     this.#state.noteHeard(vm, revision);
     void this.#fetchFromPeer();
   }
 
-  answer(haveRevision: number): decisions.ConfigDelta | undefined {
-    return this.#deltas.since(haveRevision);
+  deltaSince(haveRevision: number): decisions.ConfigDelta | undefined {
+    return this.#history.since(haveRevision);
   }
 
   async #fetchFromPeer(): Promise<void> {
@@ -178,30 +180,30 @@
     const vm = this.#state.nextFetch(this.#options.clock.nowMs());
     if (vm === undefined) return;
     this.#isFetching = true;
-    const haveRevision = this.#isWholeNeeded ? 0 : this.revision;
+    const haveRevision = this.#isFullFetchNeeded ? 0 : this.revision;
     const fetched = await this.#options.peers.fetch(vm, {
       haveRevision,
       timeoutMs: this.#options.peerTimeoutMs,
     });
     this.#isFetching = false;
     const delta = fetched.unwrapOr(null);
-    // The next heartbeat of a peer that has it starts the next fetch.
+    // The next heartbeat of a peer with a newer revision triggers a retry.
     if (delta === null) return this.#state.noteFetchFailed(vm);
     const config = decisions.applyDelta(this.config, delta);
-    // This VM may have moved on while the peer answered.
-    this.#isWholeNeeded = config === undefined;
+    // The delta doesn't fit if this VM applied another revision meanwhile.
+    this.#isFullFetchNeeded = config === undefined;
     if (config !== undefined) this.#offer(config, "peer", vm);
   }
 
   async #compareLoop(signal: AbortSignal): Promise<void> {
-    const { compareMs, random } = this.#options;
-    let waitMs = compareMs * random.next();
+    const { compareIntervalMs, random } = this.#options;
+    let waitMs = compareIntervalMs * random.next();
     while (!signal.aborted) {
-      await storeWatch.pause(waitMs, signal);
+      await storeWatch.sleep(waitMs, signal);
       if (signal.aborted) return;
       const members = this.#options.peers.liveVms().length;
       if (decisions.shouldCompare(members, random)) await this.#compare();
-      waitMs = compareMs * (0.5 + random.next());
+      waitMs = compareIntervalMs * (0.5 + random.next());
     }
   }
 
@@ -210,15 +212,15 @@
     const read = await this.#reader.readNewer(before);
     if (read.isErr()) {
       if (read.error.kind === "not-found") this.#noteConfirmed();
-      else this.#logUnread(read.error);
+      else this.#logReadError(read.error);
       return;
     }
     this.#noteConfirmed();
     const found = read.value;
-    // The watch may have brought it while the store answered.
+    // The watch may have delivered it while the store answered.
     if (found === undefined || found.config.revision <= this.revision) return;
     if (before > 0 && this.isWatcher) {
-      this.#options.log.warn("watch of the store missed a revision", {
+      this.#options.log.warn("store watch missed a revision, restarting it", {
         revision: found.config.revision,
       });
       this.#watch.restart();
@@ -226,9 +228,9 @@
     this.#offer(found.config, "store");
   }
 
-  async #takeStored(stored: contracts.StoredObject): Promise<void> {
+  async #applyStored(stored: contracts.StoredObject): Promise<void> {
     const read = await this.#reader.decodeNewer(stored, this.revision);
-    if (read.isErr()) return this.#logUnread(read.error);
+    if (read.isErr()) return this.#logReadError(read.error);
     this.#noteConfirmed();
     if (read.value !== undefined) this.#offer(read.value.config, "store");
   }
@@ -242,7 +244,7 @@
     const fields = { revision: config.revision, source, vm };
     switch (result.kind) {
       case "applied":
-        this.#index(config);
+        this.#indexObjects(config);
         this.#options.log.info("configuration in force", {
           ...fields,
           from: result.from,
@@ -252,7 +254,7 @@
         return;
       case "mismatch":
         this.#options.log.error(
-          "the same revision came with other objects, publish again",
+          "received the same revision with different objects, publish again",
           fields,
         );
         return;
@@ -267,8 +269,8 @@
     }
   }
 
-  #index(config: contracts.PublishedConfig): void {
-    this.#deltas.note(config);
+  #indexObjects(config: contracts.PublishedConfig): void {
+    this.#history.note(config);
     this.#services = new Map();
     this.#partners = new Map();
     for (const object of config.objects) {
@@ -281,8 +283,8 @@
     this.#confirmedAtMs = this.#options.clock.nowMs();
   }
 
-  /** The next comparison tries again. */
-  #logUnread(error: ReadConfigError): void {
+  /** Logs the error. The next comparison retries. */
+  #logReadError(error: ConfigReadError): void {
     const fields = { kind: error.kind, reason: error.message };
     if (error.kind === "unavailable") {
       this.#options.log.debug("published configuration not read", fields);
--- a/packages/entry/src/configuration/config_task_test.ts
+++ b/packages/entry/src/configuration/config_task_test.ts
@@ -10,24 +10,26 @@
 import * as configuration from "./mod.ts";
 
 const DEADLINE_MS = 8000;
-const QUIET = {
+const NOOP_LOG = {
   debug: () => undefined,
   info: () => undefined,
   warn: () => undefined,
   error: () => undefined,
 };
 
-/** Carries revisions and sets between the tasks of one test. */
+/** Carries heartbeats and fetches between the tasks of one test. */
 class FakeNetwork {
   readonly tasks = new Map<contracts.VmId, configuration.ConfigTask>();
-  readonly cut = new Set<contracts.VmId>();
+  readonly partitioned = new Set<contracts.VmId>();
 
-  /** One heartbeat of every VM to every other. */
-  beat(): void {
+  /** Delivers one heartbeat from every VM to every other. */
+  exchangeHeartbeats(): void {
     for (const [from, task] of this.tasks) {
       for (const [to, other] of this.tasks) {
-        if (from === to || this.cut.has(from) || this.cut.has(to)) continue;
-        other.noteHeard(from, task.revision);
+        if (
+          from === to || this.partitioned.has(from) || this.partitioned.has(to)
+        ) continue;
+        other.notePeerRevision(from, task.revision);
       }
     }
   }
@@ -35,25 +37,30 @@
   sourceFor(vm: contracts.VmId): configuration.PeerConfigSource {
     return {
       liveVms: () => {
-        if (this.cut.has(vm)) return [vm];
+        if (this.partitioned.has(vm)) return [vm];
         const others = [...this.tasks.keys()];
-        return others.filter((each) => each === vm || !this.cut.has(each));
+        return others.filter((each) =>
+          each === vm || !this.partitioned.has(each)
+        );
       },
       serve: () => undefined,
       fetch: (to, { haveRevision }) => {
         const task = this.tasks.get(to);
-        if (task === undefined || this.cut.has(vm) || this.cut.has(to)) {
-          const message = "The test cut this peer off";
+        if (
+          task === undefined || this.partitioned.has(vm) ||
+          this.partitioned.has(to)
+        ) {
+          const message = "The test partitioned this peer";
           return neverthrow.errAsync({ kind: "unreachable", message });
         }
-        return neverthrow.okAsync(task.answer(haveRevision) ?? null);
+        return neverthrow.okAsync(task.deltaSince(haveRevision) ?? null);
       },
-      announce: () => this.beat(),
+      announce: () => this.exchangeHeartbeats(),
     };
   }
 }
 
-class Fleet {
+class Cluster {
   readonly store = new FakeStore();
   readonly network = new FakeNetwork();
   readonly #choice: decisions.WatcherChoice;
@@ -69,27 +76,30 @@
     for (const vm of this.vms) this.add(vm);
   }
 
-  static async start(t: TestContext, size: number): Promise<Fleet> {
-    const fleet = new Fleet(await decisions.createWatcherChoice(), size);
-    const beats = setInterval(() => fleet.network.beat(), 10);
-    t.after(() => clearInterval(beats));
-    t.after(() => Promise.all(fleet.#lifeCycles.map((each) => each.stop())));
-    return fleet;
+  static async start(t: TestContext, size: number): Promise<Cluster> {
+    const cluster = new Cluster(await decisions.createWatcherChoice(), size);
+    const heartbeats = setInterval(
+      () => cluster.network.exchangeHeartbeats(),
+      10,
+    );
+    t.after(() => clearInterval(heartbeats));
+    t.after(() => Promise.all(cluster.#lifeCycles.map((each) => each.stop())));
+    return cluster;
   }
 
-  /** Starts a process with nothing in memory under this name. */
+  /** Starts a process of this name without any state. */
   add(vm: contracts.VmId): configuration.ConfigTask {
     const task = new configuration.ConfigTask({
       vm,
       store: this.store,
       peers: this.network.sourceFor(vm),
-      choice: this.#choice,
+      watcherSelector: this.#choice,
       clock: new MonotonicClock(),
       random: { next: Math.random },
-      log: QUIET,
+      log: NOOP_LOG,
       watchWaitMs: 200,
-      compareMs: 100,
-      settleMs: 50,
+      compareIntervalMs: 100,
+      peerDiscoveryMs: 50,
       storeTimeoutMs: 100,
       peerTimeoutMs: 100,
     });
@@ -137,91 +147,91 @@
 }
 
 async function waitUntil(condition: () => boolean): Promise<void> {
-  const until = performance.now() + DEADLINE_MS;
+  const endMs = performance.now() + DEADLINE_MS;
   while (!condition()) {
-    if (performance.now() > until) throw new Error("Condition not met in time");
+    if (performance.now() > endMs) throw new Error("Condition not met in time");
     await timers.setTimeout(5);
   }
 }
 
-test("should bring a revision to every VM through two watches", async (t) => {
-  const fleet = await Fleet.start(t, 7);
-  await fleet.write(1);
-  await fleet.waitFor(1);
-  await fleet.write(2);
-  await fleet.waitFor(2);
-  const watching = [...fleet.network.tasks.values()]
+test("should deliver a revision to every VM through two watchers", async (t) => {
+  const cluster = await Cluster.start(t, 7);
+  await cluster.write(1);
+  await cluster.waitFor(1);
+  await cluster.write(2);
+  await cluster.waitFor(2);
+  const watchers = [...cluster.network.tasks.values()]
     .filter((task) => task.isWatcher);
-  expect(watching.length).toEqual(decisions.WATCHERS);
+  expect(watchers.length).toEqual(decisions.WATCHERS);
 });
 
-// The connection under the watch was forgotten by something between the two
-// ends: no event comes and no error either. The agreed split would stay out of
-// force for good.
-test("should notice a watch that has gone silent", async (t) => {
-  const fleet = await Fleet.start(t, 3);
-  await fleet.write(1);
-  await fleet.waitFor(1);
-  fleet.store.isWatchSilent = true;
-  await fleet.write(2);
-  await fleet.waitFor(2);
+// A device between the two ends has dropped the state of the watch's connection:
+// neither events nor errors arrive any more. The published cost split would never come into force.
+test("should detect a stalled watch", async (t) => {
+  const cluster = await Cluster.start(t, 3);
+  await cluster.write(1);
+  await cluster.waitFor(1);
+  cluster.store.isWatchStalled = true;
+  await cluster.write(2);
+  await cluster.waitFor(2);
 });
 
-// The store goes away right after a publish was accepted, and an entry VM
-// restarts empty. It must serve the accepted split, not an older one or none.
-test("should get the revision from peers while the store is down", async (t) => {
-  const fleet = await Fleet.start(t, 3);
-  await fleet.write(4);
-  await fleet.waitFor(4);
-  fleet.store.fault = () => "down";
-  const restarted = fleet.add(fleet.vms[1]!);
+// The store becomes unavailable right after it accepted a publish, and an entry
+// VM restarts without state. It must serve the published cost split, not an
+// older one or none.
+test("should fetch the revision from peers while the store is down", async (t) => {
+  const cluster = await Cluster.start(t, 3);
+  await cluster.write(4);
+  await cluster.waitFor(4);
+  cluster.store.fault = () => "down";
+  const restarted = cluster.add(cluster.vms[1]!);
   await waitUntil(() => restarted.revision === 4);
-  expect(restarted.config).toEqual(fleet.task(0).config);
+  expect(restarted.config).toEqual(cluster.task(0).config);
 });
 
-// A VM was cut off through two publishes and comes back offering its old
-// revision, and the store was restored from an old copy. Users would see the
-// old cost split return.
-test("should revert neither for a peer nor for the store", async (t) => {
-  const fleet = await Fleet.start(t, 4);
-  await fleet.write(1);
-  await fleet.waitFor(1);
-  fleet.network.cut.add(fleet.vms[3]!);
-  fleet.store.fault = () => "down";
-  const seen: number[] = [];
-  fleet.task(0).onApplied((config) => seen.push(config.revision));
-  const objects = [...fleet.task(0).config!.objects];
+// A VM that was partitioned during two publishes reconnects with its old
+// revision, and the store is restored from an old backup. Neither may bring the
+// old cost split back into force.
+test("should not revert to an older revision of a peer or the store", async (t) => {
+  const cluster = await Cluster.start(t, 4);
+  await cluster.write(1);
+  await cluster.waitFor(1);
+  cluster.network.partitioned.add(cluster.vms[3]!);
+  cluster.store.fault = () => "down";
+  const applied: number[] = [];
+  cluster.task(0).onApplied((config) => applied.push(config.revision));
+  const objects = [...cluster.task(0).config!.objects];
   const by = { publishedBy: "ana", publishedAt: "2026-01-01T00:00:00Z" };
-  fleet.task(0).notePublished({ ...by, revision: 3, objects });
-  await waitUntil(() => fleet.task(1).revision === 3);
-  expect(fleet.task(3).revision).toEqual(1);
-  fleet.network.cut.clear();
-  fleet.store.fault = () => "none";
-  await fleet.write(2);
-  await fleet.waitFor(3);
-  const gets = fleet.store.calls.length;
-  await waitUntil(() => fleet.store.calls.length > gets + 5);
-  expect(seen).toEqual([3]);
-  await fleet.waitFor(3);
+  cluster.task(0).notePublished({ ...by, revision: 3, objects });
+  await waitUntil(() => cluster.task(1).revision === 3);
+  expect(cluster.task(3).revision).toEqual(1);
+  cluster.network.partitioned.clear();
+  cluster.store.fault = () => "none";
+  await cluster.write(2);
+  await cluster.waitFor(3);
+  const callsBefore = cluster.store.calls.length;
+  await waitUntil(() => cluster.store.calls.length > callsBefore + 5);
+  expect(applied).toEqual([3]);
+  await cluster.waitFor(3);
 });
 
-// A whole publish fails on its way to a peer that has moved on meanwhile; a
-// delta for another revision must not be applied on top.
-test("should fetch the whole set when a delta does not fit", async (t) => {
-  const fleet = await Fleet.start(t, 2);
-  await fleet.write(1);
-  await fleet.waitFor(1);
-  fleet.store.fault = () => "down";
-  const objects = [...fleet.task(0).config!.objects];
+// A peer replies with a delta on a base revision that this VM doesn't have. It
+// must not be applied, and a full fetch must follow.
+test("should fetch the full configuration when a delta does not fit", async (t) => {
+  const cluster = await Cluster.start(t, 2);
+  await cluster.write(1);
+  await cluster.waitFor(1);
+  cluster.store.fault = () => "down";
+  const objects = [...cluster.task(0).config!.objects];
   const by = { publishedBy: "ana", publishedAt: "2026-01-01T00:00:00Z" };
-  const answer = fleet.task(0).answer.bind(fleet.task(0));
+  const deltaSince = cluster.task(0).deltaSince.bind(cluster.task(0));
   let isFirst = true;
-  fleet.task(0).answer = (have) => {
-    const delta = answer(isFirst ? have : 0);
+  cluster.task(0).deltaSince = (have) => {
+    const delta = deltaSince(isFirst ? have : 0);
     if (!isFirst || delta === undefined) return delta;
     isFirst = false;
     return { ...delta, baseRevision: 99 };
   };
-  fleet.task(0).notePublished({ ...by, revision: 2, objects });
-  await fleet.waitFor(2);
+  cluster.task(0).notePublished({ ...by, revision: 2, objects });
+  await cluster.waitFor(2);
 });
--- a/packages/entry/src/configuration/drafts.ts
+++ b/packages/entry/src/configuration/drafts.ts
@@ -1,7 +1,7 @@
 /**
- * Drafts: the objects as operators edit them, one object of the store each,
- * edited on condition of its version. Nothing of a draft reaches traffic
- * before it is published.
+ * Drafts: configuration objects that operators edit. Each is one object of the
+ * platform store and is updated on condition of its version. A draft has no
+ * effect on traffic until it's published.
  */
 import * as contracts from "@guavatide/contracts";
 import * as neverthrow from "neverthrow";
@@ -9,17 +9,17 @@
 import * as z from "zod";
 import * as storeWrite from "./store_write.ts";
 
-/** Prefix of all drafts in the platform's store. */
+/** Name prefix of all drafts in the platform store. */
 export const DRAFT_PREFIX = "drafts/";
 
-/** Edits remembered in each draft, the newest last. */
-const REMEMBERED_EDITS = 20;
+/** Maximum number of edits kept in a draft, the newest last. */
+const MAX_EDITS = 20;
 
 const editSchema = z.strictObject({
-  /** Drawn anew for each edit, to recognise one's own lost reply. */
+  /** Unique to each edit, to recognize a write whose reply was lost. */
   nonce: z.string().min(1),
   operator: z.string().min(1),
-  /** Wall-clock time, ISO 8601, for people. */
+  /** Wall-clock time, ISO 8601, for display only. */
   at: z.string().min(1),
 });
 /** Who edited a draft, and when. */
@@ -33,29 +33,29 @@
 /** A draft as read from the store. */
 export interface Draft {
   readonly object: contracts.ConfigObject;
-  /** Version for the next conditional edit. */
+  /** Store version, the condition of the next edit. */
   readonly version: string;
   readonly lastEdit: DraftEdit;
 }
 
-/** Names a draft. */
+/** Identifies a draft. */
 export interface DraftName {
   readonly kind: contracts.ConfigObject["kind"];
   readonly name: string;
 }
 
-/** Every draft at one moment. */
+/** All drafts at one moment. */
 export interface DraftSet {
   readonly drafts: readonly Draft[];
-  /** Changes with every edit; a publish names the tag that was checked. */
+  /** Changes with every edit. A publish names the tag that was checked. */
   readonly tag: string;
 }
 
-/** What can go wrong with drafts. */
+/** Why an operation on drafts failed. */
 export type DraftError =
   | { readonly kind: "not-found"; readonly message: string }
   | { readonly kind: "exists"; readonly message: string }
-  /** Another operator was faster; `current` is what stands now. */
+  /** Another edit came first. `current` is the draft as it is now. */
   | {
     readonly kind: "conflict";
     readonly message: string;
@@ -65,25 +65,25 @@
   /** The store did not say whether the edit took effect. */
   | { readonly kind: "unknown"; readonly message: string }
   | { readonly kind: "unavailable"; readonly message: string }
-  /** The store holds something under this name that is no draft. */
+  /** The stored object of this name is not a valid draft. */
   | { readonly kind: "unreadable"; readonly message: string };
 
 /** Options of {@link DraftStore}. */
 export interface DraftStoreOptions {
   readonly store: contracts.PlatformStore;
   readonly clock: contracts.Clock;
-  /** Time for one edit, with all its attempts. */
+  /** Timeout of one edit, including its retries. */
   readonly timeoutMs: number;
-  /** Time for one call to the store. */
+  /** Timeout of one store call. */
   readonly callTimeoutMs: number;
-  /** Wall-clock time as ISO 8601. */
+  /** Current wall-clock time as ISO 8601. */
   readonly now: () => string;
 }
 
 /** Options of {@link DraftStore.replace}. */
 export interface ReplaceOptions {
   readonly operator: string;
-  /** The version that the operator has seen. */
+  /** The version that the operator has edited. */
   readonly version: string;
 }
 
@@ -97,28 +97,28 @@
     this.#options = options;
   }
 
-  /** All drafts, in order of name. */
+  /** Returns all drafts, sorted by name. */
   async list(): DraftResult<DraftSet> {
     const listed = await this.#options.store.list(DRAFT_PREFIX, {
       timeoutMs: this.#options.callTimeoutMs,
     });
-    if (listed.isErr()) return neverthrow.err(readError(listed.error));
+    if (listed.isErr()) return neverthrow.err(toDraftError(listed.error));
     const stored = [...listed.value.objects]
       .sort((a, b) => a.name < b.name ? -1 : 1);
     return neverthrow.Result.combine(stored.map(parseDraft))
       .map((drafts) => ({ drafts, tag: tagOf(stored) }));
   }
 
-  /** One draft. */
+  /** Returns one draft. */
   async get(name: DraftName): DraftResult<Draft> {
-    const read = await this.#options.store.get(storeName(name), {
+    const read = await this.#options.store.get(objectName(name), {
       timeoutMs: this.#options.callTimeoutMs,
     });
-    if (read.isErr()) return neverthrow.err(readError(read.error));
+    if (read.isErr()) return neverthrow.err(toDraftError(read.error));
     return parseDraft(read.value);
   }
 
-  /** Creates a draft that is not there yet. */
+  /** Creates a draft. Fails with `exists` if there is one of that name. */
   async create(
     object: contracts.ConfigObject,
     operator: string,
@@ -129,34 +129,34 @@
     });
     return created.mapErr((error) =>
       error.kind === "conflict" && error.current !== undefined
-        ? { kind: "exists", message: existsText(object) }
+        ? { kind: "exists", message: existsMessage(object) }
         : error
     );
   }
 
-  /** Replaces a draft on condition of its version. */
+  /** Replaces a draft. Fails with `conflict` if its version differs. */
   async replace(
     object: contracts.ConfigObject,
     options: ReplaceOptions,
   ): DraftResult<Draft> {
-    const read = await this.#options.store.get(storeName(object), {
+    const read = await this.#options.store.get(objectName(object), {
       timeoutMs: this.#options.callTimeoutMs,
     });
-    if (read.isErr()) return neverthrow.err(readError(read.error));
+    if (read.isErr()) return neverthrow.err(toDraftError(read.error));
     if (read.value.version !== options.version) {
       return neverthrow.err(conflictOf(object, read.value));
     }
     return await this.#write(object, options.operator, {
       condition: { kind: "version", version: options.version },
-      edits: editsOf(read.value.value),
+      edits: parseEdits(read.value.value),
     });
   }
 
-  /** Deletes a draft on condition of its version. */
+  /** Deletes a draft. Fails with `conflict` if its version differs. */
   async remove(name: DraftName, version: string): DraftResult<void> {
-    const deleted = await storeWrite.deleteResolved(
+    const deleted = await storeWrite.deleteWithReadBack(
       this.#options.store,
-      storeName(name),
+      objectName(name),
       { condition: { kind: "version", version }, ...this.#options },
     );
     return deleted.mapErr((error) => this.#draftError(name, error));
@@ -175,16 +175,16 @@
       operator,
       at: this.#options.now(),
     };
-    const kept = [...edits, edit].slice(-REMEMBERED_EDITS);
-    const written = await storeWrite.writeResolved(
+    const kept = [...edits, edit].slice(-MAX_EDITS);
+    const written = await storeWrite.writeWithReadBack(
       this.#options.store,
-      storeName(object),
+      objectName(object),
       {
         ...this.#options,
         value: JSON.stringify({ object, edits: kept }),
         condition,
-        isOurs: (value) =>
-          editsOf(value).some((each) => each.nonce === edit.nonce),
+        isOwnWrite: (value) =>
+          parseEdits(value).some((each) => each.nonce === edit.nonce),
       },
     );
     return written
@@ -199,7 +199,7 @@
   }
 }
 
-function storeName(name: DraftName): string {
+function objectName(name: DraftName): string {
   return `${DRAFT_PREFIX}${name.kind}/${name.name}`;
 }
 
@@ -220,7 +220,7 @@
   });
 }
 
-function editsOf(value: string): readonly DraftEdit[] {
+function parseEdits(value: string): readonly DraftEdit[] {
   const parsed = storedDraftSchema.safeParse(parseJson(value));
   return parsed.success ? parsed.data.edits : [];
 }
@@ -236,11 +236,11 @@
   return { kind: "conflict", message, current };
 }
 
-function existsText(name: DraftName): string {
+function existsMessage(name: DraftName): string {
   return `${name.kind} "${name.name}" is already there: edit it instead`;
 }
 
-function readError(error: contracts.StoreError): DraftError {
+function toDraftError(error: contracts.StoreError): DraftError {
   if (error.kind === "not-found") {
     const message = "There is no such draft: list the drafts for their names";
     return { kind: "not-found", message };
--- a/packages/entry/src/configuration/fake_store_test.ts
+++ b/packages/entry/src/configuration/fake_store_test.ts
@@ -1,22 +1,26 @@
-/** A store in memory whose replies can be lost, for tests of this folder. */
+/** In-memory platform store with fault injection, for tests. */
 import type * as contracts from "@guavatide/contracts";
 import * as neverthrow from "neverthrow";
 import * as timers from "node:timers/promises";
 
 type Reply<Value> = neverthrow.ResultAsync<Value, contracts.StoreError>;
 
-/** What the store does with a call, asked before it answers. */
+/**
+ * Fault of a call. `down` fails the call without an effect, and `lost-reply`
+ * applies it but fails its reply.
+ */
 export type Fault = "none" | "down" | "lost-reply";
 
+/** In-memory platform store that records its calls. */
 export class FakeStore implements contracts.PlatformStore {
   readonly objects = new Map<string, contracts.StoredObject>();
   readonly calls: string[] = [];
-  /** Decides the fault of each call; `call` is `method name`. */
+  /** Returns the fault of a call, given as `method name`. */
   fault: (call: string) => Fault = () => "none";
-  /** Runs after a write took effect and before it is answered. */
+  /** Runs after a write has taken effect and before its reply. */
   afterWrite: (name: string) => void = () => undefined;
-  /** Watches that bring nothing, without an error. */
-  isWatchSilent = false;
+  /** Whether watches deliver no events and no errors. */
+  isWatchStalled = false;
   readonly #events: contracts.WatchEvent[] = [];
   #version = 0;
 
@@ -82,15 +86,15 @@
     prefix: string,
     options: contracts.CallOptions & { cursor: string; waitMs: number },
   ): Promise<neverthrow.Result<contracts.WatchBatch, contracts.StoreError>> {
-    const until = performance.now() + options.waitMs;
+    const deadlineMs = performance.now() + options.waitMs;
     const start = Number(options.cursor);
-    while (performance.now() < until && !options.signal?.aborted) {
-      const isReady = !this.isWatchSilent && this.#events.length > start;
+    while (performance.now() < deadlineMs && !options.signal?.aborted) {
+      const isReady = !this.isWatchStalled && this.#events.length > start;
       if (this.fault(`watch ${prefix}`) !== "none" || isReady) break;
       await timers.setTimeout(2);
     }
     return await this.#answer(`watch ${prefix}`, () => {
-      const all = this.isWatchSilent ? [] : this.#events.slice(start);
+      const all = this.isWatchStalled ? [] : this.#events.slice(start);
       const events = all.filter((event) => event.name.startsWith(prefix));
       const cursor = String(this.#events.length);
       return neverthrow.ok({ cursor, events, reset: false });
--- a/packages/entry/src/configuration/mod.ts
+++ b/packages/entry/src/configuration/mod.ts
@@ -1,4 +1,4 @@
-/** Storage and delivery of the configuration. */
+/** Storage, publication and delivery of the configuration. */
 export * from "./config_reader.ts";
 export * from "./config_task.ts";
 export * from "./current_config.ts";
--- a/packages/entry/src/configuration/peer_config_source.ts
+++ b/packages/entry/src/configuration/peer_config_source.ts
@@ -1,19 +1,19 @@
-/** What the configuration task needs of other entry VMs. */
+/** Interfaces between the configuration task and the other entry VMs. */
 import * as contracts from "@guavatide/contracts";
 import type * as decisions from "@guavatide/decisions";
 import type * as neverthrow from "neverthrow";
 import * as z from "zod";
 
-/** Method of the peers' door that answers with a {@link decisions.ConfigDelta}. */
+/** Peer method that returns a {@link decisions.ConfigDelta}. */
 export const CONFIG_METHOD = "config";
 
-/** Schema of the question: which revision the asker has, 0 for none. */
-export const configQuestionSchema = z.strictObject({
+/** Schema of the request: the revision that the requester has, 0 for none. */
+export const configRequestSchema = z.strictObject({
   haveRevision: z.number().int().min(0),
 });
 
-/** Schema of the answer; null when the peer has nothing newer. */
-export const configAnswerSchema = z.strictObject({
+/** Schema of the reply. Null if the peer has nothing newer. */
+export const configReplySchema = z.strictObject({
   baseRevision: z.number().int().min(0),
   revision: z.number().int().min(1),
   publishedBy: z.string().min(1),
@@ -23,7 +23,7 @@
   drains: z.array(contracts.drainSchema).optional(),
 }).nullable();
 
-/** Why a peer did not give its configuration. */
+/** Why fetching the configuration from a peer failed. */
 export interface PeerConfigError {
   readonly kind: "unreachable" | "timeout" | "refused" | "bad-answer";
   readonly message: string;
@@ -31,30 +31,32 @@
 
 /** Options of {@link PeerConfigSource.fetch}. */
 export interface PeerConfigFetchOptions {
+  /** Revision to base the delta on; 0 fetches everything. */
   readonly haveRevision: number;
   readonly timeoutMs: number;
 }
 
-/** The side of this process that owns the configuration. */
-export interface PeerConfigOwner {
-  /** Revision in force here, for heartbeats. */
+/** The configuration in force in this process. */
+export interface ConfigProvider {
+  /** Revision in force, sent in heartbeats. */
   readonly revision: number;
-  /** A peer said which revision it has in force. */
-  noteHeard(vm: contracts.VmId, revision: number): void;
-  /** Answers a peer that asks for what is newer than its revision. */
-  answer(haveRevision: number): decisions.ConfigDelta | undefined;
+  /** Records the revision that a peer reports to have in force. */
+  notePeerRevision(vm: contracts.VmId, revision: number): void;
+  /** Changes since a revision. Undefined if there is nothing newer. */
+  deltaSince(haveRevision: number): decisions.ConfigDelta | undefined;
 }
 
-/** Other entry VMs as sources of configuration. */
+/** Access to the configuration of other entry VMs. */
 export interface PeerConfigSource {
-  /** Entry VMs that are not known to be lost or gone, this one included. */
+  /** Entry VMs that aren't known to be lost or gone, including this one. */
   liveVms(): readonly contracts.VmId[];
-  /** Connects the owner to heartbeats and to the peers' door. */
-  serve(owner: PeerConfigOwner): void;
+  /** Sends the provider's revision in heartbeats and serves its deltas. */
+  serve(provider: ConfigProvider): void;
+  /** Fetches what is newer than `haveRevision`; null if there is nothing. */
   fetch(
     vm: contracts.VmId,
     options: PeerConfigFetchOptions,
   ): neverthrow.ResultAsync<decisions.ConfigDelta | null, PeerConfigError>;
-  /** Tells peers of the revision in force at once. */
+  /** Sends the revision in force to peers immediately. */
   announce(): void;
 }
--- a/packages/entry/src/configuration/peer_task_config_source.ts
+++ b/packages/entry/src/configuration/peer_task_config_source.ts
@@ -1,4 +1,4 @@
-/** Carries configuration in the heartbeats and calls of the peer task. */
+/** Transports the configuration in the peer task's heartbeats and calls. */
 import type * as contracts from "@guavatide/contracts";
 import type * as decisions from "@guavatide/decisions";
 import * as neverthrow from "neverthrow";
@@ -25,30 +25,31 @@
 
   liveVms(): readonly contracts.VmId[] {
     const { clock, membership, vm } = this.#options;
-    // A VM that the list names counts before it was heard: right after a
-    // start of the whole fleet every VM would otherwise see only itself, and
-    // each would watch the store.
+    // A listed VM counts before its first heartbeat. Otherwise each VM would
+    // see only itself right after the whole cluster has started, and all of
+    // them would watch the store.
     const others = membership.members(clock.nowMs())
       .filter((member) => member.state !== "lost" && member.state !== "left")
       .filter((member) => member.vm !== vm);
     return [vm, ...others.map((member) => member.vm)];
   }
 
-  serve(owner: source.PeerConfigOwner): void {
+  serve(provider: source.ConfigProvider): void {
     this.#options.peers.addParticipant({
       fill: (draft) => {
-        draft.configRevision = owner.revision;
+        draft.configRevision = provider.revision;
       },
-      answer: (beat, draft) => {
-        owner.noteHeard(beat.vm, beat.configRevision);
-        draft.configRevision = owner.revision;
+      answer: (heartbeat, draft) => {
+        provider.notePeerRevision(heartbeat.vm, heartbeat.configRevision);
+        draft.configRevision = provider.revision;
       },
-      noteReply: (reply) => owner.noteHeard(reply.vm, reply.configRevision),
+      noteReply: (reply) =>
+        provider.notePeerRevision(reply.vm, reply.configRevision),
     });
     this.#options.door.register(
       source.CONFIG_METHOD,
-      source.configQuestionSchema,
-      ({ haveRevision }) => owner.answer(haveRevision) ?? null,
+      source.configRequestSchema,
+      ({ haveRevision }) => provider.deltaSince(haveRevision) ?? null,
     );
   }
 
@@ -61,12 +62,12 @@
   > {
     const link = this.#options.peers.link(vm);
     if (link === undefined) {
-      const message = `Entry VM "${vm}" is no member any more: ask another`;
+      const message = `Entry VM "${vm}" is no longer a member: ask another`;
       return neverthrow.errAsync({ kind: "unreachable", message });
     }
     return link.call(source.CONFIG_METHOD, {
       params: { haveRevision: options.haveRevision },
-      schema: source.configAnswerSchema,
+      schema: source.configReplySchema,
       timeoutMs: options.timeoutMs,
     });
   }
--- a/packages/entry/src/configuration/publisher.ts
+++ b/packages/entry/src/configuration/publisher.ts
@@ -1,25 +1,26 @@
 /**
- * Publishes the drafts as a whole set, and drains or returns single servers.
- * A publish names the tag of the drafts that its operator has checked.
+ * Publishes all drafts together as a new revision, and drains servers or
+ * returns them to service. A publish names the tag of the drafts that its
+ * operator has checked.
  */
 import type * as contracts from "@guavatide/contracts";
 import * as decisions from "@guavatide/decisions";
 import * as neverthrow from "neverthrow";
-import type { ConfigReader, ReadConfig } from "./config_reader.ts";
+import type { ConfigReader, StoredConfig } from "./config_reader.ts";
 import * as currentConfig from "./current_config.ts";
 import type { DraftStore } from "./drafts.ts";
 import * as revisionWriter from "./revision_writer.ts";
 
-/** Why a set was not published. */
+/** Why a publish or a drain failed. */
 export type PublishError =
   | revisionWriter.RevisionError
-  /** The whole set was checked and something stands against it. */
+  /** The objects failed validation. */
   | {
     readonly kind: "findings";
     readonly message: string;
     readonly findings: readonly decisions.Finding[];
   }
-  /** The drafts are no longer those that the operator has checked. */
+  /** The drafts have changed since the operator checked them. */
   | {
     readonly kind: "drafts-changed";
     readonly message: string;
@@ -36,13 +37,13 @@
   | { readonly kind: "not-found"; readonly message: string }
   | { readonly kind: "unreadable"; readonly message: string };
 
-/** What a publish would do. */
+/** Effect of a publish of the current drafts. */
 export interface PublishPlan {
   readonly changes: readonly decisions.ObjectChange[];
   readonly findings: readonly decisions.Finding[];
-  /** Tag of the drafts this was made from. */
+  /** Tag of the drafts that the plan was made from. */
   readonly tag: string;
-  /** Revision in force by the store's word; 0 before the first publish. */
+  /** Revision that the store holds; 0 before the first publish. */
   readonly currentRevision: number;
   readonly objects: readonly contracts.ConfigObject[];
 }
@@ -58,9 +59,9 @@
   readonly operator: string;
   /** Tag of the drafts that the operator has checked. */
   readonly tag: string;
-  /** Highest revision known to be in force anywhere. */
+  /** Highest revision known to be in force at any entry VM. */
   readonly knownRevision: number;
-  /** Objects among the changes that the operator may not publish. */
+  /** Returns the changed objects that the operator may not publish. */
   readonly forbidden: (
     changes: readonly decisions.ObjectChange[],
   ) => readonly string[];
@@ -78,10 +79,10 @@
 
 type PublishResult<Value> = Promise<neverthrow.Result<Value, PublishError>>;
 
-/** Times that a drain is tried when publishes race with it. */
+/** Attempts of a drain when concurrent publishes win. */
 const DRAIN_ATTEMPTS = 4;
 
-/** Plans and makes publishes. */
+/** Publishes drafts and drains servers. */
 export class Publisher {
   readonly #options: PublisherOptions;
   readonly #writer: revisionWriter.RevisionWriter;
@@ -91,65 +92,65 @@
     this.#writer = new revisionWriter.RevisionWriter(options);
   }
 
-  /** What a publish of the present drafts would do. Writes nothing. */
+  /** Returns what a publish of the current drafts would do. Writes nothing. */
   async plan(): PublishResult<PublishPlan> {
     return (await this.#prepare()).map(({ plan }) => plan);
   }
 
-  /** Publishes; returns the configuration that is now in force. */
+  /** Publishes the drafts. Returns the new configuration in force. */
   async publish(
     options: PublishOptions,
   ): PublishResult<contracts.PublishedConfig> {
     const prepared = await this.#prepare();
     if (prepared.isErr()) return neverthrow.err(prepared.error);
-    const { plan, before } = prepared.value;
-    const objection = objectionTo(plan, options);
-    if (objection !== undefined) return neverthrow.err(objection);
-    return await this.#writer.write(before, {
+    const { plan, stored } = prepared.value;
+    const rejection = findRejection(plan, options);
+    if (rejection !== undefined) return neverthrow.err(rejection);
+    return await this.#writer.write(stored, {
       operator: options.operator,
       knownRevision: options.knownRevision,
       changes: plan.changes.map((each) => `${each.change} ${each.object}`),
       objects: plan.objects,
-      drains: before?.config.drains ?? [],
+      drains: stored?.config.drains ?? [],
     });
   }
 
   /**
-   * Drains a server or returns it to service, on top of the set in force.
-   * The drain is part of the next revision, so that it reaches every entry VM
-   * by the same way, lasts, and never reverts.
+   * Drains a server or returns it to service, keeping the objects in force. The
+   * drain is part of the next revision, so it reaches every entry VM in the
+   * same way, persists, and never reverts.
    */
   async setDrain(
     options: SetDrainOptions,
   ): PublishResult<contracts.PublishedConfig> {
     for (let attempt = 1;; attempt++) {
-      const before = await this.#readCurrent();
-      if (before.isErr()) return neverthrow.err(before.error);
-      if (before.value === undefined) return neverthrow.err(nothingPublished());
-      const drains = before.value.config.drains ?? [];
+      const stored = await this.#readCurrent();
+      if (stored.isErr()) return neverthrow.err(stored.error);
+      if (stored.value === undefined) return neverthrow.err(nothingPublished());
+      const drains = stored.value.config.drains ?? [];
       const isDrained = drains.some((each) => each.server === options.server);
       if (isDrained === options.isDrained) {
-        return neverthrow.ok(before.value.config);
+        return neverthrow.ok(stored.value.config);
       }
-      const written = await this.#writer.write(before.value, {
+      const written = await this.#writer.write(stored.value, {
         operator: options.operator,
         knownRevision: options.knownRevision,
-        changes: [drainText(options)],
-        objects: before.value.config.objects,
-        drains: this.#drainsWith(drains, options),
+        changes: [describeDrain(options)],
+        objects: stored.value.config.objects,
+        drains: this.#updateDrains(drains, options),
       });
-      const lost = written.isErr() && written.error.kind === "conflict";
-      if (!lost || attempt === DRAIN_ATTEMPTS) return written;
+      const hasLostRace = written.isErr() && written.error.kind === "conflict";
+      if (!hasLostRace || attempt === DRAIN_ATTEMPTS) return written;
     }
   }
 
-  /** Past publishes and drains, the newest last. */
+  /** Returns past publishes and drains, the newest last. */
   async history(): PublishResult<readonly currentConfig.PublishEntry[]> {
     const read = await this.#readCurrent();
     return read.map((found) => found?.current.history ?? []);
   }
 
-  #drainsWith(
+  #updateDrains(
     drains: readonly contracts.Drain[],
     { server, operator, reason, isDrained }: SetDrainOptions,
   ): contracts.Drain[] {
@@ -158,42 +159,44 @@
     return [...others, { server, operator, reason, at: this.#options.now() }];
   }
 
-  /** The set in force by the store's word; undefined before the first. */
-  async #readCurrent(): PublishResult<ReadConfig | undefined> {
+  /** The configuration in the store. Undefined before the first publish. */
+  async #readCurrent(): PublishResult<StoredConfig | undefined> {
     const read = await this.#options.reader.readNewer(0);
     if (read.isOk()) return neverthrow.ok(read.value);
     if (read.error.kind === "not-found") return neverthrow.ok(undefined);
     return neverthrow.err(read.error);
   }
 
-  async #prepare(): PublishResult<{ plan: PublishPlan; before?: ReadConfig }> {
-    // The revision is read before the drafts: a publish that comes between
-    // the two then fails the conditional update instead of being overwritten.
+  async #prepare(): PublishResult<
+    { plan: PublishPlan; stored?: StoredConfig }
+  > {
+    // Read the revision before the drafts: a publish between the two reads
+    // makes the conditional update fail instead of being overwritten.
     const read = await this.#readCurrent();
     if (read.isErr()) return neverthrow.err(read.error);
-    const before = read.value;
+    const stored = read.value;
     const drafts = await this.#options.drafts.list();
-    if (drafts.isErr()) return neverthrow.err(draftError(drafts.error));
+    if (drafts.isErr()) return neverthrow.err(toPublishError(drafts.error));
     const objects = decisions.sortObjects(
       drafts.value.drafts.map((draft) => draft.object),
     );
     const plan = {
-      changes: decisions.diffSets(before?.config.objects ?? [], objects),
+      changes: decisions.diffSets(stored?.config.objects ?? [], objects),
       findings: decisions.checkSet(objects),
       tag: drafts.value.tag,
-      currentRevision: before?.config.revision ?? 0,
+      currentRevision: stored?.config.revision ?? 0,
       objects,
     };
-    return neverthrow.ok({ plan, before });
+    return neverthrow.ok({ plan, stored });
   }
 }
 
-function drainText(options: SetDrainOptions): string {
+function describeDrain(options: SetDrainOptions): string {
   const change = options.isDrained ? "drained" : "returned";
   return `${change} server/${options.server}`;
 }
 
-function objectionTo(
+function findRejection(
   plan: PublishPlan,
   options: PublishOptions,
 ): PublishError | undefined {
@@ -228,7 +231,7 @@
   return { kind: "not-found", message };
 }
 
-function draftError(
+function toPublishError(
   error: { readonly kind: string; readonly message: string },
 ): PublishError {
   const kind = error.kind === "unreadable" ? "unreadable" : "unavailable";
--- a/packages/entry/src/configuration/revision_writer.ts
+++ b/packages/entry/src/configuration/revision_writer.ts
@@ -1,17 +1,18 @@
 /**
- * Writes one revision of the configuration: chunks first, then the one
- * conditional update of `config/current` that decides between racing writers.
+ * Writes one revision of the configuration: first the chunks, then the
+ * conditional update of `config/current` that only one of several concurrent
+ * writers can win.
  */
 import type * as contracts from "@guavatide/contracts";
 import * as neverthrow from "neverthrow";
 import * as crypto from "node:crypto";
-import type { ReadConfig } from "./config_reader.ts";
+import type { StoredConfig } from "./config_reader.ts";
 import * as currentConfig from "./current_config.ts";
 import * as storeWrite from "./store_write.ts";
 
 /** Why a revision was not written. */
 export type RevisionError =
-  /** Another revision came first. */
+  /** Another revision was written first. */
   | {
     readonly kind: "conflict";
     readonly message: string;
@@ -27,20 +28,20 @@
   readonly vm: contracts.VmId;
   readonly store: contracts.PlatformStore;
   readonly clock: contracts.Clock;
-  /** Time for the deciding write, with all its attempts. */
+  /** Timeout of one conditional write, including its retries. */
   readonly timeoutMs: number;
-  /** Time for one call to the store. */
+  /** Timeout of one store call. */
   readonly callTimeoutMs: number;
-  /** Largest value the store holds. */
+  /** Maximum size of a stored value. */
   readonly valueLimitBytes: number;
-  /** Wall-clock time as ISO 8601. */
+  /** Current wall-clock time as ISO 8601. */
   readonly now: () => string;
 }
 
-/** What a new revision holds. */
+/** Content of a new revision. */
 export interface RevisionContent {
   readonly operator: string;
-  /** Highest revision known to be in force anywhere. */
+  /** Highest revision known to be in force at any entry VM. */
   readonly knownRevision: number;
   /** Changes for the history, as `change object`. */
   readonly changes: readonly string[];
@@ -57,12 +58,12 @@
   readonly entry: currentConfig.PublishEntry;
 }
 
-/** Changes named in the history. */
-const NAMED_CHANGES = 20;
-/** Older revisions whose chunks each write deletes. */
-const DELETED_REVISIONS = 3;
+/** Maximum number of changes listed in a history entry. */
+const MAX_LISTED_CHANGES = 20;
+/** Maximum number of old revisions whose chunks one write deletes. */
+const MAX_REVISIONS_CLEANED_UP = 3;
 
-/** Writes revisions. */
+/** Writes new revisions to the platform store. */
 export class RevisionWriter {
   readonly #options: RevisionWriterOptions;
 
@@ -70,33 +71,33 @@
     this.#options = options;
   }
 
-  /** Writes the revision after `before`; returns what is then in force. */
+  /** Writes the revision after `previous`. Returns the configuration in force. */
   async write(
-    before: ReadConfig | undefined,
+    previous: StoredConfig | undefined,
     content: RevisionContent,
   ): RevisionResult<contracts.PublishedConfig> {
     const history = [
-      ...(before?.current.history ?? []),
-      this.#entryFor(before, content),
-    ].slice(-currentConfig.REMEMBERED_PUBLISHES);
+      ...(previous?.current.history ?? []),
+      this.#createEntry(previous, content),
+    ].slice(-currentConfig.MAX_HISTORY_ENTRIES);
     const encoded = this.#encode(content, history);
     const { entry } = encoded;
     const chunked = await this.#writeChunks(encoded);
     if (chunked.isErr()) return neverthrow.err(chunked.error);
-    const written = await storeWrite.writeResolved(
+    const written = await storeWrite.writeWithReadBack(
       this.#options.store,
       currentConfig.CURRENT_NAME,
       {
         ...this.#options,
         value: encoded.value,
-        condition: before === undefined
+        condition: previous === undefined
           ? { kind: "absent" }
-          : { kind: "version", version: before.version },
-        isOurs: (value) => hasNonce(value, entry.nonce),
+          : { kind: "version", version: previous.version },
+        isOwnWrite: (value) => hasNonce(value, entry.nonce),
       },
     );
     if (written.isErr()) {
-      return neverthrow.err(await this.#failed(written.error, entry));
+      return neverthrow.err(await this.#toRevisionError(written.error, entry));
     }
     await this.#deleteOldChunks(history);
     const { revision, publishedBy, publishedAt } = entry;
@@ -111,19 +112,19 @@
     });
   }
 
-  #entryFor(
-    before: ReadConfig | undefined,
+  #createEntry(
+    previous: StoredConfig | undefined,
     content: RevisionContent,
   ): currentConfig.PublishEntry {
-    const storedRevision = before?.config.revision ?? 0;
+    const storedRevision = previous?.config.revision ?? 0;
     return {
-      // Above what any entry VM has in force: a store that was restored from
-      // an old copy would otherwise publish a revision that nobody applies.
+      // Exceeds every revision in force: after the store was restored from an
+      // old backup, entry VMs would ignore a lower revision.
       revision: Math.max(storedRevision, content.knownRevision) + 1,
       publishedBy: content.operator,
       publishedAt: this.#options.now(),
       nonce: crypto.randomUUID(),
-      changes: content.changes.slice(0, NAMED_CHANGES),
+      changes: content.changes.slice(0, MAX_LISTED_CHANGES),
       changeCount: content.changes.length,
       chunks: 0,
     };
@@ -156,15 +157,15 @@
 
   async #writeChunks(encoded: EncodedRevision): RevisionResult<void> {
     for (const [index, value] of encoded.chunks.entries()) {
-      const written = await storeWrite.writeResolved(
+      const written = await storeWrite.writeWithReadBack(
         this.#options.store,
         currentConfig.chunkName(encoded.entry, index),
         {
           ...this.#options,
           value,
-          // The name holds this write's nonce, so nobody else uses it.
+          // The name contains this write's nonce, so no other writer uses it.
           condition: { kind: "any" },
-          isOurs: (stored) => stored === value,
+          isOwnWrite: (stored) => stored === value,
         },
       );
       if (written.isErr()) {
@@ -176,7 +177,7 @@
     return neverthrow.ok(undefined);
   }
 
-  async #failed(
+  async #toRevisionError(
     error: storeWrite.WriteFailure,
     entry: currentConfig.PublishEntry,
   ): Promise<RevisionError> {
@@ -188,18 +189,18 @@
     }
     await this.#deleteChunks(entry);
     if (error.kind === "refused") return error;
-    return conflictOf(error.current);
+    return conflictError(error.current);
   }
 
   async #deleteOldChunks(
     history: readonly currentConfig.PublishEntry[],
   ): Promise<void> {
-    // The one before stays for a reader that has just read its name.
-    const old = history.slice(0, -2).slice(-DELETED_REVISIONS);
-    for (const entry of old) await this.#deleteChunks(entry);
+    // Keep the previous revision for a reader that has just read its name.
+    const oldEntries = history.slice(0, -2).slice(-MAX_REVISIONS_CLEANED_UP);
+    for (const entry of oldEntries) await this.#deleteChunks(entry);
   }
 
-  /** Best effort: a chunk left behind is never read, it only takes room. */
+  /** Best effort: a leftover chunk is never read and only uses space. */
   async #deleteChunks(entry: currentConfig.PublishEntry): Promise<void> {
     for (let index = 0; index < entry.chunks; index++) {
       await this.#options.store.delete(currentConfig.chunkName(entry, index), {
@@ -211,18 +212,18 @@
 }
 
 function hasNonce(value: string, nonce: string): boolean {
-  return currentConfig.parseCurrent(value).match(
+  return currentConfig.parseCurrentConfig(value).match(
     (current) => current.history.some((entry) => entry.nonce === nonce),
     () => false,
   );
 }
 
-function conflictOf(
+function conflictError(
   current: contracts.StoredObject | undefined,
 ): RevisionError {
   const parsed = current === undefined
     ? undefined
-    : currentConfig.parseCurrent(current.value).unwrapOr(undefined);
+    : currentConfig.parseCurrentConfig(current.value).unwrapOr(undefined);
   if (parsed === undefined) {
     const message = "Another publish came first: look at the diff again";
     return { kind: "conflict", message, revision: 0 };
--- a/packages/entry/src/configuration/storage_test.ts
+++ b/packages/entry/src/configuration/storage_test.ts
@@ -24,7 +24,7 @@
   imbalanceWeight: 1,
   churnWeight: 1,
 });
-const WHOLE = [PLACE, ...PARTNERS, SERVICE, split(60, 40)];
+const VALID_SET = [PLACE, ...PARTNERS, SERVICE, split(60, 40)];
 
 function object(fields: object): contracts.ConfigObject {
   return fields as contracts.ConfigObject;
@@ -41,7 +41,7 @@
   });
 }
 
-class Desk {
+class StorageFixture {
   readonly store = new FakeStore();
   readonly drafts: configuration.DraftStore;
   readonly reader: configuration.ConfigReader;
@@ -87,7 +87,7 @@
   }
 }
 
-/** Faults of the first call that matches, later ones are well. */
+/** Injects the fault into the first matching call only. */
 function once(call: string, fault: Fault): (call: string) => Fault {
   let isDone = false;
   return (each) => {
@@ -97,20 +97,20 @@
   };
 }
 
-// Two partners open the same cost split and both save. Without the condition
-// the slower one would silently undo the other's agreed percentages.
-test("should let one of two racing editors win and tell the other", async () => {
-  const desk = new Desk();
-  await desk.fill(WHOLE);
-  const { version } = (await desk.drafts.get(SPLIT))._unsafeUnwrap();
+// Two partners open the same cost split and both save. Without the condition on
+// the version, the later one would silently overwrite the other's percentages.
+test("should accept one of two concurrent edits and report a conflict", async () => {
+  const fixture = new StorageFixture();
+  await fixture.fill(VALID_SET);
+  const { version } = (await fixture.drafts.get(SPLIT))._unsafeUnwrap();
   const results = await Promise.all([
-    desk.edit(split(55, 45), version, "ana"),
-    desk.edit(split(50, 50), version, "blas"),
+    fixture.edit(split(55, 45), version, "ana"),
+    fixture.edit(split(50, 50), version, "blas"),
   ]);
-  const lost = results.filter((each) => each.isErr());
-  expect(lost.length).toEqual(1);
-  const error = lost[0]!._unsafeUnwrapErr();
-  const now = (await desk.drafts.get(SPLIT))._unsafeUnwrap();
+  const failed = results.filter((each) => each.isErr());
+  expect(failed.length).toEqual(1);
+  const error = failed[0]!._unsafeUnwrapErr();
+  const now = (await fixture.drafts.get(SPLIT))._unsafeUnwrap();
   expect(error.kind).toEqual("conflict");
   expect(error.message.includes(now.lastEdit.operator)).toEqual(true);
   expect(error.message.includes(now.version)).toEqual(true);
@@ -119,106 +119,109 @@
 interface LostReplyCase {
   readonly name: string;
   readonly call: string;
-  readonly run: (desk: Desk) => Promise<{ isOk(): boolean }>;
+  readonly run: (fixture: StorageFixture) => Promise<{ isOk(): boolean }>;
 }
 
 const LOST_REPLIES: readonly LostReplyCase[] = [
   {
     name: "creation",
     call: "put drafts/",
-    run: (desk) => desk.drafts.create(object({ ...PLACE, name: "yoff" }), "a"),
+    run: (fixture) =>
+      fixture.drafts.create(object({ ...PLACE, name: "yoff" }), "a"),
   },
   {
     name: "edit",
     call: "put drafts/",
-    run: async (desk) => {
-      const { version } = (await desk.drafts.get(SPLIT))._unsafeUnwrap();
-      return await desk.edit(split(50, 50), version);
+    run: async (fixture) => {
+      const { version } = (await fixture.drafts.get(SPLIT))._unsafeUnwrap();
+      return await fixture.edit(split(50, 50), version);
     },
   },
   {
     name: "deletion",
     call: "delete drafts/",
-    run: async (desk) => {
-      const { version } = (await desk.drafts.get(SPLIT))._unsafeUnwrap();
-      return await desk.drafts.remove(SPLIT, version);
+    run: async (fixture) => {
+      const { version } = (await fixture.drafts.get(SPLIT))._unsafeUnwrap();
+      return await fixture.drafts.remove(SPLIT, version);
     },
   },
   {
     name: "publish",
     call: "put config/current",
-    run: (desk) => desk.publish(),
+    run: (fixture) => fixture.publish(),
   },
 ];
 
 for (const { name, call, run } of LOST_REPLIES) {
   for (const fault of ["lost-reply", "down"] as const) {
-    // The store's reply is lost, or the call never reached it. An operator
-    // told of a failure would repeat what is there, or take it for undone.
-    test(`should finish one ${name} after "${fault}"`, async () => {
-      const desk = new Desk();
-      await desk.fill(WHOLE);
-      desk.store.fault = once(call, fault);
-      expect((await run(desk)).isOk()).toEqual(true);
+    // The store's reply is lost, or the call never reached the store. If a
+    // failure were reported, the operator would repeat a change that is already
+    // stored, or believe that it isn't.
+    test(`should complete the ${name} after "${fault}"`, async () => {
+      const fixture = new StorageFixture();
+      await fixture.fill(VALID_SET);
+      fixture.store.fault = once(call, fault);
+      expect((await run(fixture)).isOk()).toEqual(true);
     });
   }
 }
 
-// The reply of a publish is lost, and before it is read back another operator
-// publishes on top. Told of a conflict, the first would publish twice.
-test("should know its publish under a later one", async () => {
-  const desk = new Desk();
-  await desk.fill(WHOLE);
-  desk.store.fault = once("put config/current", "lost-reply");
-  desk.store.afterWrite = (name) => {
+// The reply to a publish is lost, and another operator publishes before it is
+// read back. If a conflict were reported, the first operator would publish the
+// same change again.
+test("should recognize its own publish below a later one", async () => {
+  const fixture = new StorageFixture();
+  await fixture.fill(VALID_SET);
+  fixture.store.fault = once("put config/current", "lost-reply");
+  fixture.store.afterWrite = (name) => {
     if (name !== configuration.CURRENT_NAME) return;
-    const stored = desk.store.objects.get(name)!;
+    const stored = fixture.store.objects.get(name)!;
     const current = JSON.parse(stored.value);
     const later = { ...current.history[0], revision: 2, nonce: "other" };
     current.history.push(later);
     const value = JSON.stringify(current);
-    desk.store.objects.set(name, { ...stored, version: "later", value });
+    fixture.store.objects.set(name, { ...stored, version: "later", value });
   };
-  const published = await desk.publish();
+  const published = await fixture.publish();
   expect(published._unsafeUnwrap().revision).toEqual(1);
 });
 
-// The store goes away in the middle of a publish and stays away. The operator
-// must not be told that nothing was published.
-test("should call the fate of a publish unknown when nobody says", async () => {
-  const desk = new Desk();
-  await desk.fill(WHOLE);
+// The store becomes unavailable during a publish and doesn't recover. The
+// operator must not be told that nothing was published.
+test("should report an unknown outcome when the store stays down", async () => {
+  const fixture = new StorageFixture();
+  await fixture.fill(VALID_SET);
   let isDown = false;
-  desk.store.fault = (call) => {
+  fixture.store.fault = (call) => {
     if (isDown) return "down";
     isDown = call === "put config/current";
     return isDown ? "lost-reply" : "none";
   };
-  const published = await desk.publish();
+  const published = await fixture.publish();
   expect(published._unsafeUnwrapErr().kind).toEqual("unknown");
 });
 
-// Two operators publish at once. Both told of success, one would believe in
-// force what is not.
-test("should let one of two racing publishers win", async () => {
-  const desk = new Desk();
-  await desk.fill(WHOLE);
-  const results = await Promise.all([desk.publish(), desk.publish()]);
+// Two operators publish at the same time. If both succeeded, one of them would
+// believe in a configuration that isn't in force.
+test("should accept one of two concurrent publishes", async () => {
+  const fixture = new StorageFixture();
+  await fixture.fill(VALID_SET);
+  const results = await Promise.all([fixture.publish(), fixture.publish()]);
   const kinds = results.map((each) =>
     each.match(() => "published", (error) => error.kind)
   );
   expect(kinds.sort()).toEqual(["conflict", "published"]);
 });
 
-// Another partner goes on editing between the check and the publish, and the
-// half-made edit would reach traffic unseen.
+// Another partner edits a draft between the check and the publish. The
+// unchecked edit must not come into force.
 test("should not publish drafts that changed after the check", async () => {
-  const desk = new Desk();
-  await desk.fill(WHOLE);
-  const { tag } = (await desk.publisher.plan())._unsafeUnwrap();
-  const { version } = (await desk.drafts.get(SPLIT))._unsafeUnwrap();
-  await desk.edit(split(50, 50), version);
-  const published = await desk.publisher.publish({
+  const fixture = new StorageFixture();
+  await fixture.fill(VALID_SET);
+  const { tag } = (await fixture.publisher.plan())._unsafeUnwrap();
+  const { version } = (await fixture.drafts.get(SPLIT))._unsafeUnwrap();
+  await fixture.edit(split(50, 50), version);
+  const published = await fixture.publisher.publish({
     operator: "ana",
     tag,
     knownRevision: 0,
@@ -227,94 +230,96 @@
   expect(published._unsafeUnwrapErr().kind).toEqual("drafts-changed");
 });
 
-test("should not publish a half-made set", async () => {
-  const desk = new Desk();
-  await desk.fill([PLACE, ...PARTNERS, SERVICE, split(60, 30)]);
-  const error = (await desk.publish())._unsafeUnwrapErr();
+test("should not publish drafts that fail validation", async () => {
+  const fixture = new StorageFixture();
+  await fixture.fill([PLACE, ...PARTNERS, SERVICE, split(60, 30)]);
+  const error = (await fixture.publish())._unsafeUnwrapErr();
   expect(error.kind).toEqual("findings");
-  expect(desk.store.objects.has(configuration.CURRENT_NAME)).toEqual(false);
+  expect(fixture.store.objects.has(configuration.CURRENT_NAME)).toEqual(false);
 });
 
-test("should not publish what the operator may not", async () => {
-  const desk = new Desk();
-  await desk.fill(WHOLE);
-  const error = (await desk.publish(0, ["place/plateau"]))._unsafeUnwrapErr();
+test("should not publish objects that the operator has no rights to", async () => {
+  const fixture = new StorageFixture();
+  await fixture.fill(VALID_SET);
+  const error = (await fixture.publish(0, ["place/plateau"]))
+    ._unsafeUnwrapErr();
   expect(error.kind).toEqual("forbidden");
 });
 
-// The platform restores its store from an old copy. A revision that entry VMs
-// already left behind would be accepted and never come into force.
+// The platform restores its store from an old backup. A publish with a revision
+// that entry VMs have already passed would be accepted but never applied.
 test("should publish above every revision known to be in force", async () => {
-  const desk = new Desk();
-  await desk.fill(WHOLE);
-  expect((await desk.publish(7))._unsafeUnwrap().revision).toEqual(8);
+  const fixture = new StorageFixture();
+  await fixture.fill(VALID_SET);
+  expect((await fixture.publish(7))._unsafeUnwrap().revision).toEqual(8);
 });
 
-test("should split a set over the value limit and read it back", async () => {
+test("should split objects above the value limit and read them back", async () => {
   const limitBytes = 2000;
-  const desk = new Desk(limitBytes);
+  const fixture = new StorageFixture(limitBytes);
   const places = Array.from(
     { length: 40 },
     (_, index) =>
       object({ ...PLACE, name: `zone-${index}`, region: "Médina é".repeat(9) }),
   );
-  await desk.fill([...WHOLE, ...places]);
-  const published = (await desk.publish())._unsafeUnwrap();
-  const read = (await desk.reader.readNewer(0))._unsafeUnwrap();
+  await fixture.fill([...VALID_SET, ...places]);
+  const published = (await fixture.publish())._unsafeUnwrap();
+  const read = (await fixture.reader.readNewer(0))._unsafeUnwrap();
   expect(read?.config).toEqual(published);
-  const chunks = [...desk.store.objects.values()]
+  const chunks = [...fixture.store.objects.values()]
     .filter((each) => each.name.startsWith(configuration.CHUNK_PREFIX));
   expect(chunks.length > 2).toEqual(true);
   expect(chunks.every((each) => each.value.length <= limitBytes))
     .toEqual(true);
 });
 
-test("should leave chunks of the last two revisions only", async () => {
-  const desk = new Desk(500);
-  await desk.fill(WHOLE);
+test("should keep the chunks of the last two revisions only", async () => {
+  const fixture = new StorageFixture(500);
+  await fixture.fill(VALID_SET);
   for (const percent of [50, 40, 30, 20]) {
-    const { version } = (await desk.drafts.get(SPLIT))._unsafeUnwrap();
-    await desk.edit(split(percent, 100 - percent), version);
-    (await desk.publish())._unsafeUnwrap();
+    const { version } = (await fixture.drafts.get(SPLIT))._unsafeUnwrap();
+    await fixture.edit(split(percent, 100 - percent), version);
+    (await fixture.publish())._unsafeUnwrap();
   }
-  const revisions = [...desk.store.objects.keys()]
+  const revisions = [...fixture.store.objects.keys()]
     .filter((name) => name.startsWith(configuration.CHUNK_PREFIX))
     .map((name) => name.slice(configuration.CHUNK_PREFIX.length)[0]);
   expect([...new Set(revisions)].sort()).toEqual(["3", "4"]);
 });
 
-test("should call a set with a wrong checksum unreadable", async () => {
-  const desk = new Desk();
-  await desk.fill(WHOLE);
-  await desk.publish();
+test("should report objects with a wrong checksum as unreadable", async () => {
+  const fixture = new StorageFixture();
+  await fixture.fill(VALID_SET);
+  await fixture.publish();
   const name = configuration.CURRENT_NAME;
-  const stored = desk.store.objects.get(name)!;
+  const stored = fixture.store.objects.get(name)!;
   const value = stored.value.replace("60", "99");
-  desk.store.objects.set(name, { ...stored, value });
-  const read = await desk.reader.readNewer(0);
+  fixture.store.objects.set(name, { ...stored, value });
+  const read = await fixture.reader.readNewer(0);
   expect(read._unsafeUnwrapErr().kind).toEqual("unreadable");
 });
 
-// A server is drained while somebody publishes, and the drain's revision
-// loses the race. The operator saw no error, yet work would go on arriving.
-test("should keep drains through racing and later publishes", async () => {
-  const desk = new Desk();
-  await desk.fill(WHOLE);
-  await desk.publish();
-  const { version } = (await desk.drafts.get(SPLIT))._unsafeUnwrap();
-  await desk.edit(split(50, 50), version);
+// A server is drained during a publish, and the drain's write loses the race.
+// Without a retry the operator would see no error, but the server would still
+// receive requests.
+test("should keep drains across concurrent and later publishes", async () => {
+  const fixture = new StorageFixture();
+  await fixture.fill(VALID_SET);
+  await fixture.publish();
+  const { version } = (await fixture.drafts.get(SPLIT))._unsafeUnwrap();
+  await fixture.edit(split(50, 50), version);
   const server = "a-1" as contracts.ServerId;
   const drain = { operator: "ana", server, reason: "disk", knownRevision: 1 };
   const [drained] = await Promise.all([
-    desk.publisher.setDrain({ ...drain, isDrained: true }),
-    desk.publish(1),
+    fixture.publisher.setDrain({ ...drain, isDrained: true }),
+    fixture.publish(1),
   ]);
   expect(drained.isOk()).toEqual(true);
-  await desk.publish(1);
-  const read = (await desk.reader.readNewer(0))._unsafeUnwrap();
+  await fixture.publish(1);
+  const read = (await fixture.reader.readNewer(0))._unsafeUnwrap();
   expect(read?.config.drains?.map((each) => each.server)).toEqual([server]);
   expect(read?.config.objects.at(0)).toEqual(split(50, 50));
-  const returned = await desk.publisher.setDrain({
+  const returned = await fixture.publisher.setDrain({
     ...drain,
     isDrained: false,
   });
--- a/packages/entry/src/configuration/store_watch.ts
+++ b/packages/entry/src/configuration/store_watch.ts
@@ -1,6 +1,6 @@
 /**
- * Watches `config/current` while this VM is one of those chosen to. One long
- * poll is open at a time; each counts as one call at the platform's store.
+ * Watches `config/current` while this VM is one of the selected watchers. One
+ * long poll is open at a time. Each counts as one call to the platform store.
  */
 import type * as contracts from "@guavatide/contracts";
 import * as timers from "node:timers/promises";
@@ -12,73 +12,73 @@
   readonly store: contracts.PlatformStore;
   readonly random: contracts.RandomSource;
   readonly log: PartLog;
-  /** Whether this VM is among those that watch, asked before each poll. */
-  readonly isChosen: () => boolean;
-  /** Takes the object as it stands now. */
+  /** Whether this VM is a watcher. Called before each poll. */
+  readonly isWatcher: () => boolean;
+  /** Receives the current object. */
   readonly onObject: (stored: contracts.StoredObject) => Promise<void>;
-  /** Longest wait of one poll. */
+  /** Maximum wait of one poll. */
   readonly waitMs: number;
-  /** Time for one call besides that wait. */
+  /** Timeout of one store call, added to `waitMs` for a poll. */
   readonly callTimeoutMs: number;
-  /** Between two questions whether this VM is chosen. */
-  readonly idleMs: number;
+  /** Interval of checks whether this VM has become a watcher. */
+  readonly roleCheckIntervalMs: number;
 }
 
-/** Longest wait for the VM list before the first question who watches. */
-const START_PAUSE_MS = 300;
-const FIRST_PAUSE_MS = 200;
-const LONGEST_PAUSE_MS = 5000;
+/** Maximum wait for the VM list before the first check of the role. */
+const MAX_START_DELAY_MS = 300;
+const MIN_RETRY_DELAY_MS = 200;
+const MAX_RETRY_DELAY_MS = 5000;
 
-/** Runs the watch until the process stops. */
+/** Watches the store until the process stops. */
 export class StoreWatch {
   readonly #options: StoreWatchOptions;
   #cursor: string | undefined;
-  #pauseMs = FIRST_PAUSE_MS;
+  #retryDelayMs = MIN_RETRY_DELAY_MS;
   #poll = new AbortController();
 
   constructor(options: StoreWatchOptions) {
     this.#options = options;
   }
 
-  /** Resolves when the signal ends the watch. */
+  /** Runs the watch. Resolves when the signal aborts it. */
   async run(signal: AbortSignal): Promise<void> {
     signal.addEventListener("abort", () => this.#poll.abort());
-    await pause(START_PAUSE_MS * this.#options.random.next(), signal);
+    await sleep(MAX_START_DELAY_MS * this.#options.random.next(), signal);
     while (!signal.aborted) {
-      if (!this.#options.isChosen()) {
+      if (!this.#options.isWatcher()) {
         this.#cursor = undefined;
-        await pause(this.#options.idleMs, signal);
+        await sleep(this.#options.roleCheckIntervalMs, signal);
         continue;
       }
-      await this.#step(signal);
+      await this.#pollOnce(signal);
     }
   }
 
   /**
-   * Ends the open poll and starts anew from a list. Called when a comparison
-   * found a revision that the watch did not bring: such a watch has gone
-   * silent, and would stay so without an error.
+   * Ends the open poll and starts again from a list. Called when a comparison
+   * finds a revision that the watch didn't deliver: such a watch has stalled,
+   * and would remain so without an error.
    */
   restart(): void {
     this.#cursor = undefined;
     this.#poll.abort();
   }
 
-  async #step(signal: AbortSignal): Promise<void> {
+  async #pollOnce(signal: AbortSignal): Promise<void> {
     this.#poll = new AbortController();
-    const ok = this.#cursor === undefined
+    const isOk = this.#cursor === undefined
       ? await this.#list()
       : await this.#watch(this.#cursor);
-    if (ok || signal.aborted) {
-      this.#pauseMs = FIRST_PAUSE_MS;
+    if (isOk || signal.aborted) {
+      this.#retryDelayMs = MIN_RETRY_DELAY_MS;
       return;
     }
-    // Drawn at random, so that watchers do not all return to a store that
-    // has just come back in the same moment.
-    const pauseMs = this.#pauseMs * this.#options.random.next();
-    this.#pauseMs = Math.min(this.#pauseMs * 2, LONGEST_PAUSE_MS);
+    // Random, so that watchers don't all call a recovering store at the same
+    // moment.
+    const delayMs = this.#retryDelayMs * this.#options.random.next();
+    this.#retryDelayMs = Math.min(this.#retryDelayMs * 2, MAX_RETRY_DELAY_MS);
     this.#cursor = undefined;
-    await pause(pauseMs, signal);
+    await sleep(delayMs, signal);
   }
 
   async #list(): Promise<boolean> {
@@ -86,9 +86,9 @@
       timeoutMs: this.#options.callTimeoutMs,
       signal: this.#poll.signal,
     });
-    if (listed.isErr()) return this.#failed(listed.error);
+    if (listed.isErr()) return this.#logFailure(listed.error);
     this.#cursor = listed.value.cursor;
-    await this.#take(listed.value.objects);
+    await this.#deliver(listed.value.objects);
     return true;
   }
 
@@ -97,33 +97,35 @@
     const batch = await this.#options.store.watch(currentConfig.CURRENT_NAME, {
       cursor,
       waitMs,
-      // A connection that went silent ends here instead of never.
+      // Ends a poll on a connection that has stalled without an error.
       timeoutMs: waitMs + callTimeoutMs,
       signal: this.#poll.signal,
     });
     if (this.#poll.signal.aborted) return true;
-    if (batch.isErr()) return this.#failed(batch.error);
+    if (batch.isErr()) return this.#logFailure(batch.error);
     this.#cursor = batch.value.reset ? undefined : batch.value.cursor;
-    await this.#take(batch.value.events.flatMap((each) => each.object ?? []));
+    await this.#deliver(
+      batch.value.events.flatMap((each) => each.object ?? []),
+    );
     return true;
   }
 
-  async #take(objects: readonly contracts.StoredObject[]): Promise<void> {
+  async #deliver(objects: readonly contracts.StoredObject[]): Promise<void> {
     const current = objects
       .filter((object) => object.name === currentConfig.CURRENT_NAME)
       .at(-1);
     if (current !== undefined) await this.#options.onObject(current);
   }
 
-  #failed(error: contracts.StoreError): boolean {
-    this.#options.log.debug("watch of the store ended, retrying", {
+  #logFailure(error: contracts.StoreError): boolean {
+    this.#options.log.debug("store watch failed, retrying", {
       reason: error.kind,
     });
     return false;
   }
 }
 
-/** Waits, at most until the signal. */
-export async function pause(ms: number, signal: AbortSignal): Promise<void> {
+/** Sleeps until the time is over or the signal aborts. Never rejects. */
+export async function sleep(ms: number, signal: AbortSignal): Promise<void> {
   await timers.setTimeout(ms, undefined, { signal }).catch(() => undefined);
 }
--- a/packages/entry/src/configuration/store_write.ts
+++ b/packages/entry/src/configuration/store_write.ts
@@ -1,57 +1,58 @@
 /**
- * Conditional writes whose reply may be lost. A write that was not answered
- * may still have taken effect: told as failed, the operator would repeat an
- * edit that is already there, or believe that a published split is not. The
- * object is therefore read back, and the same conditional write is sent again
- * while its condition still holds, until its fate is known or time is up.
+ * Conditional writes whose reply may be lost. A write without a reply may
+ * still have taken effect. If it were reported as failed, the operator would
+ * repeat an edit that is already stored, or believe that a published cost split
+ * isn't in force. Therefore the object is read back, and the same conditional
+ * write is retried while its condition still holds, up to the timeout or once
+ * the outcome is known.
  */
 import type * as contracts from "@guavatide/contracts";
 import * as neverthrow from "neverthrow";
 import * as timers from "node:timers/promises";
 
-/** Why a write did not succeed. */
+/** Why a write failed. */
 export type WriteFailure =
-  /** Nothing was written: the condition no longer held. */
+  /** Nothing was written: the condition didn't hold. */
   | {
     readonly kind: "conflict";
     readonly message: string;
-    /** The object as it stands; absent when it is gone. */
+    /** The object as it is now. Absent if it has been deleted. */
     readonly current?: contracts.StoredObject;
   }
-  /** Nothing was written: the store refused the value. */
+  /** Nothing was written: the store rejected the value. */
   | { readonly kind: "refused"; readonly message: string }
-  /** Time ran out before the fate of the write was known. */
+  /** The timeout expired before the outcome was known. */
   | { readonly kind: "unknown"; readonly message: string };
 
-/** Options of {@link writeResolved}. */
-export interface WriteResolvedOptions {
+/** Options of {@link writeWithReadBack}. */
+export interface WriteWithReadBackOptions {
   readonly value: string;
   readonly condition: contracts.WriteCondition;
-  /** Whether an object's text shows that this write took effect. */
-  readonly isOurs: (value: string) => boolean;
+  /** Whether a stored value shows that this write took effect. */
+  readonly isOwnWrite: (value: string) => boolean;
   readonly clock: contracts.Clock;
-  /** Time for all attempts together. */
+  /** Timeout of all attempts together. */
   readonly timeoutMs: number;
-  /** Time for one call to the store. */
+  /** Timeout of one store call. */
   readonly callTimeoutMs: number;
 }
 
-/** Options of {@link deleteResolved}. */
-export type DeleteResolvedOptions = Pick<
-  WriteResolvedOptions,
+/** Options of {@link deleteWithReadBack}. */
+export type DeleteWithReadBackOptions = Pick<
+  WriteWithReadBackOptions,
   "condition" | "clock" | "timeoutMs" | "callTimeoutMs"
 >;
 
-const RETRY_PAUSE_MS = 100;
+const RETRY_DELAY_MS = 100;
 
-/** Writes an object and returns its new version. */
-export async function writeResolved(
+/** Writes an object. Returns its new version. */
+export async function writeWithReadBack(
   store: contracts.PlatformStore,
   name: string,
-  options: WriteResolvedOptions,
+  options: WriteWithReadBackOptions,
 ): Promise<neverthrow.Result<string, WriteFailure>> {
-  const until = options.clock.nowMs() + options.timeoutMs;
-  while (options.clock.nowMs() < until) {
+  const deadlineMs = options.clock.nowMs() + options.timeoutMs;
+  while (options.clock.nowMs() < deadlineMs) {
     const written = await store.put(name, options.value, {
       condition: options.condition,
       timeoutMs: options.callTimeoutMs,
@@ -59,28 +60,30 @@
     if (written.isOk()) return neverthrow.ok(written.value);
     const { kind, message } = written.error;
     if (kind === "refused") return neverthrow.err({ kind, message });
-    const found = await readBack(store, name, { until, ...options });
+    const found = await readBack(store, name, { deadlineMs, ...options });
     if (found === undefined) break;
-    if (found.object !== undefined && options.isOurs(found.object.value)) {
+    if (found.object !== undefined && options.isOwnWrite(found.object.value)) {
       return neverthrow.ok(found.object.version);
     }
-    if (kind !== "unavailable" || !holds(options.condition, found.object)) {
-      return neverthrow.err(conflict(name, found.object));
+    if (
+      kind !== "unavailable" || !conditionHolds(options.condition, found.object)
+    ) {
+      return neverthrow.err(conflictFailure(name, found.object));
     }
-    await timers.setTimeout(RETRY_PAUSE_MS);
+    await timers.setTimeout(RETRY_DELAY_MS);
   }
-  return neverthrow.err(unknownFate(name));
+  return neverthrow.err(unknownOutcomeFailure(name));
 }
 
-/** Deletes an object. A lost reply counts as done once the object is gone. */
-export async function deleteResolved(
+/** Deletes an object. After a lost reply, a missing object means success. */
+export async function deleteWithReadBack(
   store: contracts.PlatformStore,
   name: string,
-  options: DeleteResolvedOptions,
+  options: DeleteWithReadBackOptions,
 ): Promise<neverthrow.Result<void, WriteFailure>> {
-  const until = options.clock.nowMs() + options.timeoutMs;
-  let mayHaveTakenEffect = false;
-  while (options.clock.nowMs() < until) {
+  const deadlineMs = options.clock.nowMs() + options.timeoutMs;
+  let mayHaveDeleted = false;
+  while (options.clock.nowMs() < deadlineMs) {
     const deleted = await store.delete(name, {
       condition: options.condition,
       timeoutMs: options.callTimeoutMs,
@@ -88,42 +91,44 @@
     if (deleted.isOk()) return neverthrow.ok(undefined);
     const { kind, message } = deleted.error;
     if (kind === "refused") return neverthrow.err({ kind, message });
-    mayHaveTakenEffect ||= kind === "unavailable";
-    const found = await readBack(store, name, { until, ...options });
+    mayHaveDeleted ||= kind === "unavailable";
+    const found = await readBack(store, name, { deadlineMs, ...options });
     if (found === undefined) break;
-    if (found.object === undefined && mayHaveTakenEffect) {
+    if (found.object === undefined && mayHaveDeleted) {
       return neverthrow.ok(undefined);
     }
-    if (kind !== "unavailable" || !holds(options.condition, found.object)) {
-      return neverthrow.err(conflict(name, found.object));
+    if (
+      kind !== "unavailable" || !conditionHolds(options.condition, found.object)
+    ) {
+      return neverthrow.err(conflictFailure(name, found.object));
     }
-    await timers.setTimeout(RETRY_PAUSE_MS);
+    await timers.setTimeout(RETRY_DELAY_MS);
   }
-  return neverthrow.err(unknownFate(name));
+  return neverthrow.err(unknownOutcomeFailure(name));
 }
 
 interface ReadBackOptions {
-  readonly until: number;
+  readonly deadlineMs: number;
   readonly clock: contracts.Clock;
   readonly callTimeoutMs: number;
 }
 
-/** The object as it stands; undefined when time ran out before an answer. */
+/** Reads the object. Undefined if the deadline passes before a reply. */
 async function readBack(
   store: contracts.PlatformStore,
   name: string,
   options: ReadBackOptions,
 ): Promise<{ readonly object?: contracts.StoredObject } | undefined> {
-  while (options.clock.nowMs() < options.until) {
+  while (options.clock.nowMs() < options.deadlineMs) {
     const read = await store.get(name, { timeoutMs: options.callTimeoutMs });
     if (read.isOk()) return { object: read.value };
     if (read.error.kind === "not-found") return {};
-    await timers.setTimeout(RETRY_PAUSE_MS);
+    await timers.setTimeout(RETRY_DELAY_MS);
   }
   return undefined;
 }
 
-function holds(
+function conditionHolds(
   condition: contracts.WriteCondition,
   object: contracts.StoredObject | undefined,
 ): boolean {
@@ -137,7 +142,7 @@
   }
 }
 
-function conflict(
+function conflictFailure(
   name: string,
   current: contracts.StoredObject | undefined,
 ): WriteFailure {
@@ -148,7 +153,7 @@
   return { kind: "conflict", message, current };
 }
 
-function unknownFate(name: string): WriteFailure {
+function unknownOutcomeFailure(name: string): WriteFailure {
   const message = `The platform's store did not say whether "${name}" was ` +
     "written: read it again before you repeat the change";
   return { kind: "unknown", message };
