--- a/packages/entry/src/metrics/observe_state.ts
+++ b/packages/entry/src/metrics/observe_state.ts
@@ -61,7 +61,7 @@
     "Age of the evidence by which leases are renewed",
     (result) => {
       for (const { name } of config.services()) {
-        const ageMs = owners.evidenceAgeMs(name);
+        const ageMs = owners.confirmationAgeMs(name);
         if (ageMs !== undefined) result.observe(ageMs, { service: name });
       }
     },
--- a/packages/entry/src/ownership/assignment_store.ts
+++ b/packages/entry/src/ownership/assignment_store.ts
@@ -1,14 +1,14 @@
-/** One service's assignment object in the platform's store. */
+/** Reads and writes one service's assignment object in the platform store. */
 import * as contracts from "@guavatide/contracts";
 import type * as ownership from "@guavatide/decisions/ownership/mod";
 
-/** A read with the time it was sent, from which evidence counts. */
+/** Result of a read. A confirmation by the store counts from `sentAtMs`. */
 export interface TimedRead {
   readonly read: ownership.AssignmentRead;
   readonly sentAtMs: number;
 }
 
-/** A write with the time it was sent. */
+/** Result of a write. A confirmation by the store counts from `sentAtMs`. */
 export interface TimedWrite {
   readonly write: ownership.AssignmentWrite;
   readonly sentAtMs: number;
@@ -19,10 +19,11 @@
   readonly service: contracts.ServiceId;
   readonly store: contracts.PlatformStore;
   readonly clock: contracts.Clock;
+  /** Timeout of one store call. */
   readonly timeoutMs: number;
 }
 
-/** Reads and writes one assignment. */
+/** Store access for the assignment of one service. */
 export class AssignmentStore {
   readonly #options: AssignmentStoreOptions;
   readonly #name: string;
@@ -32,7 +33,7 @@
     this.#name = `assignments/${options.service}`;
   }
 
-  /** Reads the object; what cannot be understood counts as unavailable. */
+  /** Reads the object. A value that fails to parse counts as unavailable. */
   async read(): Promise<TimedRead> {
     const { store, clock, timeoutMs } = this.#options;
     const sentAtMs = clock.nowMs();
@@ -50,7 +51,7 @@
     return { read: { kind: "found", assignment, version }, sentAtMs };
   }
 
-  /** Writes the object under a condition. */
+  /** Writes the object if the condition holds. */
   async write(
     assignment: contracts.Assignment,
     condition: contracts.WriteCondition,
@@ -65,11 +66,11 @@
         sentAtMs,
       };
     }
-    return { write: { kind: KINDS[result.error.kind] }, sentAtMs };
+    return { write: { kind: WRITE_RESULT_KINDS[result.error.kind] }, sentAtMs };
   }
 }
 
-const KINDS = {
+const WRITE_RESULT_KINDS = {
   "conflict": "conflict",
   "not-found": "conflict",
   "refused": "refused",
--- a/packages/entry/src/ownership/duty_task.ts
+++ b/packages/entry/src/ownership/duty_task.ts
@@ -1,35 +1,35 @@
-/** Keeps, takes over and hands back the duty lease of one service. */
+/** Acquires, renews and releases the leader lease of one service. */
 import * as ownership from "@guavatide/decisions/ownership/mod";
 import type { PartLog } from "../utils/log.ts";
 import type { ServiceContext } from "./service_context.ts";
 
-/** Part of one VM in the duty of planning one service's moves. */
-export class DutyTask {
+/** One VM's part in electing the leader that plans a service's moves. */
+export class LeaderElectionTask {
   readonly #context: ServiceContext;
   readonly #log: PartLog;
-  readonly #lease: ownership.DutyLease;
-  readonly #name: string;
-  #wasHolding = false;
+  readonly #leaderLease: ownership.DutyLease;
+  readonly #recordName: string;
+  #wasLeader = false;
 
   constructor(context: ServiceContext) {
     this.#context = context;
     this.#log = context.log.part("duty");
-    this.#name = `duty/${context.service}`;
-    this.#lease = new ownership.DutyLease(context.peers.self, {
+    this.#recordName = `duty/${context.service}`;
+    this.#leaderLease = new ownership.DutyLease(context.peers.self, {
       ...ownership.DEFAULT_DUTY_SETTINGS,
       leaseMs: context.timings.dutyLeaseMs,
       renewMs: context.timings.dutyRenewMs,
     });
   }
 
-  /** Whether this VM holds the duty now. */
-  get holds(): boolean {
-    return this.#lease.holds(this.#context.clock.nowMs());
+  /** Whether this VM is the leader now. */
+  get isLeader(): boolean {
+    return this.#leaderLease.holds(this.#context.clock.nowMs());
   }
 
   tick(nowMs: number): void {
     const { peers } = this.#context;
-    const effect = this.#lease.tick({
+    const effect = this.#leaderLease.tick({
       nowMs,
       rank: () => this.#rank(),
       isLost: (vm, incarnation) => peers.isLost(vm, incarnation),
@@ -39,66 +39,66 @@
     this.#logChange(nowMs);
   }
 
-  /** Hands the duty back, so that the next VM need not wait for its end. */
+  /** Resigns, so that the next leader need not wait for the lease to expire. */
   async stop(): Promise<void> {
-    const effect = this.#lease.release(this.#context.clock.nowMs());
-    if (effect?.kind === "write") await this.#put(effect);
+    const effect = this.#leaderLease.release(this.#context.clock.nowMs());
+    if (effect?.kind === "write") await this.#putRecord(effect);
   }
 
-  /** Different VMs come first for different services. */
+  /** Position in the takeover order, which differs from service to service. */
   #rank(): number {
     const { peers, hasher, service } = this.#context;
-    const ranked = ownership.rankByName(service, peers.live(), { hasher });
-    return Math.max(0, ranked.indexOf(peers.self.vm));
+    const order = ownership.rankByName(service, peers.live(), { hasher });
+    return Math.max(0, order.indexOf(peers.self.vm));
   }
 
   async #read(): Promise<void> {
     const { store, clock, timings, random } = this.#context;
-    const result = await store.get(this.#name, {
+    const result = await store.get(this.#recordName, {
       timeoutMs: timings.storeTimeoutMs,
     });
-    const read = result.match(
-      ({ value, version }) => toRead(value, version),
+    const recordRead = result.match(
+      ({ value, version }) => parseLeaderRecord(value, version),
       (error): ownership.DutyRead => ({
         kind: error.kind === "not-found" ? "absent" : "unavailable",
       }),
     );
-    this.#lease.noteRead(read, clock.nowMs(), random);
+    this.#leaderLease.noteRead(recordRead, clock.nowMs(), random);
   }
 
   async #write(
     effect: Extract<ownership.DutyEffect, { kind: "write" }>,
   ): Promise<void> {
-    const result = await this.#put(effect);
-    const write = result.match(
+    const result = await this.#putRecord(effect);
+    const recordWrite = result.match(
       (version): ownership.DutyWrite => ({ kind: "acknowledged", version }),
       (error): ownership.DutyWrite => ({
         kind: error.kind === "conflict" ? "conflict" : "unavailable",
       }),
     );
     const { clock, random } = this.#context;
-    this.#lease.noteWrite(write, clock.nowMs(), random);
+    this.#leaderLease.noteWrite(recordWrite, clock.nowMs(), random);
   }
 
-  #put(effect: Extract<ownership.DutyEffect, { kind: "write" }>) {
+  #putRecord(effect: Extract<ownership.DutyEffect, { kind: "write" }>) {
     const { store, timings } = this.#context;
-    return store.put(this.#name, JSON.stringify(effect.record), {
+    return store.put(this.#recordName, JSON.stringify(effect.record), {
       timeoutMs: timings.storeTimeoutMs,
       condition: effect.condition,
     });
   }
 
   #logChange(nowMs: number): void {
-    const holds = this.#lease.holds(nowMs);
-    if (holds === this.#wasHolding) return;
-    this.#wasHolding = holds;
+    const isLeader = this.#leaderLease.holds(nowMs);
+    if (isLeader === this.#wasLeader) return;
+    this.#wasLeader = isLeader;
     const { service } = this.#context;
-    const sentence = holds ? "control duty taken" : "control duty given up";
-    this.#log.info(sentence, { service, holder: this.#lease.holder });
+    const sentence = isLeader ? "leader lease acquired" : "leader lease ended";
+    this.#log.info(sentence, { service, holder: this.#leaderLease.holder });
   }
 }
 
-function toRead(value: string, version: string): ownership.DutyRead {
+function parseLeaderRecord(value: string, version: string): ownership.DutyRead {
   try {
     const record = ownership.dutyRecordSchema.parse(JSON.parse(value));
     return { kind: "found", record, version };
--- a/packages/entry/src/ownership/fake_servers_test.ts
+++ b/packages/entry/src/ownership/fake_servers_test.ts
@@ -1,22 +1,22 @@
-/** Backend servers in memory that follow the ownership contract. */
+/** In-memory backend servers that implement the ownership contract. */
 import type * as contracts from "@guavatide/contracts";
 import * as neverthrow from "neverthrow";
 import type { ServerAddress } from "../contracts/views.ts";
 import type { ServerControl } from "./service_context.ts";
 
-/** One server; it holds slices for as long as its lease lasts. */
+/** A server that owns its slices until its lease expires. */
 export class FakeServer implements ServerControl {
   readonly address: ServerAddress;
-  isSilent = false;
+  isUnresponsive = false;
   isDraining = false;
   checksFences = true;
-  /** Requests that still run in slices that were let go. */
-  stillRunning = 0;
-  orders = 0;
+  /** Requests still in flight in each released slice. */
+  requestsInFlight = 0;
+  commandCount = 0;
   #revision = 0;
   #slices: readonly contracts.HeldSlice[] = [];
-  #released: contracts.OwnershipReply["releasing"] = [];
-  #leaseEndMs = 0;
+  #releasing: contracts.OwnershipReply["releasing"] = [];
+  #leaseExpiresMs = 0;
 
   constructor(name: string, service: contracts.ServiceId) {
     this.address = {
@@ -29,26 +29,26 @@
     };
   }
 
-  /** Slices held under a lease that has not ended. */
-  get held(): readonly contracts.HeldSlice[] {
-    return performance.now() < this.#leaseEndMs ? this.#slices : [];
+  /** Slices whose lease has not expired. */
+  get leasedSlices(): readonly contracts.HeldSlice[] {
+    return performance.now() < this.#leaseExpiresMs ? this.#slices : [];
   }
 
   order(
-    order: contracts.OwnershipOrder,
+    command: contracts.OwnershipOrder,
   ): neverthrow.ResultAsync<
     contracts.OwnershipReply,
     contracts.ServerCallError
   > {
-    this.orders++;
-    if (this.isSilent) {
+    this.commandCount++;
+    if (this.isUnresponsive) {
       return neverthrow.errAsync({ kind: "timeout", message: "Silent" });
     }
-    const isStale = order.revision < this.#revision;
-    const isAccepted = !isStale && order.stampInstance === "run-1";
-    if (!isStale) this.#apply(order, isAccepted);
-    const releasing = this.#released
-      .map(({ slice }) => ({ slice, inFlight: this.stillRunning }))
+    const isStale = command.revision < this.#revision;
+    const isAccepted = !isStale && command.stampInstance === "run-1";
+    if (!isStale) this.#apply(command, isAccepted);
+    const releasing = this.#releasing
+      .map(({ slice }) => ({ slice, inFlight: this.requestsInFlight }))
       .filter(({ inFlight }) => inFlight > 0);
     return neverthrow.okAsync({
       instance: "run-1",
@@ -70,16 +70,16 @@
 
   async close(): Promise<void> {}
 
-  #apply(order: contracts.OwnershipOrder, isAccepted: boolean): void {
-    this.#revision = order.revision;
-    const names = new Set(order.slices.map(({ slice }) => slice));
-    const letGo = this.#slices.filter(({ slice }) => !names.has(slice));
-    const gone = letGo.map(({ slice }) => ({ slice, inFlight: 0 }));
-    this.#released = [...this.#released, ...gone];
+  #apply(command: contracts.OwnershipOrder, isAccepted: boolean): void {
+    this.#revision = command.revision;
+    const names = new Set(command.slices.map(({ slice }) => slice));
+    const dropped = this.#slices.filter(({ slice }) => !names.has(slice));
+    const released = dropped.map(({ slice }) => ({ slice, inFlight: 0 }));
+    this.#releasing = [...this.#releasing, ...released];
     this.#slices = isAccepted
-      ? order.slices
+      ? command.slices
       : this.#slices.filter(({ slice }) => names.has(slice));
-    const endMs = isAccepted ? order.stampMs! + order.leaseMs : 0;
-    this.#leaseEndMs = Math.max(this.#leaseEndMs, endMs);
+    const endMs = isAccepted ? command.stampMs! + command.leaseMs : 0;
+    this.#leaseExpiresMs = Math.max(this.#leaseExpiresMs, endMs);
   }
 }
--- a/packages/entry/src/ownership/keeper_review.ts
+++ b/packages/entry/src/ownership/keeper_review.ts
@@ -1,63 +1,63 @@
-/** Which entry VMs should keep one service, and which are gone for good. */
+/** Chooses the voters of one service and detects those removed for good. */
 import type * as contracts from "@guavatide/contracts";
 import * as ownership from "@guavatide/decisions/ownership/mod";
 import type { ServiceContext } from "./service_context.ts";
 
-/** What a review came to. */
-export interface KeepersReviewed {
-  /** The set to have; empty while no VM is able to keep. */
-  readonly keepers: contracts.Keeper[];
-  /** Keepers off the platform's list and silent for the whole grace time. */
-  readonly gone: ReadonlySet<contracts.VmId>;
+/** Result of a review. */
+export interface VoterReviewResult {
+  /** Desired voter set. Empty while no VM is eligible. */
+  readonly voters: contracts.Keeper[];
+  /** Voters unlisted by the platform and not alive for `vmGoneGraceMs`. */
+  readonly removed: ReadonlySet<contracts.VmId>;
 }
 
-/** Reviews the keepers of one service. */
-export class KeeperReview {
+/** Reviews the voters of one service. */
+export class VoterReview {
   readonly #context: ServiceContext;
-  readonly #settled = new Set<contracts.VmId>();
-  readonly #missingSinceMs = new Map<contracts.VmId, number>();
+  readonly #storeReaders = new Set<contracts.VmId>();
+  readonly #unlistedSinceMs = new Map<contracts.VmId, number>();
 
   constructor(context: ServiceContext) {
     this.#context = context;
   }
 
-  /** A VM told whether it may give evidence. */
-  noteSettled(vm: contracts.VmId, isSettled: boolean): void {
-    if (isSettled) this.#settled.add(vm);
-    else this.#settled.delete(vm);
+  /** Records whether a VM has read the store, without which it can't vote. */
+  noteHasReadStore(vm: contracts.VmId, hasReadStore: boolean): void {
+    if (hasReadStore) this.#storeReaders.add(vm);
+    else this.#storeReaders.delete(vm);
   }
 
-  review(nowMs: number): KeepersReviewed {
+  review(nowMs: number): VoterReviewResult {
     const { known, service, hasher, peers } = this.#context;
-    const gone = this.#goneVms(nowMs);
-    const able = peers.live().filter((vm) => this.#settled.has(vm));
-    const present = known.keepers;
-    const keepers = ownership.chooseKeepers({
+    const removed = this.#removedVms(nowMs);
+    const eligible = peers.live().filter((vm) => this.#storeReaders.has(vm));
+    const current = known.voters;
+    const voters = ownership.chooseKeepers({
       service,
-      present,
-      able,
-      gone,
+      present: current,
+      able: eligible,
+      gone: removed,
       hasher,
     });
-    return { keepers, gone };
+    return { voters, removed };
   }
 
-  #goneVms(nowMs: number): Set<contracts.VmId> {
+  #removedVms(nowMs: number): Set<contracts.VmId> {
     const { peers, timings, known } = this.#context;
     const listed = peers.listed();
-    const gone = new Set<contracts.VmId>();
-    if (listed === undefined) return gone;
+    const removed = new Set<contracts.VmId>();
+    if (listed === undefined) return removed;
     const live = new Set(peers.live());
-    const sets = known.assignment?.keeperSets ?? [];
-    for (const { vm } of sets.flat()) {
+    const voterSets = known.assignment?.keeperSets ?? [];
+    for (const { vm } of voterSets.flat()) {
       if (listed.has(vm) || live.has(vm)) {
-        this.#missingSinceMs.delete(vm);
+        this.#unlistedSinceMs.delete(vm);
         continue;
       }
-      const sinceMs = this.#missingSinceMs.get(vm) ?? nowMs;
-      this.#missingSinceMs.set(vm, sinceMs);
-      if (nowMs - sinceMs >= timings.vmGoneGraceMs) gone.add(vm);
+      const sinceMs = this.#unlistedSinceMs.get(vm) ?? nowMs;
+      this.#unlistedSinceMs.set(vm, sinceMs);
+      if (nowMs - sinceMs >= timings.vmGoneGraceMs) removed.add(vm);
     }
-    return gone;
+    return removed;
   }
 }
--- a/packages/entry/src/ownership/known_assignment.ts
+++ b/packages/entry/src/ownership/known_assignment.ts
@@ -1,6 +1,6 @@
 /**
- * The highest assignment that this process knows of one service, its
- * evidence, and those who want to hear of changes.
+ * The newest assignment that this process knows of one service, with its
+ * confirmations and change listeners.
  */
 import type * as contracts from "@guavatide/contracts";
 import * as ownership from "@guavatide/decisions/ownership/mod";
@@ -14,19 +14,19 @@
   readonly log: PartLog;
 }
 
-/** One service's assignment as known here; its revision never falls. */
+/** The newest known assignment of a service. Its revision never falls. */
 export class KnownAssignment {
   readonly service: contracts.ServiceId;
-  readonly #book: ownership.EvidenceBook;
+  readonly #tracker: ownership.EvidenceBook;
   readonly #log: PartLog;
   readonly #listeners = new Set<() => void>();
   #slices: ownership.SliceMap | undefined;
-  #keepers: readonly contracts.VmId[] = [];
+  #voters: readonly contracts.VmId[] = [];
 
   constructor(options: KnownAssignmentOptions) {
     this.service = options.service;
     this.#log = options.log;
-    this.#book = new ownership.EvidenceBook(
+    this.#tracker = new ownership.EvidenceBook(
       options.vm,
       options.service,
       options.settings,
@@ -34,96 +34,100 @@
   }
 
   get assignment(): contracts.Assignment | undefined {
-    return this.#book.assignment;
+    return this.#tracker.assignment;
   }
 
   get revision(): number {
-    return this.#book.revision;
+    return this.#tracker.revision;
   }
 
-  /** Timings to act on at the highest assignment known. */
+  /** Lease timings to use with the newest known assignment. */
   get timings(): contracts.LeaseTimings {
-    return this.#book.timings;
+    return this.#tracker.timings;
   }
 
-  /** Slices of the highest assignment known. */
+  /** Slices of the newest known assignment. */
   get slices(): ownership.SliceMap | undefined {
     return this.#slices;
   }
 
-  /** Whether this process has read the store since its start. */
-  get settled(): boolean {
-    return this.#book.settled;
+  /** Whether this process has read the store since it started. */
+  get hasReadStore(): boolean {
+    return this.#tracker.settled;
   }
 
-  /** The keepers in force. */
-  get keepers(): readonly contracts.VmId[] {
-    return this.#keepers;
+  /** The newest voter set. */
+  get voters(): readonly contracts.VmId[] {
+    return this.#voters;
   }
 
-  known(): contracts.KnownRevision {
-    return this.#book.known();
+  knownRevision(): contracts.KnownRevision {
+    return this.#tracker.known();
   }
 
-  /** Takes in an assignment that a peer told. */
+  /** Applies an assignment received from a peer if it is newer. */
   learn(assignment: contracts.Assignment): void {
-    const slices = this.#check(assignment);
+    const slices = this.#validate(assignment);
     if (slices === undefined) return;
-    if (this.#book.learn(assignment)) this.#changed(slices, "peer");
+    if (this.#tracker.learn(assignment)) this.#apply(slices, "peer");
   }
 
-  /** Takes in what the store held at some moment after `askedAtMs`. */
-  noteStoreRead(assignment: contracts.Assignment, askedAtMs: number): void {
-    const slices = this.#check(assignment);
+  /** Applies what the store held at some moment after `requestedAtMs`. */
+  noteStoreRead(assignment: contracts.Assignment, requestedAtMs: number): void {
+    const slices = this.#validate(assignment);
     if (slices === undefined) return;
-    const isNewer = this.#book.noteStoreRead(assignment, askedAtMs);
-    if (isNewer) this.#changed(slices, "store");
+    const isNewer = this.#tracker.noteStoreRead(assignment, requestedAtMs);
+    if (isNewer) this.#apply(slices, "store");
   }
 
   noteStoreAbsent(): void {
-    this.#book.noteStoreAbsent();
+    this.#tracker.noteStoreAbsent();
   }
 
-  noteAnswer(answer: ownership.KeeperAnswer): void {
-    this.#book.noteAnswer(answer);
+  noteVoterReply(reply: ownership.KeeperAnswer): void {
+    this.#tracker.noteAnswer(reply);
   }
 
-  dropEvidence(): void {
-    this.#book.dropEvidence();
+  dropConfirmations(): void {
+    this.#tracker.dropEvidence();
   }
 
-  evidenceAskedAtMs(nowMs: number): number {
-    return this.#book.evidenceAskedAtMs(nowMs);
+  /** When the request behind the newest confirmation was sent. */
+  confirmedAtMs(nowMs: number): number {
+    return this.#tracker.evidenceAskedAtMs(nowMs);
   }
 
-  hasEvidence(nowMs: number): boolean {
-    return this.#book.isGood(nowMs);
+  isConfirmed(nowMs: number): boolean {
+    return this.#tracker.isGood(nowMs);
   }
 
-  /** Calls back after each change; returns what ends that. */
+  /** Calls the listener after each change. Returns a function to unsubscribe. */
   onChange(listener: () => void): () => void {
     this.#listeners.add(listener);
     return () => this.#listeners.delete(listener);
   }
 
-  /** A broken map in force would leave keys without an owner. */
-  #check(assignment: contracts.Assignment): ownership.SliceMap | undefined {
+  /** Rejects an invalid slice map, which would leave keys without an owner. */
+  #validate(assignment: contracts.Assignment): ownership.SliceMap | undefined {
     if (assignment.service !== this.service) return undefined;
     if (assignment.revision === this.revision) return this.#slices;
     const slices = ownership.SliceMap.create(assignment.slices);
     if (slices.isOk()) return slices.value;
-    this.#log.error("assignment refused, the last one stays in force", {
-      service: this.service,
-      revision: assignment.revision,
-      reason: slices.error.message,
-    });
+    this.#log.error(
+      "invalid assignment rejected, the previous one stays in force",
+      {
+        service: this.service,
+        revision: assignment.revision,
+        reason: slices.error.message,
+      },
+    );
     return undefined;
   }
 
-  #changed(slices: ownership.SliceMap, source: string): void {
+  #apply(slices: ownership.SliceMap, source: string): void {
     this.#slices = slices;
-    const set = this.assignment?.keeperSets.at(-1) ?? [];
-    this.#keepers = set.map(({ vm }) => vm);
+    const voterSet = this.assignment?.keeperSets.at(-1) ?? [];
+    this.#voters = voterSet.map(({ vm }) => vm);
     this.#log.info("assignment in force", {
       service: this.service,
       revision: this.revision,
--- a/packages/entry/src/ownership/mod.ts
+++ b/packages/entry/src/ownership/mod.ts
@@ -1,4 +1,4 @@
-/** Ownership of keyed services: the tasks around the decisions. */
+/** Tasks that manage the ownership of keyed services. */
 export * from "./move_task.ts";
 export * from "./ownership_task.ts";
 export * from "./peer_view.ts";
--- a/packages/entry/src/ownership/move_task.ts
+++ b/packages/entry/src/ownership/move_task.ts
@@ -1,132 +1,135 @@
 /**
- * Plans and executes moves of one service's slices while this VM holds the
- * service's control duty: the first assignment, keepers, servers that come,
- * go, drain or are lost, and what the planner asks for.
+ * Plans and executes handovers of one service's slices while this VM is the
+ * service's leader: the initial assignment, the voters, servers that join,
+ * leave, drain or fail, and the rebalancing that the planner requests.
  */
 import * as contracts from "@guavatide/contracts";
 import * as ownership from "@guavatide/decisions/ownership/mod";
 import * as placement from "@guavatide/decisions/placement/mod";
 import type { PartLog } from "../utils/log.ts";
-import { KeeperReview } from "./keeper_review.ts";
-import type { OrderTask } from "./order_task.ts";
-import type { ServiceContext, TimedReceipt } from "./service_context.ts";
+import { VoterReview } from "./keeper_review.ts";
+import type { LeaseCommandTask } from "./order_task.ts";
+import type { ServiceContext, TimedReply } from "./service_context.ts";
 
-/** Time that listed servers have to answer before the first assignment. */
-const FIRST_MEETING_MS = 5_000;
-/** Two reads of the VM list: a VM that has just started sees nobody on it. */
-const LEAST_MEETING_MS = 2_000;
-const KEEPER_REVIEW_MS = 250;
-const LOSS_PLAN_MS = 50;
+/** Time that listed servers have to reply before the initial assignment. */
+const BOOTSTRAP_TIMEOUT_MS = 5_000;
+/** Covers 2 reads of the VM list: a VM that just started sees no other VM. */
+const MIN_BOOTSTRAP_WAIT_MS = 2_000;
+const VOTER_REVIEW_INTERVAL_MS = 250;
+const FAILURE_PLAN_INTERVAL_MS = 50;
 
-/** Where the planner's load figures come from. */
+/** Source of the planner's load figures. */
 export interface LoadSource {
   estimate(slices: readonly contracts.Slice[]): placement.LoadEstimate;
   speeds(): ReadonlyMap<contracts.ServerId, number>;
 }
 
-/** Plans by the width of slices alone. */
+/** Makes the planner balance by the width of slices alone. */
 export const NO_LOAD_SOURCE: LoadSource = {
   estimate: (slices) => placement.unknownLoad(slices.length),
   speeds: () => new Map(),
 };
 
-/** Options of {@link MoveTask}. */
-export interface MoveTaskOptions {
-  readonly orders: OrderTask;
+/** Options of {@link AssignmentControllerTask}. */
+export interface AssignmentControllerTaskOptions {
+  readonly leaseCommands: LeaseCommandTask;
   readonly load: LoadSource;
-  /** Servers that run requests of this VM and check no fences. */
+  /** Servers with requests of this VM in flight that check no fencing tokens. */
   busyServers(): contracts.ServerId[];
-  /** The service as configured; undefined once it is gone. */
+  /** The service's configuration. Undefined once the service is deleted. */
   config(): contracts.Service | undefined;
 }
 
-/** A peer that told something. */
-export interface TellingPeer {
+/** Sender of a report. */
+export interface PeerIdentity {
   readonly vm: contracts.VmId;
   readonly incarnation: contracts.Incarnation;
 }
 
-/** Moves one service's slices. */
-export class MoveTask {
+/** Maintains one service's assignment as its leader. */
+export class AssignmentControllerTask {
   readonly #context: ServiceContext;
-  readonly #options: MoveTaskOptions;
+  readonly #options: AssignmentControllerTaskOptions;
   readonly #log: PartLog;
-  readonly #mover: ownership.Mover;
-  readonly #keepers: KeeperReview;
+  readonly #controller: ownership.Mover;
+  readonly #voterReview: VoterReview;
   #planner: placement.Planner | undefined;
-  #plannerFor = "";
-  #ownersOf: contracts.Assignment | undefined;
+  #plannerWeights = "";
+  #ownersAssignment: contracts.Assignment | undefined;
   #owners: ReadonlySet<contracts.ServerId> = new Set();
-  #hasVacating = false;
-  #isOn = false;
-  #isAsking = false;
-  #onSinceMs = 0;
-  #keepersAtMs = Number.NEGATIVE_INFINITY;
-  #keeperCount = 0;
-  #lossesAtMs = Number.NEGATIVE_INFINITY;
-  #planAtMs = Number.NEGATIVE_INFINITY;
+  #hasHandovers = false;
+  #isLeader = false;
+  #isPollingVoters = false;
+  #leaderSinceMs = 0;
+  #votersReviewedAtMs = Number.NEGATIVE_INFINITY;
+  #voterCount = 0;
+  #failuresCheckedAtMs = Number.NEGATIVE_INFINITY;
+  #plannedAtMs = Number.NEGATIVE_INFINITY;
 
-  constructor(context: ServiceContext, options: MoveTaskOptions) {
+  constructor(
+    context: ServiceContext,
+    options: AssignmentControllerTaskOptions,
+  ) {
     this.#context = context;
     this.#options = options;
     this.#log = context.log.part("place");
-    this.#keepers = new KeeperReview(context);
+    this.#voterReview = new VoterReview(context);
     const { service, peers, timings } = context;
-    this.#mover = new ownership.Mover({ service, ...peers.self }, timings);
-    options.orders.onAnswer((answer) => this.#mover.noteReply(answer));
+    this.#controller = new ownership.Mover({ service, ...peers.self }, timings);
+    options.leaseCommands.onReply((reply) => this.#controller.noteReply(reply));
   }
 
   /**
-   * A peer told what it knows. `askedAtMs` is when the question left that it
-   * answered; absent when it told by itself.
+   * Records a peer's report. `requestedAtMs` is when the request for it was
+   * sent. It's absent for a report that the peer sent unasked.
    */
   notePeer(
-    peer: TellingPeer,
+    peer: PeerIdentity,
     known: contracts.KnownRevision,
-    askedAtMs?: number,
+    requestedAtMs?: number,
   ): void {
     const nowMs = this.#context.clock.nowMs();
     const { vm, incarnation } = peer;
     const { revision } = known;
     const report = { vm, incarnation, revision, nowMs };
-    this.#keepers.noteSettled(vm, known.settled);
-    this.#mover.notePromise({ ...report, askedAtMs });
+    this.#voterReview.noteHasReadStore(vm, known.settled);
+    this.#controller.notePromise({ ...report, askedAtMs: requestedAtMs });
     const busyServers = known.busyServers ?? [];
-    this.#mover.noteForwards({ ...report, busyServers });
+    this.#controller.noteForwards({ ...report, busyServers });
   }
 
-  /** Call often; does nothing unless this VM holds the duty. */
-  tick(nowMs: number, holdsDuty: boolean): void {
-    if (holdsDuty !== this.#isOn) this.#switch(holdsDuty, nowMs);
-    if (!holdsDuty) return;
+  /** Must be called often. Does nothing unless this VM is the leader. */
+  tick(nowMs: number, isLeader: boolean): void {
+    if (isLeader !== this.#isLeader) this.#setLeader(isLeader, nowMs);
+    if (!isLeader) return;
     const { peers, known, random } = this.#context;
-    this.#mover.noteNewer(known.revision);
-    const own = known.known();
+    this.#controller.noteNewer(known.revision);
+    const own = known.knownRevision();
     const busyServers = this.#options.busyServers();
     this.notePeer(peers.self, { ...own, busyServers }, Infinity);
-    this.#reviewKeepers(nowMs);
-    if (this.#mover.isIdle) this.#plan(nowMs);
-    this.#askKeepers();
-    this.#hurryOrders();
-    const effect = this.#mover.tick({
+    this.#reviewVoters(nowMs);
+    if (this.#controller.isIdle) this.#plan(nowMs);
+    this.#pollVoters();
+    this.#markUrgentCommands();
+    const effect = this.#controller.tick({
       nowMs,
       random,
       isLive: (server) => this.#stateOf(server) === "live",
       checksFences: (server) =>
-        this.#options.orders.facts(server)?.checksFences,
+        this.#options.leaseCommands.status(server)?.checksFences,
       entryVms: peers.all(),
     });
     if (effect?.kind === "read") void this.#read();
     if (effect?.kind === "write") void this.#write(effect);
   }
 
-  #switch(isOn: boolean, nowMs: number): void {
-    this.#isOn = isOn;
-    this.#onSinceMs = nowMs;
+  #setLeader(isLeader: boolean, nowMs: number): void {
+    this.#isLeader = isLeader;
+    this.#leaderSinceMs = nowMs;
     this.#planner = undefined;
-    this.#plannerFor = "";
-    this.#mover.forget();
-    this.#options.orders.orderAll(isOn);
+    this.#plannerWeights = "";
+    this.#controller.forget();
+    this.#options.leaseCommands.setTargetAll(isLeader);
   }
 
   async #read(): Promise<void> {
@@ -134,10 +137,10 @@
     const { read, sentAtMs } = await assignments.read();
     if (read.kind === "found") known.noteStoreRead(read.assignment, sentAtMs);
     if (read.kind === "absent") known.noteStoreAbsent();
-    const before = this.#mover.assignment?.revision;
-    this.#mover.noteRead(read, clock.nowMs(), random);
-    if (read.kind !== "found" || read.assignment.revision === before) return;
-    this.#tellPeers(read.assignment);
+    const previous = this.#controller.assignment?.revision;
+    this.#controller.noteRead(read, clock.nowMs(), random);
+    if (read.kind !== "found" || read.assignment.revision === previous) return;
+    this.#pushToPeers(read.assignment);
   }
 
   async #write(
@@ -146,15 +149,15 @@
     const { assignments, known, clock, random } = this.#context;
     const { assignment, condition } = effect;
     const { write, sentAtMs } = await assignments.write(assignment, condition);
-    this.#logSteps(effect, write);
-    this.#mover.noteWrite(write, clock.nowMs(), random);
+    this.#logChanges(effect, write);
+    this.#controller.noteWrite(write, clock.nowMs(), random);
     if (write.kind !== "acknowledged") return;
     known.noteStoreRead(assignment, sentAtMs);
-    this.#tellPeers(assignment);
+    this.#pushToPeers(assignment);
   }
 
-  /** At once to all, so that a move does not wait for the next beats. */
-  #tellPeers(assignment: contracts.Assignment): void {
+  /** Pushes to all peers, so a handover doesn't wait for the next heartbeats. */
+  #pushToPeers(assignment: contracts.Assignment): void {
     const { peers } = this.#context;
     for (const vm of peers.live()) {
       if (vm !== peers.self.vm) void this.#push(vm, assignment);
@@ -165,104 +168,104 @@
     vm: contracts.VmId,
     assignment: contracts.Assignment,
   ): Promise<void> {
-    this.#noteReceipt(await this.#context.peers.push(vm, assignment));
-    this.#askKeepers();
+    this.#noteReply(await this.#context.peers.push(vm, assignment));
+    this.#pollVoters();
   }
 
-  /** A promise is complete only with answers from after a majority's. */
-  #askKeepers(): void {
-    if (this.#isAsking || !this.#mover.needsAnswers) return;
-    this.#isAsking = true;
+  /** Only replies requested after a quorum acknowledged complete the quorum. */
+  #pollVoters(): void {
+    if (this.#isPollingVoters || !this.#controller.needsAnswers) return;
+    this.#isPollingVoters = true;
     const { peers, service } = this.#context;
-    const sets = this.#mover.assignment?.keeperSets ?? [];
-    const keepers = new Set(sets.flat().map(({ vm }) => vm));
-    keepers.delete(peers.self.vm);
-    const live = peers.live().filter((vm) => keepers.has(vm));
-    const answers = live.map(async (vm) => {
-      this.#noteReceipt(await peers.ask(vm, service));
+    const voterSets = this.#controller.assignment?.keeperSets ?? [];
+    const voters = new Set(voterSets.flat().map(({ vm }) => vm));
+    voters.delete(peers.self.vm);
+    const live = peers.live().filter((vm) => voters.has(vm));
+    const replies = live.map(async (vm) => {
+      this.#noteReply(await peers.fetchKnownRevision(vm, service));
     });
-    void Promise.all(answers).then(() => {
-      this.#isAsking = false;
+    void Promise.all(replies).then(() => {
+      this.#isPollingVoters = false;
     });
   }
 
-  #noteReceipt(receipt: TimedReceipt | undefined): void {
-    if (receipt === undefined) return;
-    this.notePeer(receipt, receipt.known, receipt.askedAtMs);
-    this.#hurryOrders();
+  #noteReply(reply: TimedReply | undefined): void {
+    if (reply === undefined) return;
+    this.notePeer(reply, reply.known, reply.requestedAtMs);
+    this.#markUrgentCommands();
   }
 
-  #hurryOrders(): void {
-    const { orders } = this.#options;
-    orders.hurry(this.#mover.takeHurried());
-    // Asked again and again until the last request of the slice is over.
-    orders.hurry(this.#mover.vacatingServers());
+  #markUrgentCommands(): void {
+    const { leaseCommands } = this.#options;
+    leaseCommands.markUrgent(this.#controller.takeHurried());
+    // Polled until the last request of the slice has finished.
+    leaseCommands.markUrgent(this.#controller.vacatingServers());
   }
 
-  #reviewKeepers(nowMs: number): void {
-    if (nowMs < this.#keepersAtMs + KEEPER_REVIEW_MS) return;
-    this.#keepersAtMs = nowMs;
-    const review = this.#keepers.review(nowMs);
-    this.#keeperCount = review.keepers.length;
-    this.#mover.noteGone(review.gone, nowMs);
-    this.#mover.keepMembers(this.#context.peers.all());
-    this.#mover.requestTimings(this.#context.timings);
-    if (review.keepers.length === 0) return;
-    this.#mover.requestKeepers(review.keepers);
+  #reviewVoters(nowMs: number): void {
+    if (nowMs < this.#votersReviewedAtMs + VOTER_REVIEW_INTERVAL_MS) return;
+    this.#votersReviewedAtMs = nowMs;
+    const review = this.#voterReview.review(nowMs);
+    this.#voterCount = review.voters.length;
+    this.#controller.noteGone(review.removed, nowMs);
+    this.#controller.keepMembers(this.#context.peers.all());
+    this.#controller.requestTimings(this.#context.timings);
+    if (review.voters.length === 0) return;
+    this.#controller.requestKeepers(review.voters);
   }
 
   #plan(nowMs: number): void {
     const planner = this.#currentPlanner();
     if (planner === undefined) return;
-    const { assignment } = this.#mover;
-    if (assignment === undefined) return this.#planFirst(planner, nowMs);
-    const isDue = nowMs >= this.#planAtMs + this.#context.timings.planMs;
-    if (isDue && this.#hasKeeperMajority(assignment)) {
-      this.#planAtMs = nowMs;
-      this.#lossesAtMs = nowMs;
-      return this.#request(planner.plan(this.#input(assignment, nowMs)));
+    const { assignment } = this.#controller;
+    if (assignment === undefined) return this.#planInitial(planner, nowMs);
+    const isDue = nowMs >= this.#plannedAtMs + this.#context.timings.planMs;
+    if (isDue && this.#hasLiveQuorum(assignment)) {
+      this.#plannedAtMs = nowMs;
+      this.#failuresCheckedAtMs = nowMs;
+      return this.#request(planner.plan(this.#planInput(assignment, nowMs)));
     }
-    if (nowMs < this.#lossesAtMs + LOSS_PLAN_MS) return;
-    this.#lossesAtMs = nowMs;
-    if (!this.#isLossPossible(assignment)) return;
-    this.#request(planner.planLosses(this.#input(assignment, nowMs)));
+    if (nowMs < this.#failuresCheckedAtMs + FAILURE_PLAN_INTERVAL_MS) return;
+    this.#failuresCheckedAtMs = nowMs;
+    if (!this.#needsFailurePlan(assignment)) return;
+    this.#request(planner.planLosses(this.#planInput(assignment, nowMs)));
   }
 
   /**
-   * Without it no move can end. A holder of duty that is cut off from its
-   * peers would take keys from servers that serve them well.
+   * Without a live quorum no handover can finish. A leader that is cut off from
+   * its peers would only take keys away from healthy servers.
    */
-  #hasKeeperMajority({ keeperSets }: contracts.Assignment): boolean {
+  #hasLiveQuorum({ keeperSets }: contracts.Assignment): boolean {
     const live = new Set(this.#context.peers.live());
-    return keeperSets.every((set) => {
-      const count = set.filter(({ vm }) => live.has(vm)).length;
-      return count >= ownership.majorityOf(set.length);
+    return keeperSets.every((voterSet) => {
+      const count = voterSet.filter(({ vm }) => live.has(vm)).length;
+      return count >= ownership.majorityOf(voterSet.length);
     });
   }
 
-  #isLossPossible(assignment: contracts.Assignment): boolean {
-    if (assignment !== this.#ownersOf) {
-      this.#ownersOf = assignment;
+  #needsFailurePlan(assignment: contracts.Assignment): boolean {
+    if (assignment !== this.#ownersAssignment) {
+      this.#ownersAssignment = assignment;
       this.#owners = new Set(assignment.slices.map(({ server }) => server));
-      this.#hasVacating = assignment.slices
+      this.#hasHandovers = assignment.slices
         .some(({ state }) => state === "vacating");
     }
-    return this.#hasVacating ||
+    return this.#hasHandovers ||
       [...this.#owners].some((server) => this.#stateOf(server) !== "live");
   }
 
   #request(plan: placement.Plan): void {
-    for (const change of plan.changes) this.#mover.request(change);
+    for (const change of plan.changes) this.#controller.request(change);
   }
 
-  /** Weights come from the configuration and may change at any time. */
+  /** Recreated when the weights of the configuration change. */
   #currentPlanner(): placement.Planner | undefined {
     const service = this.#options.config();
     if (service === undefined) return undefined;
     const { imbalanceWeight, churnWeight } = service;
-    const key = `${imbalanceWeight}/${churnWeight}`;
-    if (this.#planner === undefined || key !== this.#plannerFor) {
-      this.#plannerFor = key;
+    const weights = `${imbalanceWeight}/${churnWeight}`;
+    if (this.#planner === undefined || weights !== this.#plannerWeights) {
+      this.#plannerWeights = weights;
       this.#planner = new placement.Planner({
         ...placement.DEFAULT_PLACEMENT,
         imbalanceWeight,
@@ -272,20 +275,23 @@
     return this.#planner;
   }
 
-  #planFirst(planner: placement.Planner, nowMs: number): void {
-    if (!this.#mover.isAbsent || this.#context.known.revision > 0) return;
-    const listed = this.#options.orders.addresses()
+  #planInitial(planner: placement.Planner, nowMs: number): void {
+    if (!this.#controller.isAbsent || this.#context.known.revision > 0) return;
+    const listed = this.#options.leaseCommands.addresses()
       .filter(({ state }) => state === "live");
-    const met = listed.filter(({ server }) => this.#stateOf(server) === "live");
-    const isPatient = nowMs < this.#onSinceMs + FIRST_MEETING_MS;
-    const isWhole = met.length === listed.length && this.#areKeepersMet(nowMs);
-    if (met.length === 0 || (!isWhole && isPatient)) return;
-    const servers = met.map(({ server }) => server).sort();
+    const responding = listed.filter(({ server }) =>
+      this.#stateOf(server) === "live"
+    );
+    const mayWait = nowMs < this.#leaderSinceMs + BOOTSTRAP_TIMEOUT_MS;
+    const isComplete = responding.length === listed.length &&
+      this.#areVotersReady(nowMs);
+    if (responding.length === 0 || (!isComplete && mayWait)) return;
+    const servers = responding.map(({ server }) => server).sort();
     const count = planner.initialSliceCount(servers.length);
-    this.#mover.requestFirst(
+    this.#controller.requestFirst(
       ownership.equalSlices(servers, count, { fence: 1 }),
     );
-    this.#log.info("first assignment planned", {
+    this.#log.info("initial assignment planned", {
       service: this.#context.service,
       servers: servers.length,
       slices: count,
@@ -293,26 +299,27 @@
   }
 
   /**
-   * Whether every listed entry VM may keep. The first assignment of a fleet
-   * that has just started would otherwise name its writer alone, and with
-   * that VM lost before the set has grown no key could move any more.
+   * Whether every listed entry VM, up to the maximum number of voters, may
+   * vote. The initial assignment of a cluster that has just started would
+   * otherwise name its writer as the only voter. If that VM failed before the
+   * set grew, no key could be handed over any more.
    */
-  #areKeepersMet(nowMs: number): boolean {
-    if (nowMs < this.#onSinceMs + LEAST_MEETING_MS) return false;
-    this.#keepersAtMs = Number.NEGATIVE_INFINITY;
-    this.#reviewKeepers(nowMs);
+  #areVotersReady(nowMs: number): boolean {
+    if (nowMs < this.#leaderSinceMs + MIN_BOOTSTRAP_WAIT_MS) return false;
+    this.#votersReviewedAtMs = Number.NEGATIVE_INFINITY;
+    this.#reviewVoters(nowMs);
     const listed = this.#context.peers.listed()?.size ?? Infinity;
-    return this.#keeperCount >= Math.min(listed, ownership.KEEPER_LIMIT);
+    return this.#voterCount >= Math.min(listed, ownership.KEEPER_LIMIT);
   }
 
-  #input(
+  #planInput(
     assignment: contracts.Assignment,
     nowMs: number,
   ): placement.PlacementInput {
     const { slices } = assignment;
     const speeds = this.#options.load.speeds();
     const servers: placement.PlacementServer[] = [];
-    for (const { server, zone } of this.#options.orders.addresses()) {
+    for (const { server, zone } of this.#options.leaseCommands.addresses()) {
       const state = this.#stateOf(server);
       if (state === "unmet") continue;
       const speed = speeds.get(server);
@@ -326,45 +333,46 @@
     };
   }
 
-  /** `unmet`: listed, and has not answered any order yet. */
+  /** `unmet`: listed, but hasn't replied to any lease command yet. */
   #stateOf(
     server: contracts.ServerId,
   ): placement.PlacementServer["state"] | "unmet" {
-    const { orders } = this.#options;
-    if (orders.isLost(server)) return "lost";
-    const facts = orders.facts(server);
+    const { leaseCommands } = this.#options;
+    if (leaseCommands.isLost(server)) return "lost";
+    const status = leaseCommands.status(server);
     const listed = this.#context.servers.server(server);
-    if (facts?.draining === true) return "leaving";
+    if (status?.draining === true) return "leaving";
     if (listed !== undefined && listed.state !== "live") return "leaving";
-    // An owner that this VM has not met yet is no loss until it stays silent.
-    if (facts === undefined) return this.#ownsAny(server) ? "live" : "unmet";
+    // An owner that hasn't replied to this VM yet counts as live until the
+    // failure detector reports it.
+    if (status === undefined) return this.#ownsAny(server) ? "live" : "unmet";
     return listed === undefined ? "leaving" : "live";
   }
 
   #ownsAny(server: contracts.ServerId): boolean {
-    const slices = this.#mover.assignment?.slices ?? [];
+    const slices = this.#controller.assignment?.slices ?? [];
     return slices.some((slice) =>
       slice.state === "owned" && slice.server === server
     );
   }
 
-  #logSteps(
+  #logChanges(
     effect: Extract<ownership.MoverEffect, { kind: "write" }>,
     write: ownership.AssignmentWrite,
   ): void {
     const { service, revision } = effect.assignment;
     const isWritten = write.kind === "acknowledged";
     if (!isWritten) {
-      this.#log.warn("assignment not acknowledged, it is read back", {
+      this.#log.warn("assignment write not acknowledged, reading it back", {
         service,
         revision,
         outcome: write.kind,
       });
     }
     const steps = isWritten ? effect.steps : [];
-    this.#context.moveRecord.noteSteps({ service, revision, steps });
+    this.#context.moveRecorder.noteSteps({ service, revision, steps });
     for (const step of steps) {
-      this.#log.info(`slice ${SENTENCES[step.step]}`, {
+      this.#log.info(`slice ${CHANGE_TEXTS[step.step]}`, {
         service,
         slice: step.slice,
         from: step.from.join() || undefined,
@@ -376,10 +384,10 @@
   }
 }
 
-const SENTENCES = {
-  vacate: "taken from its owner",
-  settle: "given to its next owner",
-  redirect: "gets another next owner",
+const CHANGE_TEXTS = {
+  vacate: "handover started",
+  settle: "handover finished",
+  redirect: "handover redirected to another owner",
   split: "split",
-  merge: "merged with the next",
+  merge: "merged with the next slice",
 } as const;
--- a/packages/entry/src/ownership/order_task.ts
+++ b/packages/entry/src/ownership/order_task.ts
@@ -1,7 +1,8 @@
 /**
- * Sends ownership orders to the servers of one service and hears from their
- * answers who is there. Each server is renewed by two keepers, and by the
- * holder of control duty, who has to know all of them.
+ * Sends lease commands to the servers of one service and learns from their
+ * replies which servers are alive. Several voters (`renewers`, by default two)
+ * renew the leases of each server, and so does the leader, which has to know
+ * all of them.
  */
 import type * as contracts from "@guavatide/contracts";
 import * as ownership from "@guavatide/decisions/ownership/mod";
@@ -9,239 +10,249 @@
 import type { PartLog } from "../utils/log.ts";
 import type { ServerControl, ServiceContext } from "./service_context.ts";
 
-/** Time a server has to answer an order; a later answer is of no use. */
-const ORDER_TIMEOUT_MS = 800;
-const JUDGE_MS = 100;
-/** How long the address of an unlisted server is kept without an answer. */
-const UNLISTED_MS = 60_000;
+/** Timeout of a lease command. A later reply is of no use. */
+const COMMAND_TIMEOUT_MS = 800;
+const FAILURE_CHECK_INTERVAL_MS = 100;
+/** How long an unlisted server that isn't a target is kept. */
+const UNLISTED_TTL_MS = 60_000;
 
-/** The keepers that renew one server. */
+/** The voters that renew one server's leases. */
 interface Renewers {
   /** Whether this VM is one of them. */
-  readonly isOwn: boolean;
+  readonly includesSelf: boolean;
   readonly others: readonly contracts.VmId[];
 }
 
-/** What the renewers were chosen from. */
-interface ChosenFor {
+/** Inputs that the current renewers were chosen from. */
+interface RenewerInputs {
   readonly live: readonly contracts.VmId[];
-  readonly keepers: readonly contracts.VmId[];
+  readonly voters: readonly contracts.VmId[];
 }
 
-interface Contact {
+interface ServerEndpoint {
   readonly address: ServerAddress;
   readonly control: ServerControl;
 }
 
-/** Owns the control links to one service's servers. */
-export class OrderTask {
+/** Owns the control connections to one service's servers. */
+export class LeaseCommandTask {
   readonly #context: ServiceContext;
   readonly #log: PartLog;
-  readonly #book: ownership.OrderBook;
+  readonly #scheduler: ownership.OrderBook;
   readonly #detector: ownership.LossDetector;
-  readonly #contacts = new Map<contracts.ServerId, Contact>();
+  readonly #endpoints = new Map<contracts.ServerId, ServerEndpoint>();
   readonly #lost = new Set<contracts.ServerId>();
   readonly #unlistedSinceMs = new Map<contracts.ServerId, number>();
   #renewers = new Map<contracts.ServerId, Renewers>();
-  #chosenFor: ChosenFor = { live: [], keepers: [] };
-  /** Servers that this VM sends orders to. */
+  #renewerInputs: RenewerInputs = { live: [], voters: [] };
+  /** Servers that this VM sends lease commands to. */
   #targets: readonly contracts.ServerId[] = [];
-  #listed: readonly ServerAddress[] = [];
-  #isContactChange = true;
-  #judgedAtMs = Number.NEGATIVE_INFINITY;
-  #ordersAll = false;
-  #onAnswer: (answer: ownership.AnsweredOrder) => void = () => {};
+  #listedServers: readonly ServerAddress[] = [];
+  #haveEndpointsChanged = true;
+  #failuresCheckedAtMs = Number.NEGATIVE_INFINITY;
+  #targetsAll = false;
+  #onReply: (reply: ownership.AnsweredOrder) => void = () => {};
 
   constructor(context: ServiceContext) {
     this.#context = context;
     this.#log = context.log.part("owner");
-    this.#book = new ownership.OrderBook(context.timings);
+    this.#scheduler = new ownership.OrderBook(context.timings);
     this.#detector = new ownership.LossDetector(context.timings);
   }
 
-  /** Whether this VM renews any server. */
+  /** Whether this VM renews the leases of any server. */
   get isRenewing(): boolean {
     return this.#targets.length > 0;
   }
 
-  /** Calls back with each answered order. */
-  onAnswer(callback: (answer: ownership.AnsweredOrder) => void): void {
-    this.#onAnswer = callback;
+  /** Calls back with each lease command that was replied to. */
+  onReply(callback: (reply: ownership.AnsweredOrder) => void): void {
+    this.#onReply = callback;
   }
 
-  /** Sends to all servers, or only to those that this VM renews. */
-  orderAll(isOn: boolean): void {
-    this.#ordersAll = isOn;
+  /** Targets all servers, or only those that this VM renews. */
+  setTargetAll(targetsAll: boolean): void {
+    this.#targetsAll = targetsAll;
     this.#chooseTargets();
   }
 
-  hurry(servers: Iterable<contracts.ServerId>): void {
-    this.#book.hurry(servers);
+  markUrgent(servers: Iterable<contracts.ServerId>): void {
+    this.#scheduler.hurry(servers);
   }
 
-  facts(server: contracts.ServerId): ownership.ServerFacts | undefined {
-    return this.#book.facts(server);
+  status(server: contracts.ServerId): ownership.ServerFacts | undefined {
+    return this.#scheduler.facts(server);
   }
 
-  /** Servers that may be sent orders, listed or still answering. */
+  /** Servers that may be sent lease commands, listed or still responding. */
   addresses(): ServerAddress[] {
-    return [...this.#contacts.values()].map(({ address }) => address);
+    return [...this.#endpoints.values()].map(({ address }) => address);
   }
 
   isLost(server: contracts.ServerId): boolean {
     return this.#lost.has(server);
   }
 
-  /** Servers that do not answer, to tell peers. */
-  silentServers(nowMs: number): NonNullable<contracts.KnownRevision["silent"]> {
+  /** Servers that don't respond, for reports to peers. */
+  unresponsiveServers(
+    nowMs: number,
+  ): NonNullable<contracts.KnownRevision["silent"]> {
     return [...this.#detector.silentServers(nowMs)]
       .map(([server, silentMs]) => ({ server, silentMs }));
   }
 
-  /** A peer told which servers do not answer it. */
-  notePeer(vm: contracts.VmId, known: contracts.KnownRevision): void {
-    const silent = new Map(
+  /** Records which servers don't respond to a peer. */
+  notePeerReport(vm: contracts.VmId, known: contracts.KnownRevision): void {
+    const unresponsive = new Map(
       known.silent?.map(({ server, silentMs }) => [server, silentMs]),
     );
-    this.#detector.notePeerReport(vm, silent, this.#context.clock.nowMs());
+    this.#detector.notePeerReport(
+      vm,
+      unresponsive,
+      this.#context.clock.nowMs(),
+    );
   }
 
   tick(nowMs: number): void {
     this.#detector.noteTick(nowMs);
-    this.#refreshContacts();
+    this.#refreshEndpoints();
     this.#refreshRenewers();
     const { known, service } = this.#context;
-    const orders = this.#book.takeDue({
+    const commands = this.#scheduler.takeDue({
       nowMs,
       service,
       revision: Math.max(1, known.revision),
       slices: known.slices,
       timings: known.timings,
-      evidenceAskedAtMs: known.evidenceAskedAtMs(nowMs),
+      evidenceAskedAtMs: known.confirmedAtMs(nowMs),
       servers: this.#targets,
     });
-    for (const order of orders) void this.#send(order, nowMs);
-    this.#judge(nowMs);
+    for (const command of commands) void this.#send(command, nowMs);
+    this.#checkFailures(nowMs);
   }
 
   async close(): Promise<void> {
     await Promise.all(
-      [...this.#contacts.values()].map(({ control }) => control.close()),
+      [...this.#endpoints.values()].map(({ control }) => control.close()),
     );
   }
 
   async #send(
-    order: contracts.OwnershipOrder,
+    command: contracts.OwnershipOrder,
     sentAtMs: number,
   ): Promise<void> {
-    const { server } = order;
-    const contact = this.#contacts.get(server);
-    if (contact === undefined) return this.#book.noteFailure(server);
+    const { server } = command;
+    const endpoint = this.#endpoints.get(server);
+    if (endpoint === undefined) return this.#scheduler.noteFailure(server);
     this.#detector.noteAttempt(server, sentAtMs);
-    const result = await contact.control.order(order, {
-      timeoutMs: ORDER_TIMEOUT_MS,
+    const result = await endpoint.control.order(command, {
+      timeoutMs: COMMAND_TIMEOUT_MS,
     });
     if (result.isErr()) {
-      this.#log.debug("order not answered", {
+      this.#log.debug("lease command failed", {
         server,
         kind: result.error.kind,
       });
-      return this.#book.noteFailure(server);
+      return this.#scheduler.noteFailure(server);
     }
-    this.#noteReply(order, result.value, sentAtMs);
+    this.#noteReply(command, result.value, sentAtMs);
   }
 
   #noteReply(
-    order: contracts.OwnershipOrder,
+    command: contracts.OwnershipOrder,
     reply: contracts.OwnershipReply,
     sentAtMs: number,
   ): void {
     const { clock, servers } = this.#context;
     const nowMs = clock.nowMs();
-    const { server } = order;
-    const before = this.#book.facts(server);
+    const { server } = command;
+    const previous = this.#scheduler.facts(server);
     this.#detector.noteContact(server, nowMs);
-    this.#book.noteReply(server, reply, { sentAtMs, nowMs });
-    if (before?.instance !== reply.instance) {
-      this.#log.info("server met", {
+    this.#scheduler.noteReply(server, reply, { sentAtMs, nowMs });
+    if (previous?.instance !== reply.instance) {
+      this.#log.info("new server instance responded", {
         server,
         instance: reply.instance,
         checksFences: reply.checksFences,
       });
     }
     if (reply.draining) servers.noteDraining(server);
-    else if (before?.draining === true) servers.noteNotDraining(server);
-    this.#onAnswer({ order, reply, sentAtMs, nowMs });
+    else if (previous?.draining === true) servers.noteNotDraining(server);
+    this.#onReply({ order: command, reply, sentAtMs, nowMs });
   }
 
   /**
-   * A server that the lagging list has dropped, or does not name yet, keeps
-   * its orders for as long as it answers: an error of the list alone must
-   * not end its lease.
+   * A server that the lagging list has dropped or doesn't name yet keeps
+   * receiving lease commands for as long as it responds: an error of the list
+   * alone must not let its lease expire.
    */
-  #refreshContacts(): void {
+  #refreshEndpoints(): void {
     const { service, servers } = this.#context;
     const listed = servers.servers(service);
-    const isSettled = this.#lost.size === 0 && this.#unlistedSinceMs.size === 0;
-    if (listed === this.#listed && isSettled) return;
-    this.#listed = listed;
-    for (const address of listed) this.#meet(address);
+    const isUnchanged = this.#lost.size === 0 &&
+      this.#unlistedSinceMs.size === 0;
+    if (listed === this.#listedServers && isUnchanged) return;
+    this.#listedServers = listed;
+    for (const address of listed) this.#connect(address);
     const names = new Set(listed.map(({ server }) => server));
     const nowMs = this.#context.clock.nowMs();
-    for (const server of this.#contacts.keys()) {
+    for (const server of this.#endpoints.keys()) {
       if (names.has(server)) this.#unlistedSinceMs.delete(server);
-      else if (this.#isGone(server, nowMs)) this.#drop(server);
+      else if (this.#isExpired(server, nowMs)) this.#drop(server);
     }
   }
 
-  /** Unlisted, and lost or, where this VM can't tell, unlisted for long. */
-  #isGone(server: contracts.ServerId, nowMs: number): boolean {
+  /**
+   * Whether an unlisted server is lost or, if it isn't a target and so its
+   * state is unknown here, has been unlisted for `UNLISTED_TTL_MS`.
+   */
+  #isExpired(server: contracts.ServerId, nowMs: number): boolean {
     if (this.isLost(server)) return true;
     const sinceMs = this.#unlistedSinceMs.get(server) ?? nowMs;
     this.#unlistedSinceMs.set(server, sinceMs);
     const isTarget = this.#targets.includes(server);
-    return !isTarget && nowMs >= sinceMs + UNLISTED_MS;
+    return !isTarget && nowMs >= sinceMs + UNLISTED_TTL_MS;
   }
 
   #drop(server: contracts.ServerId): void {
-    void this.#contacts.get(server)?.control.close();
-    this.#contacts.delete(server);
+    void this.#endpoints.get(server)?.control.close();
+    this.#endpoints.delete(server);
     this.#unlistedSinceMs.delete(server);
     this.#detector.forget(server);
     this.#lost.delete(server);
-    this.#book.keepOnly(new Set(this.#contacts.keys()));
-    this.#isContactChange = true;
+    this.#scheduler.keepOnly(new Set(this.#endpoints.keys()));
+    this.#haveEndpointsChanged = true;
   }
 
-  #meet(address: ServerAddress): void {
-    const known = this.#contacts.get(address.server);
-    if (known === undefined || !isSamePlace(known.address, address)) {
+  #connect(address: ServerAddress): void {
+    const known = this.#endpoints.get(address.server);
+    if (known === undefined || !isSameAddress(known.address, address)) {
       void known?.control.close();
       const control = this.#context.connect(address);
-      this.#contacts.set(address.server, { address, control });
-      this.#isContactChange = true;
+      this.#endpoints.set(address.server, { address, control });
+      this.#haveEndpointsChanged = true;
       return;
     }
     if (known.address === address) return;
-    this.#contacts.set(address.server, { ...known, address });
+    this.#endpoints.set(address.server, { ...known, address });
   }
 
-  /** Chosen anew only when keepers, live VMs or servers have changed. */
+  /** Chooses the renewers again when voters, live VMs or servers change. */
   #refreshRenewers(): void {
     const { peers, known } = this.#context;
     const live = peers.live();
-    const { keepers } = known;
-    const isSame = live === this.#chosenFor.live &&
-      keepers === this.#chosenFor.keepers && !this.#isContactChange;
-    if (isSame) return;
-    this.#chosenFor = { live, keepers };
-    this.#isContactChange = false;
-    const present = keepers.filter((vm) => live.includes(vm));
-    const chosen = present.length > 0 ? present : live;
+    const { voters } = known;
+    const isUnchanged = live === this.#renewerInputs.live &&
+      voters === this.#renewerInputs.voters && !this.#haveEndpointsChanged;
+    if (isUnchanged) return;
+    this.#renewerInputs = { live, voters };
+    this.#haveEndpointsChanged = false;
+    const liveVoters = voters.filter((vm) => live.includes(vm));
+    const candidates = liveVoters.length > 0 ? liveVoters : live;
     this.#renewers = new Map(
-      [...this.#contacts.keys()].map((server) => [
+      [...this.#endpoints.keys()].map((server) => [
         server,
-        this.#chooseRenewers(server, chosen),
+        this.#chooseRenewers(server, candidates),
       ]),
     );
     this.#chooseTargets();
@@ -252,39 +263,39 @@
     vms: readonly contracts.VmId[],
   ): Renewers {
     const { peers, hasher, timings } = this.#context;
-    const ranked = ownership.rankByName(server, vms, { hasher })
+    const renewers = ownership.rankByName(server, vms, { hasher })
       .slice(0, timings.renewers);
-    const others = ranked.filter((vm) => vm !== peers.self.vm);
-    return { isOwn: others.length < ranked.length, others };
+    const others = renewers.filter((vm) => vm !== peers.self.vm);
+    return { includesSelf: others.length < renewers.length, others };
   }
 
   #chooseTargets(): void {
-    const servers = [...this.#contacts.keys()];
-    this.#targets = this.#ordersAll
+    const servers = [...this.#endpoints.keys()];
+    this.#targets = this.#targetsAll
       ? servers
-      : servers.filter((server) => this.#renewers.get(server)?.isOwn);
-    this.#forgetOthers(this.#targets);
+      : servers.filter((server) => this.#renewers.get(server)?.includesSelf);
+    this.#forgetExcept(this.#targets);
   }
 
-  #forgetOthers(servers: readonly contracts.ServerId[]): void {
+  #forgetExcept(servers: readonly contracts.ServerId[]): void {
     const targets = new Set(servers);
-    for (const server of this.#contacts.keys()) {
+    for (const server of this.#endpoints.keys()) {
       if (targets.has(server)) continue;
       this.#detector.forget(server);
       this.#lost.delete(server);
     }
   }
 
-  /** Only servers that this VM sends orders to; of others it knows nothing. */
-  #judge(nowMs: number): void {
-    if (nowMs < this.#judgedAtMs + JUDGE_MS) return;
-    this.#judgedAtMs = nowMs;
+  /** Checks only targets: this VM knows nothing about other servers. */
+  #checkFailures(nowMs: number): void {
+    if (nowMs < this.#failuresCheckedAtMs + FAILURE_CHECK_INTERVAL_MS) return;
+    this.#failuresCheckedAtMs = nowMs;
     for (const server of this.#targets) {
       const otherRenewers = this.#renewers.get(server)?.others ?? [];
       const isLost = this.#detector.isLost(server, { nowMs, otherRenewers });
       if (isLost) this.#noteLost(server);
       else if (this.#detector.hasContact(server, nowMs)) {
-        this.#noteFound(server);
+        this.#noteRecovered(server);
       }
     }
   }
@@ -295,13 +306,13 @@
     this.#log.info("server lost", { server });
   }
 
-  /** Votes that run out bring no server back, only its own answer does. */
-  #noteFound(server: contracts.ServerId): void {
+  /** Only a server's own reply ends its failed state, not expired reports. */
+  #noteRecovered(server: contracts.ServerId): void {
     if (!this.#lost.delete(server)) return;
-    this.#log.info("server answers again", { server });
+    this.#log.info("server responds again", { server });
   }
 }
 
-function isSamePlace(left: ServerAddress, right: ServerAddress): boolean {
+function isSameAddress(left: ServerAddress, right: ServerAddress): boolean {
   return left.host === right.host && left.port === right.port;
 }
--- a/packages/entry/src/ownership/ownership_task.ts
+++ b/packages/entry/src/ownership/ownership_task.ts
@@ -1,7 +1,7 @@
 /**
- * Ownership of all keyed services in one entry process. Takes part in beats,
- * from which evidence, promises and newer assignments come, and answers the
- * request path from memory.
+ * Ownership of all keyed services in one entry process. Exchanges heartbeats
+ * with peers, which carry confirmations, acknowledgements and newer
+ * assignments, and answers the request path from memory.
  */
 import * as contracts from "@guavatide/contracts";
 import type { OwnerLookup, OwnerView } from "../contracts/views.ts";
@@ -18,11 +18,11 @@
 import { ServiceOwnership } from "./service_ownership.ts";
 
 const TICK_MS = 50;
-/** Between two looks at which services there are, and who keeps them. */
-const REFRESH_MS = 200;
+/** Interval for reading which services exist and who their voters are. */
+const REFRESH_INTERVAL_MS = 200;
 const STOP_TIMEOUT_MS = 1_000;
-/** Difference between two clocks that shows that the machine was suspended. */
-const SUSPEND_MS = 200;
+/** Difference between the two clocks that indicates a suspended machine. */
+const SUSPEND_THRESHOLD_MS = 200;
 
 /** Options of {@link OwnershipTask}. */
 export interface OwnershipTaskOptions
@@ -31,7 +31,7 @@
     services(): readonly contracts.Service[];
     service(id: contracts.ServiceId): contracts.Service | undefined;
   };
-  /** Load figures of a service for the planner. */
+  /** The planner's load figures for a service. */
   load(service: contracts.ServiceId): LoadSource;
 }
 
@@ -39,14 +39,14 @@
 export class OwnershipTask implements OwnerView, HeartbeatParticipant {
   readonly #options: OwnershipTaskOptions;
   readonly #services = new Map<contracts.ServiceId, ServiceOwnership>();
-  #refreshAtMs = Number.NEGATIVE_INFINITY;
+  #nextRefreshMs = Number.NEGATIVE_INFINITY;
   #lastTick: { clockMs: number; wallMs: number } | undefined;
 
   constructor(options: OwnershipTaskOptions) {
     this.#options = options;
   }
 
-  /** Runs until the process stops. */
+  /** Starts the tasks, which run until the process stops. */
   start(lifeCycle: LifeCycle): void {
     lifeCycle.onStop({
       name: "ownership",
@@ -57,28 +57,29 @@
     this.#tick();
   }
 
-  /** Services whose moves this VM plans now. */
+  /** Services that this VM is the leader of. */
   heldDuties(): contracts.ServiceId[] {
     return [...this.#services]
-      .filter(([, ownership]) => ownership.holdsDuty)
+      .filter(([, ownership]) => ownership.isLeader)
       .map(([service]) => service);
   }
 
   /**
-   * Age of the evidence for a service's assignment; leases are renewed while
-   * it is below the assignment's `evidenceMs`. Undefined without evidence.
+   * Age of the newest confirmation of a service's assignment, in milliseconds.
+   * Leases are renewed while it's below the assignment's `evidenceMs`.
+   * Undefined without a confirmation.
    */
-  evidenceAgeMs(service: contracts.ServiceId): number | undefined {
+  confirmationAgeMs(service: contracts.ServiceId): number | undefined {
     const nowMs = this.#options.clock.nowMs();
-    const askedAtMs = this.#services.get(service)?.known
-      .evidenceAskedAtMs(nowMs);
-    if (askedAtMs === undefined || !Number.isFinite(askedAtMs)) {
+    const confirmedAtMs = this.#services.get(service)?.known
+      .confirmedAtMs(nowMs);
+    if (confirmedAtMs === undefined || !Number.isFinite(confirmedAtMs)) {
       return undefined;
     }
-    return nowMs - askedAtMs;
+    return nowMs - confirmedAtMs;
   }
 
-  /** The assignment known of a service. */
+  /** The newest known assignment of a service. */
   assignment(service: contracts.ServiceId): contracts.Assignment | undefined {
     return this.#services.get(service)?.known.assignment;
   }
@@ -108,102 +109,120 @@
     service: contracts.ServiceId,
     server: contracts.ServerId,
   ): { done(): void } {
-    return this.#of(service).noteForwarded(server);
+    return this.#getOrCreate(service).noteForwarded(server);
   }
 
   onChange(service: contracts.ServiceId, callback: () => void): () => void {
-    return this.#of(service).known.onChange(callback);
+    return this.#getOrCreate(service).known.onChange(callback);
   }
 
   noteNotOwner(service: contracts.ServiceId, revision: number): void {
     this.#services.get(service)?.noteNotOwner(revision);
   }
 
-  /** A peer pushed an assignment; answers what is known then. */
-  takePushed(assignment: contracts.Assignment): contracts.KnownReceipt {
+  /** Applies an assignment that a peer pushed. Returns the known revision. */
+  acceptAssignment(assignment: contracts.Assignment): contracts.KnownReceipt {
     this.#services.get(assignment.service)?.known.learn(assignment);
-    return this.answerKnown(assignment);
+    return this.answerKnownRevision(assignment);
   }
 
-  /** A peer asks what is known of a service. */
-  answerKnown({ service }: contracts.KnownQuestion): contracts.KnownReceipt {
-    const known = this.#services.get(service)?.tell() ??
+  /** Returns the known revision of a service to a peer. */
+  answerKnownRevision(
+    { service }: contracts.KnownQuestion,
+  ): contracts.KnownReceipt {
+    const known = this.#services.get(service)?.knownRevision() ??
       { service, revision: 0, settled: false };
     return { ...this.#options.peers.self, known };
   }
 
   fill(draft: HeartbeatDraft): void {
-    draft.known.push(...this.#tellAll());
+    draft.known.push(...this.#knownRevisions());
   }
 
-  answer(beat: contracts.PeerHeartbeat, draft: HeartbeatReplyDraft): void {
-    for (const known of beat.known) {
-      this.#services.get(known.service)?.notePeer(beat, known);
+  answer(
+    heartbeat: contracts.PeerHeartbeat,
+    draft: HeartbeatReplyDraft,
+  ): void {
+    for (const known of heartbeat.known) {
+      this.#services.get(known.service)?.notePeer(heartbeat, known);
     }
-    const told = new Map(
-      beat.known.map(({ service, revision }) => [service, revision]),
+    const senderRevisions = new Map(
+      heartbeat.known.map(({ service, revision }) => [service, revision]),
     );
     for (const [service, { known }] of this.#services) {
       const { assignment, revision } = known;
-      const isNewer = revision > (told.get(service) ?? 0);
+      const isNewer = revision > (senderRevisions.get(service) ?? 0);
       if (assignment !== undefined && isNewer) draft.newer.push(assignment);
     }
-    draft.known.push(...this.#tellAll());
+    draft.known.push(...this.#knownRevisions());
   }
 
-  /** Newer assignments first: the answer counts as evidence for them. */
-  noteReply(reply: contracts.PeerHeartbeatReply, askedAtMs: number): void {
-    for (const assignment of reply.newer) this.takePushed(assignment);
+  /** Applies newer assignments first, because the reply confirms them. */
+  noteReply(
+    reply: contracts.PeerHeartbeatReply,
+    requestedAtMs: number,
+  ): void {
+    for (const assignment of reply.newer) this.acceptAssignment(assignment);
     for (const known of reply.known) {
       const ownership = this.#services.get(known.service);
       if (ownership === undefined) continue;
-      ownership.known.noteAnswer({ vm: reply.vm, known, askedAtMs });
-      ownership.notePeer(reply, known, askedAtMs);
+      ownership.known.noteVoterReply({
+        vm: reply.vm,
+        known,
+        askedAtMs: requestedAtMs,
+      });
+      ownership.notePeer(reply, known, requestedAtMs);
     }
   }
 
-  #tellAll(): contracts.KnownRevision[] {
-    return [...this.#services.values()].map((ownership) => ownership.tell());
+  #knownRevisions(): contracts.KnownRevision[] {
+    return [...this.#services.values()].map((ownership) =>
+      ownership.knownRevision()
+    );
   }
 
   #tick(): void {
     const nowMs = this.#options.clock.nowMs();
-    this.#noteSuspend(nowMs);
-    if (nowMs >= this.#refreshAtMs) this.#refresh(nowMs);
+    this.#checkSuspension(nowMs);
+    if (nowMs >= this.#nextRefreshMs) this.#refresh(nowMs);
     for (const ownership of this.#services.values()) ownership.tick(nowMs);
   }
 
   #refresh(nowMs: number): void {
-    this.#refreshAtMs = nowMs + REFRESH_MS;
+    this.#nextRefreshMs = nowMs + REFRESH_INTERVAL_MS;
     for (const service of this.#options.config.services()) {
-      if (service.keyed) this.#of(service.name);
+      if (service.keyed) this.#getOrCreate(service.name);
     }
     const all = [...this.#services.values()];
-    // Evidence lives shorter than the round of a large fleet's samples.
-    this.#options.peers.pin(all.flatMap(({ known }) => known.keepers));
+    // A confirmation expires before sampled heartbeats have covered a large
+    // cluster, so voters are contacted with every heartbeat.
+    this.#options.peers.pin(all.flatMap(({ known }) => known.voters));
   }
 
   /**
-   * The monotonic clock may stand still while the whole machine is suspended.
-   * Evidence would then look fresh although others have long waited it out;
-   * the wall clock, which went on, shows it.
+   * The monotonic clock may stop while the machine is suspended. Confirmations
+   * would then look recent although the other VMs have waited for their expiry.
+   * The wall clock, which keeps running, reveals the suspension.
    */
-  #noteSuspend(clockMs: number): void {
+  #checkSuspension(clockMs: number): void {
     const wallMs = Date.now();
-    const last = this.#lastTick;
+    const previous = this.#lastTick;
     this.#lastTick = { clockMs, wallMs };
-    if (last === undefined) return;
-    const skewMs = wallMs - last.wallMs - (clockMs - last.clockMs);
-    if (skewMs < SUSPEND_MS) return;
-    this.#options.log.part("owner").warn("clocks parted, evidence dropped", {
-      skewMs: Math.round(skewMs),
-    });
-    for (const { known } of this.#services.values()) known.dropEvidence();
+    if (previous === undefined) return;
+    const skewMs = wallMs - previous.wallMs - (clockMs - previous.clockMs);
+    if (skewMs < SUSPEND_THRESHOLD_MS) return;
+    this.#options.log.part("owner").warn(
+      "wall clock ran ahead, confirmations dropped",
+      {
+        skewMs: Math.round(skewMs),
+      },
+    );
+    for (const { known } of this.#services.values()) known.dropConfirmations();
   }
 
-  #of(service: contracts.ServiceId): ServiceOwnership {
-    const present = this.#services.get(service);
-    if (present !== undefined) return present;
+  #getOrCreate(service: contracts.ServiceId): ServiceOwnership {
+    const existing = this.#services.get(service);
+    if (existing !== undefined) return existing;
     const ownership = this.#create(service);
     this.#services.set(service, ownership);
     return ownership;
--- a/packages/entry/src/ownership/ownership_task_test.ts
+++ b/packages/entry/src/ownership/ownership_task_test.ts
@@ -28,11 +28,11 @@
   planMs: 60_000,
 };
 
-/** One entry process with servers and a store in memory. */
+/** One entry process with in-memory servers and an in-memory store. */
 class Fixture {
   readonly store = new FakeStore();
   readonly servers = new Map<string, FakeServer>();
-  /** Entry VMs that membership calls alive. */
+  /** Entry VMs that membership reports as alive. */
   liveVms: contracts.VmId[] = [SELF.vm];
   readonly #lifeCycle = new LifeCycle();
   readonly task: OwnershipTask;
@@ -60,25 +60,28 @@
       : contracts.assignmentSchema.parse(JSON.parse(text));
   }
 
-  /** Whether each slice is held by its owner under a lease. */
-  isServed(): boolean {
+  /** Whether every slice is owned by a server under a valid lease. */
+  isFullyLeased(): boolean {
     const slices = this.assignment?.slices ?? [];
     return slices.length > 0 && slices.every((slice) => {
-      const held = this.servers.get(slice.server)?.held ?? [];
+      const held = this.servers.get(slice.server)?.leasedSlices ?? [];
       return slice.state === "owned" &&
         held.some(({ fromHash }) => fromHash === slice.fromHash);
     });
   }
 
-  /** Another entry VM says in a beat that it has read the store. */
-  hearSettled(vm: contracts.VmId): void {
-    const beat = {
+  /** Delivers a heartbeat of an entry VM that has read the store. */
+  receiveHeartbeat(vm: contracts.VmId): void {
+    const heartbeat = {
       vm,
       incarnation: `${vm}-run`,
       known: [{ service: SERVICE, revision: 0, settled: true }],
     } as unknown as contracts.PeerHeartbeat;
     const reply = { known: [], newer: [] };
-    this.task.answer(beat, reply as unknown as contracts.PeerHeartbeatReply);
+    this.task.answer(
+      heartbeat,
+      reply as unknown as contracts.PeerHeartbeatReply,
+    );
   }
 
   #createTask(): OwnershipTask {
@@ -102,7 +105,7 @@
       store: this.store,
       config: { services: () => [config], service: () => config },
       load: () => NO_LOAD_SOURCE,
-      moveRecord: { noteSteps: () => {} },
+      moveRecorder: { noteSteps: () => {} },
       connect: ({ server }) => this.server(server),
       servers: {
         servers: addresses,
@@ -119,7 +122,7 @@
         listed: () => new Set(this.liveVms),
         pin: () => {},
         push: () => Promise.resolve(undefined),
-        ask: () => Promise.resolve(undefined),
+        fetchKnownRevision: () => Promise.resolve(undefined),
       },
     });
   }
@@ -138,48 +141,48 @@
 test("should assign and grant every slice of a new service", async (t) => {
   const fixture = new Fixture(["a", "b"], t);
   fixture.start();
-  await until(() => fixture.isServed());
+  await until(() => fixture.isFullyLeased());
   const owners = new Set(fixture.assignment?.slices.map((s) => s.server));
   expect([...owners].sort() as string[]).toEqual(["a", "b"]);
 });
 
-// A whole fleet has just started, and the first VM to hold control duty has
-// met all servers but heard no peer yet. Were it to name itself as the only
-// keeper, its loss right afterwards would leave no majority to move a key by,
-// and a lost server's keys would stay unserved for as long as it is away.
-test("should name all listed entry VMs as the first keepers", async (t) => {
+// The whole cluster has just started, and the first leader has replies from all
+// servers but none from its peers. If it named itself as the only voter and
+// then failed, no quorum could hand over a key, and the keys of a failed server
+// would stay unserved until the leader came back.
+test("should make all listed entry VMs the initial voters", async (t) => {
   const fixture = new Fixture(["a", "b"], t);
   fixture.liveVms = [SELF.vm, ...OTHER_VMS];
   fixture.start();
-  await until(() => fixture.server("a").orders > 4);
-  await until(() => fixture.server("b").orders > 4);
+  await until(() => fixture.server("a").commandCount > 4);
+  await until(() => fixture.server("b").commandCount > 4);
   expect(fixture.assignment).toEqual(undefined);
-  for (const vm of OTHER_VMS) fixture.hearSettled(vm);
+  for (const vm of OTHER_VMS) fixture.receiveHeartbeat(vm);
   await until(() => fixture.assignment !== undefined);
   const [first] = fixture.assignment!.keeperSets;
   expect(first!.map(({ vm }) => vm).sort()).toEqual([SELF.vm, ...OTHER_VMS]);
 });
 
-// A server asks to leave while a booking still runs there. The booking's key
-// must not be given on before it is over, and at once when it is.
-test("should give a draining server's slices on once they are idle", async (t) => {
+// A server drains while a booking is still in progress on it. The booking's key
+// must be handed over as soon as the booking has finished, and not earlier.
+test("should hand over a draining server's slices once they are idle", async (t) => {
   const fixture = new Fixture(["a", "b"], t);
   fixture.start();
-  await until(() => fixture.isServed());
+  await until(() => fixture.isFullyLeased());
   const leaving = fixture.server("a");
-  leaving.stillRunning = 1;
+  leaving.requestsInFlight = 1;
   leaving.isDraining = true;
   await until(() =>
     fixture.assignment!.slices.some(({ state }) => state === "vacating")
   );
-  const ordersBefore = leaving.orders;
-  await until(() => leaving.orders > ordersBefore + 3);
+  const commandsBefore = leaving.commandCount;
+  await until(() => leaving.commandCount > commandsBefore + 3);
   const vacating = fixture.assignment!.slices
     .filter(({ state }) => state === "vacating");
   expect(vacating.every(({ from }) => from[0] === leaving.address.server))
     .toEqual(true);
-  leaving.stillRunning = 0;
-  await until(() => fixture.isServed());
+  leaving.requestsInFlight = 0;
+  await until(() => fixture.isFullyLeased());
   expect(
     fixture.assignment!.slices.every(({ server }) =>
       server === fixture.server("b").address.server
@@ -187,49 +190,51 @@
   ).toEqual(true);
 });
 
-// The store is away for many times the length of a lease. Hosts must go on
-// seeing open slots.
-test("should keep every lease while the store is away", async (t) => {
+// The store is unavailable for several lease durations. Hosts must keep seeing
+// the available slots.
+test("should renew every lease while the store is unavailable", async (t) => {
   const fixture = new Fixture(["a", "b"], t);
   fixture.start();
-  await until(() => fixture.isServed());
+  await until(() => fixture.isFullyLeased());
   fixture.store.fault = () => "down";
   const leases = 4;
   const endMs = performance.now() + leases * TIMINGS.leaseMs;
   while (performance.now() < endMs) {
-    expect(fixture.isServed()).toEqual(true);
+    expect(fixture.isFullyLeased()).toEqual(true);
     await timers.setTimeout(50);
   }
 });
 
-test("should move the slices of a server that falls silent", async (t) => {
+test("should hand over the slices of a server that stops responding", async (t) => {
   const fixture = new Fixture(["a", "b"], t);
   fixture.start();
-  await until(() => fixture.isServed());
-  fixture.server("a").isSilent = true;
+  await until(() => fixture.isFullyLeased());
+  fixture.server("a").isUnresponsive = true;
   await until(() =>
-    fixture.isServed() &&
+    fixture.isFullyLeased() &&
     fixture.assignment!.slices.every(({ server }) => server !== "a")
   );
 });
 
-// The lagging list drops a server that is alive. Were its orders to end with
-// that, its lease would lapse and its keys be unserved for an error of a list.
+// The lagging list drops a server that is alive. If lease commands to it ended
+// at once, its lease would expire and an error of the list would leave its keys
+// unserved.
 test("should drain and not abandon a server that the list drops", async (t) => {
   const fixture = new Fixture(["a", "b"], t);
   fixture.start();
-  await until(() => fixture.isServed());
+  await until(() => fixture.isFullyLeased());
   const dropped = fixture.server("a");
   fixture.servers.delete("a");
-  await until(() => fixture.isServed());
-  expect(dropped.held.length).toEqual(0);
+  await until(() => fixture.isFullyLeased());
+  expect(dropped.leasedSlices.length).toEqual(0);
   const fences = fixture.assignment!.slices.map(({ fence }) => fence);
   expect(Math.max(...fences) > 1).toEqual(true);
 });
 
-// This VM has been cut off from the store and from all keepers. A server that
-// obeys anyone may belong to others by now: forwarding would book twice.
-test("should not forward to an unfenced server without evidence", async (t) => {
+// This VM is cut off from the store and from all voters, so the slice may have
+// another owner by now. A server that checks no fencing tokens would accept the
+// request all the same, and the booking would be made twice.
+test("should not forward to an unfenced server without confirmation", async (t) => {
   const fixture = new Fixture(["a"], t);
   const server = fixture.server("a").address.server;
   fixture.server("a").checksFences = false;
--- a/packages/entry/src/ownership/peer_view.ts
+++ b/packages/entry/src/ownership/peer_view.ts
@@ -1,14 +1,14 @@
-/** The other entry VMs as the ownership tasks see them. */
+/** The other entry VMs as seen by the ownership tasks. */
 import * as contracts from "@guavatide/contracts";
 import type * as decisions from "@guavatide/decisions";
 import type { PeerTask } from "../vms/peer_task.ts";
-import type { PeerView, TimedReceipt } from "./service_context.ts";
+import type { PeerView, TimedReply } from "./service_context.ts";
 
-/** Peer method that takes in an assignment and answers what is known then. */
+/** Peer method that applies an assignment and returns the known revision. */
 export const ASSIGNMENT_METHOD = "assignment";
 
-/** Peer method that answers which assignment revision is known. */
-export const KNOWN_METHOD = "known-revision";
+/** Peer method that returns the known assignment revision. */
+export const KNOWN_REVISION_METHOD = "known-revision";
 
 /** Options of {@link MembershipPeerView}. */
 export interface MembershipPeerViewOptions {
@@ -16,28 +16,29 @@
   readonly membership: decisions.Membership;
   readonly peers: PeerTask;
   readonly clock: contracts.Clock;
+  /** Timeout of one call to a peer. */
   readonly timeoutMs: number;
 }
 
-/** Longest time for which lists of members are kept. */
-const LISTS_MS = 1_000;
+/** Maximum age of the cached member lists. */
+const MEMBER_LISTS_TTL_MS = 1_000;
 
 interface MemberLists {
   readonly live: readonly contracts.VmId[];
   readonly all: readonly contracts.VmId[];
 }
 
-/** Joins membership and the links to peers. */
+/** {@link PeerView} on top of membership and the peer clients. */
 export class MembershipPeerView implements PeerView {
   readonly #options: MembershipPeerViewOptions;
-  #listed: ReadonlySet<contracts.VmId> | undefined;
-  #lists: MemberLists = { live: [], all: [] };
-  #listsUntilMs = Number.NEGATIVE_INFINITY;
+  #listedVms: ReadonlySet<contracts.VmId> | undefined;
+  #memberLists: MemberLists = { live: [], all: [] };
+  #memberListsExpireMs = Number.NEGATIVE_INFINITY;
 
   constructor(options: MembershipPeerViewOptions) {
     this.#options = options;
     options.peers.onMemberChange(() => {
-      this.#listsUntilMs = Number.NEGATIVE_INFINITY;
+      this.#memberListsExpireMs = Number.NEGATIVE_INFINITY;
     });
   }
 
@@ -46,11 +47,11 @@
   }
 
   live(): readonly contracts.VmId[] {
-    return this.#current().live;
+    return this.#currentLists().live;
   }
 
   all(): readonly contracts.VmId[] {
-    return this.#current().all;
+    return this.#currentLists().all;
   }
 
   isLost(vm: contracts.VmId, incarnation: contracts.Incarnation): boolean {
@@ -64,67 +65,67 @@
   }
 
   listed(): ReadonlySet<contracts.VmId> | undefined {
-    return this.#listed;
+    return this.#listedVms;
   }
 
   pin(vms: Iterable<contracts.VmId>): void {
     this.#options.membership.pin(vms);
   }
 
-  /** Takes the platform's list. */
-  noteList(vms: readonly contracts.ListedVm[]): void {
+  /** Stores the platform's list of VMs. */
+  noteVmList(vms: readonly contracts.ListedVm[]): void {
     const names = vms.flatMap(({ vm }) => vm === undefined ? [] : [vm]);
-    this.#listed = new Set(names);
+    this.#listedVms = new Set(names);
   }
 
   push(
     vm: contracts.VmId,
     assignment: contracts.Assignment,
-  ): Promise<TimedReceipt | undefined> {
+  ): Promise<TimedReply | undefined> {
     return this.#call(vm, ASSIGNMENT_METHOD, assignment);
   }
 
-  ask(
+  fetchKnownRevision(
     vm: contracts.VmId,
     service: contracts.ServiceId,
-  ): Promise<TimedReceipt | undefined> {
-    return this.#call(vm, KNOWN_METHOD, { service });
+  ): Promise<TimedReply | undefined> {
+    return this.#call(vm, KNOWN_REVISION_METHOD, { service });
   }
 
   async #call(
     vm: contracts.VmId,
     method: string,
     params: unknown,
-  ): Promise<TimedReceipt | undefined> {
+  ): Promise<TimedReply | undefined> {
     const { peers, clock, timeoutMs } = this.#options;
-    const askedAtMs = clock.nowMs();
-    const answer = await peers.link(vm)?.call(method, {
+    const requestedAtMs = clock.nowMs();
+    const reply = await peers.link(vm)?.call(method, {
       params,
       schema: contracts.knownReceiptSchema,
       timeoutMs,
     });
-    return answer?.isOk() ? { ...answer.value, askedAtMs } : undefined;
+    return reply?.isOk() ? { ...reply.value, requestedAtMs } : undefined;
   }
 
   /**
-   * The ownership tasks ask many times a second; the lists change with an
-   * event of membership, or slowly with the platform's list.
+   * Cached, because the ownership tasks read the lists many times a second and
+   * they change only with a membership event or with the platform's list.
    */
-  #current(): MemberLists {
+  #currentLists(): MemberLists {
     const nowMs = this.#options.clock.nowMs();
-    if (nowMs < this.#listsUntilMs) return this.#lists;
+    if (nowMs < this.#memberListsExpireMs) return this.#memberLists;
     const others = this.#options.membership.members(nowMs);
     const alive = others.filter(({ state }) => state === "alive");
-    const kept = others.filter(({ state }) => state !== "left");
+    const known = others.filter(({ state }) => state !== "left");
     const lists = {
       live: [this.self.vm, ...alive.map(({ vm }) => vm)],
-      all: [this.self.vm, ...kept.map(({ vm }) => vm)],
+      all: [this.self.vm, ...known.map(({ vm }) => vm)],
     };
-    this.#listsUntilMs = nowMs + LISTS_MS;
-    // The same list stays the same object, so that others can tell a change.
-    if (JSON.stringify(lists) !== JSON.stringify(this.#lists)) {
-      this.#lists = lists;
+    this.#memberListsExpireMs = nowMs + MEMBER_LISTS_TTL_MS;
+    // Unchanged lists stay the same object, so callers compare by identity.
+    if (JSON.stringify(lists) !== JSON.stringify(this.#memberLists)) {
+      this.#memberLists = lists;
     }
-    return this.#lists;
+    return this.#memberLists;
   }
 }
--- a/packages/entry/src/ownership/service_context.ts
+++ b/packages/entry/src/ownership/service_context.ts
@@ -1,4 +1,4 @@
-/** What the tasks of one service's ownership share. */
+/** Dependencies that the ownership tasks of one service share. */
 import type * as contracts from "@guavatide/contracts";
 import type * as ownership from "@guavatide/decisions/ownership/mod";
 import type { ServerAddress, ServerView } from "../contracts/views.ts";
@@ -6,45 +6,45 @@
 import type { AssignmentStore } from "./assignment_store.ts";
 import type { KnownAssignment } from "./known_assignment.ts";
 
-/** A peer's answer with the time at which the question left. */
-export interface TimedReceipt extends contracts.KnownReceipt {
-  readonly askedAtMs: number;
+/** A peer's reply with the time at which the request was sent. */
+export interface TimedReply extends contracts.KnownReceipt {
+  readonly requestedAtMs: number;
 }
 
-/** Other entry VMs, as the ownership tasks see them. */
+/** The other entry VMs as seen by the ownership tasks. */
 export interface PeerView {
   readonly self: {
     readonly vm: contracts.VmId;
     readonly incarnation: contracts.Incarnation;
   };
-  /** Entry VMs that are alive, this one among them. */
+  /** Entry VMs that are alive, including this one. */
   live(): readonly contracts.VmId[];
   /** Entry VMs that may forward requests, alive or not. */
   all(): readonly contracts.VmId[];
-  /** Whether a run of a VM is known to be over. */
+  /** Whether an incarnation of a VM is known to have ended. */
   isLost(vm: contracts.VmId, incarnation: contracts.Incarnation): boolean;
   /** Entry VMs on the platform's list; undefined before its first read. */
   listed(): ReadonlySet<contracts.VmId> | undefined;
-  /** Peers that must be asked at every beat. */
+  /** Sets the peers that every round of heartbeats must contact. */
   pin(vms: Iterable<contracts.VmId>): void;
-  /** Tells a VM an assignment; resolves with what it then knows. */
+  /** Sends an assignment to a VM. Resolves with the revision it then knows. */
   push(
     vm: contracts.VmId,
     assignment: contracts.Assignment,
-  ): Promise<TimedReceipt | undefined>;
-  /** Asks a VM which revision it knows. */
-  ask(
+  ): Promise<TimedReply | undefined>;
+  /** Fetches the revision that a VM knows. Undefined if the call fails. */
+  fetchKnownRevision(
     vm: contracts.VmId,
     service: contracts.ServiceId,
-  ): Promise<TimedReceipt | undefined>;
+  ): Promise<TimedReply | undefined>;
 }
 
-/** The control side of a backend server, with an end. */
+/** Control connection to a backend server. */
 export interface ServerControl extends contracts.BackendControl {
   close(): Promise<void>;
 }
 
-/** Times of the tasks around the decisions. */
+/** Timings of the ownership tasks. */
 export interface OwnershipTimings extends ownership.OwnershipSettings {
   readonly storeTimeoutMs: number;
   readonly dutyLeaseMs: number;
@@ -53,19 +53,19 @@
   readonly planMs: number;
 }
 
-/** The steps of one acknowledged update of an assignment. */
-export interface MovedSteps {
+/** Changes made by one acknowledged update of an assignment. */
+export interface AssignmentSteps {
   readonly service: contracts.ServiceId;
   readonly revision: number;
   readonly steps: readonly ownership.MoveStep[];
 }
 
-/** Takes note of moves. */
-export interface MoveRecord {
-  noteSteps(moved: MovedSteps): void;
+/** Records changes of assignments. */
+export interface MoveRecorder {
+  noteSteps(update: AssignmentSteps): void;
 }
 
-/** Parts that every task of one service uses. */
+/** Dependencies of every ownership task of one service. */
 export interface ServiceContext {
   readonly service: contracts.ServiceId;
   readonly timings: OwnershipTimings;
@@ -79,10 +79,10 @@
   readonly peers: PeerView;
   readonly servers: ServerView & {
     noteNotDraining(id: contracts.ServerId): void;
-    /** Whether the server itself said lately that it takes no new work. */
+    /** Whether the server reported recently that it takes no new work. */
     saysDraining(id: contracts.ServerId): boolean;
   };
-  /** Keeps the steps of acknowledged updates for operators. */
-  readonly moveRecord: MoveRecord;
+  /** Records acknowledged changes for operators. */
+  readonly moveRecorder: MoveRecorder;
   connect(address: ServerAddress): ServerControl;
 }
--- a/packages/entry/src/ownership/service_ownership.ts
+++ b/packages/entry/src/ownership/service_ownership.ts
@@ -1,12 +1,16 @@
-/** All tasks of one service's ownership in one entry process. */
+/** All ownership tasks of one service in one entry process. */
 import type * as contracts from "@guavatide/contracts";
 import * as contractsValues from "@guavatide/contracts";
 import type { OwnerLookup } from "../contracts/views.ts";
-import { DutyTask } from "./duty_task.ts";
-import { EvidenceTask } from "./evidence_task.ts";
-import { ForwardCounter } from "./forward_counter.ts";
-import { type LoadSource, MoveTask, type TellingPeer } from "./move_task.ts";
-import { OrderTask } from "./order_task.ts";
+import { LeaderElectionTask } from "./duty_task.ts";
+import { AssignmentRefreshTask } from "./evidence_task.ts";
+import { InFlightRequests } from "./forward_counter.ts";
+import {
+  AssignmentControllerTask,
+  type LoadSource,
+  type PeerIdentity,
+} from "./move_task.ts";
+import { LeaseCommandTask } from "./order_task.ts";
 import type { ServiceContext } from "./service_context.ts";
 
 /** Options of {@link ServiceOwnership}. */
@@ -15,28 +19,29 @@
   config(): contracts.Service | undefined;
 }
 
-/** One service's ownership. */
+/** Ownership of one service. */
 export class ServiceOwnership {
   readonly #context: ServiceContext;
-  readonly #evidence: EvidenceTask;
-  readonly #orders: OrderTask;
-  readonly #duty: DutyTask;
-  readonly #moves: MoveTask;
-  readonly #forwards = new ForwardCounter();
+  readonly #refresh: AssignmentRefreshTask;
+  readonly #leaseCommands: LeaseCommandTask;
+  readonly #election: LeaderElectionTask;
+  readonly #controller: AssignmentControllerTask;
+  readonly #inFlight = new InFlightRequests();
 
   constructor(context: ServiceContext, options: ServiceOwnershipOptions) {
     this.#context = context;
-    this.#orders = new OrderTask(context);
-    this.#duty = new DutyTask(context);
-    this.#moves = new MoveTask(context, {
+    this.#leaseCommands = new LeaseCommandTask(context);
+    this.#election = new LeaderElectionTask(context);
+    this.#controller = new AssignmentControllerTask(context, {
       ...options,
-      orders: this.#orders,
+      leaseCommands: this.#leaseCommands,
       busyServers: () => this.#busyServers(),
       config: () => options.config(),
     });
-    this.#evidence = new EvidenceTask(
+    this.#refresh = new AssignmentRefreshTask(
       context,
-      () => this.#orders.isRenewing || this.#unfenced().length > 0,
+      () =>
+        this.#leaseCommands.isRenewing || this.#unfencedServers().length > 0,
     );
   }
 
@@ -44,25 +49,25 @@
     return this.#context.known;
   }
 
-  /** Whether this VM plans the service's moves now. */
-  get holdsDuty(): boolean {
-    return this.#duty.holds;
+  /** Whether this VM is the service's leader now. */
+  get isLeader(): boolean {
+    return this.#election.isLeader;
   }
 
   tick(nowMs: number): void {
-    this.#evidence.tick(nowMs);
-    this.#duty.tick(nowMs);
-    this.#moves.tick(nowMs, this.#duty.holds);
-    this.#orders.tick(nowMs);
+    this.#refresh.tick(nowMs);
+    this.#election.tick(nowMs);
+    this.#controller.tick(nowMs, this.#election.isLeader);
+    this.#leaseCommands.tick(nowMs);
   }
 
   lookup(keyHash: number): OwnerLookup {
     const { slices, revision } = this.known;
     if (slices === undefined) return { kind: "none" };
     const slice = slices.find(keyHash);
-    const isBetween = slice.state === "vacating" ||
+    const hasNoOwner = slice.state === "vacating" ||
       this.#isDraining(slice.server);
-    if (isBetween) return { kind: "vacating", revision };
+    if (hasNoOwner) return { kind: "vacating", revision };
     return {
       kind: "owned",
       server: slice.server,
@@ -73,8 +78,9 @@
   }
 
   /**
-   * A server that checks fences refuses by itself. For any other, this VM
-   * must be sure at this moment that the server still owns the slice.
+   * A server that checks fencing tokens refuses outdated requests by itself.
+   * For any other server, the known assignment must be confirmed at this
+   * moment.
    */
   mayForward(
     server: contracts.ServerId,
@@ -85,62 +91,67 @@
     const owned = this.known.slices?.byId(slice);
     return owned?.state === "owned" && owned.server === server &&
       owned.fence === fence &&
-      this.known.hasEvidence(this.#context.clock.nowMs());
+      this.known.isConfirmed(this.#context.clock.nowMs());
   }
 
   checksFences(server: contracts.ServerId): boolean {
-    return !this.#unfenced().includes(server);
+    return !this.#unfencedServers().includes(server);
   }
 
   noteForwarded(server: contracts.ServerId): { done(): void } {
-    return this.#forwards.begin(server);
+    return this.#inFlight.begin(server);
   }
 
   noteNotOwner(revision: number): void {
-    if (this.known.revision <= revision) this.#evidence.hint();
+    if (this.known.revision <= revision) this.#refresh.requestRead();
   }
 
-  /** What this VM tells its peers of the service. */
-  tell(): contracts.KnownRevision {
-    const silent = this.#orders.silentServers(this.#context.clock.nowMs());
+  /** This VM's report to its peers about the service. */
+  knownRevision(): contracts.KnownRevision {
+    const unresponsive = this.#leaseCommands.unresponsiveServers(
+      this.#context.clock.nowMs(),
+    );
     const busyServers = this.#busyServers();
     return {
-      ...this.known.known(),
-      silent: silent.length > 0 ? silent : undefined,
+      ...this.known.knownRevision(),
+      silent: unresponsive.length > 0 ? unresponsive : undefined,
       busyServers: busyServers.length > 0 ? busyServers : undefined,
-      holdsDuty: this.#duty.holds ? true : undefined,
+      holdsDuty: this.#election.isLeader ? true : undefined,
     };
   }
 
-  /** A peer told what it knows. */
+  /** Records a peer's report, see {@link AssignmentControllerTask.notePeer}. */
   notePeer(
-    peer: TellingPeer,
+    peer: PeerIdentity,
     known: contracts.KnownRevision,
-    askedAtMs?: number,
+    requestedAtMs?: number,
   ): void {
-    this.#orders.notePeer(peer.vm, known);
-    this.#moves.notePeer(peer, known, askedAtMs);
+    this.#leaseCommands.notePeerReport(peer.vm, known);
+    this.#controller.notePeer(peer, known, requestedAtMs);
   }
 
-  /** Hands duty back and closes the links to the servers. */
+  /** Resigns as leader and closes the connections to the servers. */
   async stop(): Promise<void> {
-    await this.#duty.stop();
-    await this.#orders.close();
+    await this.#election.stop();
+    await this.#leaseCommands.close();
   }
 
   /**
-   * It refuses all new work, and its slices are about to be taken from it. A
-   * server that only an operator drains serves until that has happened.
+   * Whether the server itself reports that it is draining: it refuses new work,
+   * and its slices are about to be handed over. A server that only an operator
+   * drains serves its slices until they are handed over.
    */
   #isDraining(server: contracts.ServerId): boolean {
     return this.#context.servers.saysDraining(server);
   }
 
-  #unfenced(): readonly contracts.ServerId[] {
+  #unfencedServers(): readonly contracts.ServerId[] {
     return this.known.assignment?.unfencedServers ?? [];
   }
 
   #busyServers(): contracts.ServerId[] {
-    return this.#unfenced().filter((server) => this.#forwards.isBusy(server));
+    return this.#unfencedServers().filter((server) =>
+      this.#inFlight.isBusy(server)
+    );
   }
 }
--- a/packages/entry/src/wire.ts
+++ b/packages/entry/src/wire.ts
@@ -294,7 +294,7 @@
     clock,
     timeoutMs: settings.timings.evidenceMs,
   });
-  directory.onList((vms) => peerView.noteList(vms));
+  directory.onList((vms) => peerView.noteVmList(vms));
   const loads = new LoadTask({ self, peers, door, clock });
   const owners = new ownershipTasks.OwnershipTask({
     timings: ownershipTimingsOf(settings),
@@ -305,7 +305,7 @@
     store: base.store,
     config: parts.config,
     servers: directory,
-    moveRecord: new CountedMoves(parts.moves, base.metrics),
+    moveRecorder: new CountedMoves(parts.moves, base.metrics),
     peers: peerView,
     connect: (address) =>
       new platform.HttpBackendControl(`http://${address.host}:${address.port}`),
@@ -317,12 +317,12 @@
   door.register(
     ownershipTasks.ASSIGNMENT_METHOD,
     contractsValues.assignmentSchema,
-    (assignment) => owners.takePushed(assignment),
+    (assignment) => owners.acceptAssignment(assignment),
   );
   door.register(
-    ownershipTasks.KNOWN_METHOD,
+    ownershipTasks.KNOWN_REVISION_METHOD,
     contractsValues.knownQuestionSchema,
-    (question) => owners.answerKnown(question),
+    (question) => owners.answerKnownRevision(question),
   );
   return { owners, loads };
 }
