--- a/packages/entry/src/configuration/peer_task_config_source.ts
+++ b/packages/entry/src/configuration/peer_task_config_source.ts
@@ -2,7 +2,7 @@
 import type * as contracts from "@guavatide/contracts";
 import type * as decisions from "@guavatide/decisions";
 import * as neverthrow from "neverthrow";
-import type { PeerServer } from "../vms/peer_door.ts";
+import type { PeerServer } from "../vms/peer_server.ts";
 import type { PeerTask } from "../vms/peer_task.ts";
 import * as source from "./peer_config_source.ts";
 
--- a/packages/entry/src/configuration/publisher.ts
+++ b/packages/entry/src/configuration/publisher.ts
@@ -8,7 +8,7 @@
 import * as neverthrow from "neverthrow";
 import type { ConfigReader, StoredConfig } from "./config_reader.ts";
 import * as currentConfig from "./current_config.ts";
-import type { DraftStore } from "./drafts.ts";
+import type { DraftStore } from "./draft_store.ts";
 import * as revisionWriter from "./revision_writer.ts";
 
 /** Why a publish or a drain failed. */
--- a/packages/entry/src/loads/load_task.ts
+++ b/packages/entry/src/loads/load_task.ts
@@ -5,11 +5,11 @@
  */
 import * as contracts from "@guavatide/contracts";
 import * as placement from "@guavatide/decisions/placement/mod";
-import type { LoadSource } from "../ownership/move_task.ts";
+import type { LoadSource } from "../ownership/assignment_controller_task.ts";
 import type { KeyedWork } from "../requests/request_metrics.ts";
 import type { LifeCycle } from "../utils/life_cycle.ts";
-import type { PeerServer } from "../vms/peer_door.ts";
-import type { PeerClient } from "../vms/peer_link.ts";
+import type { PeerServer } from "../vms/peer_server.ts";
+import type { PeerClient } from "../vms/peer_client.ts";
 import type { HeartbeatParticipant } from "../vms/peer_task.ts";
 
 /** Method by which a VM reports a service's load to the holder of duty. */
--- a/packages/entry/src/ownership/move_task.ts
+++ b/packages/entry/src/ownership/assignment_controller_task.ts
@@ -7,8 +7,8 @@
 import * as ownership from "@guavatide/decisions/ownership/mod";
 import * as placement from "@guavatide/decisions/placement/mod";
 import type { PartLog } from "../utils/log.ts";
-import { VoterReview } from "./keeper_review.ts";
-import type { LeaseCommandTask } from "./order_task.ts";
+import { VoterReview } from "./voter_review.ts";
+import type { LeaseCommandTask } from "./lease_command_task.ts";
 import type { ServiceContext, TimedReply } from "./service_context.ts";
 
 /** Time that listed servers have to reply before the initial assignment. */
--- a/packages/entry/src/ownership/ownership_task.ts
+++ b/packages/entry/src/ownership/ownership_task.ts
@@ -13,7 +13,7 @@
 } from "../vms/peer_task.ts";
 import { AssignmentStore } from "./assignment_store.ts";
 import { KnownAssignment } from "./known_assignment.ts";
-import type { LoadSource } from "./move_task.ts";
+import type { LoadSource } from "./assignment_controller_task.ts";
 import type { ServiceContext } from "./service_context.ts";
 import { ServiceOwnership } from "./service_ownership.ts";
 
--- a/packages/entry/src/ownership/ownership_task_test.ts
+++ b/packages/entry/src/ownership/ownership_task_test.ts
@@ -8,7 +8,7 @@
 import { LifeCycle } from "../utils/life_cycle.ts";
 import { createLog } from "../utils/log.ts";
 import { FakeServer } from "./fake_servers_test.ts";
-import { NO_LOAD_SOURCE } from "./move_task.ts";
+import { NO_LOAD_SOURCE } from "./assignment_controller_task.ts";
 import { OwnershipTask } from "./ownership_task.ts";
 
 const SERVICE = "availability" as contracts.ServiceId;
--- a/packages/entry/src/ownership/service_ownership.ts
+++ b/packages/entry/src/ownership/service_ownership.ts
@@ -2,15 +2,15 @@
 import type * as contracts from "@guavatide/contracts";
 import * as contractsValues from "@guavatide/contracts";
 import type { OwnerLookup } from "../contracts/views.ts";
-import { LeaderElectionTask } from "./duty_task.ts";
-import { AssignmentRefreshTask } from "./evidence_task.ts";
-import { InFlightRequests } from "./forward_counter.ts";
+import { LeaderElectionTask } from "./leader_election_task.ts";
+import { AssignmentRefreshTask } from "./assignment_refresh_task.ts";
+import { InFlightRequests } from "./in_flight_requests.ts";
 import {
   AssignmentControllerTask,
   type LoadSource,
   type PeerIdentity,
-} from "./move_task.ts";
-import { LeaseCommandTask } from "./order_task.ts";
+} from "./assignment_controller_task.ts";
+import { LeaseCommandTask } from "./lease_command_task.ts";
 import type { ServiceContext } from "./service_context.ts";
 
 /** Options of {@link ServiceOwnership}. */
--- a/packages/entry/src/vms/peer_calls_of.ts
+++ b/packages/entry/src/vms/create_peer_rpc.ts
@@ -2,7 +2,7 @@
 import type * as decisions from "@guavatide/decisions";
 import type * as contracts from "@guavatide/contracts";
 import type { PeerCalls } from "../requests/peer_calls.ts";
-import type { PeerServer } from "./peer_door.ts";
+import type { PeerServer } from "./peer_server.ts";
 import type { PeerTask } from "./peer_task.ts";
 
 /** Options of {@link createPeerRpc}. */
--- a/packages/entry/src/vms/peer_link_test.ts
+++ b/packages/entry/src/vms/peer_client_test.ts
@@ -2,8 +2,8 @@
 import { test } from "node:test";
 import * as z from "zod";
 import { LifeCycle } from "../utils/life_cycle.ts";
-import { PeerServer } from "./peer_door.ts";
-import { PeerClient } from "./peer_link.ts";
+import { PeerServer } from "./peer_server.ts";
+import { PeerClient } from "./peer_client.ts";
 
 const HOST = "127.0.0.1";
 const TIMEOUT_MS = 5_000;
--- a/packages/entry/src/vms/peer_task.ts
+++ b/packages/entry/src/vms/peer_task.ts
@@ -9,9 +9,9 @@
 import type { LifeCycle } from "../utils/life_cycle.ts";
 import type { ServerTls } from "../utils/http_server.ts";
 import type { PartLog } from "../utils/log.ts";
-import type { PeerServer } from "./peer_door.ts";
+import type { PeerServer } from "./peer_server.ts";
 import type { PeerError } from "./peer_error.ts";
-import { type PeerAddress, PeerClient } from "./peer_link.ts";
+import { type PeerAddress, PeerClient } from "./peer_client.ts";
 
 /** A heartbeat that participants fill in. */
 export type HeartbeatDraft = contracts.PeerHeartbeat;
--- a/packages/entry/src/vms/peer_tls_test.ts
+++ b/packages/entry/src/vms/peer_tls_test.ts
@@ -4,8 +4,8 @@
 import * as z from "zod";
 import type { ServerTls } from "../utils/http_server.ts";
 import { LifeCycle } from "../utils/life_cycle.ts";
-import { PeerServer } from "./peer_door.ts";
-import { PeerClient } from "./peer_link.ts";
+import { PeerServer } from "./peer_server.ts";
+import { PeerClient } from "./peer_client.ts";
 
 const HOST = "127.0.0.1";
 const SECRET = "secret-of-all-entry-vms";
--- a/packages/entry/src/wire.ts
+++ b/packages/entry/src/wire.ts
@@ -26,8 +26,8 @@
 import { MonotonicClock, SystemRandom } from "./utils/clock.ts";
 import { LifeCycle } from "./utils/life_cycle.ts";
 import * as logParts from "./utils/log.ts";
-import { createPeerRpc } from "./vms/peer_calls_of.ts";
-import { PeerServer } from "./vms/peer_door.ts";
+import { createPeerRpc } from "./vms/create_peer_rpc.ts";
+import { PeerServer } from "./vms/peer_server.ts";
 import { PeerTask } from "./vms/peer_task.ts";
 import { ServerDirectory } from "./zones/server_directory.ts";
 
--- a/packages/standins/src/bench/bench_entry_main.ts
+++ b/packages/standins/src/bench/bench_entry_main.ts
@@ -13,7 +13,7 @@
 import { MonotonicClock, SystemRandom } from "guavatide/utils/clock";
 import { LifeCycle } from "guavatide/utils/life_cycle";
 import { createLog } from "guavatide/utils/log";
-import { PeerServer } from "guavatide/vms/peer_door";
+import { PeerServer } from "guavatide/vms/peer_server";
 import { Hono } from "hono";
 import * as crypto from "node:crypto";
 import * as perf from "node:perf_hooks";
--- a/packages/standins/src/bench/bench_peers.ts
+++ b/packages/standins/src/bench/bench_peers.ts
@@ -1,8 +1,8 @@
 /** Links between the bench's entry processes, with the brief's delay. */
 import type * as contracts from "@guavatide/contracts";
 import type { PeerCallOptions, PeerCalls } from "guavatide/requests/peer_calls";
-import type { PeerServer } from "guavatide/vms/peer_door";
-import { PeerClient } from "guavatide/vms/peer_link";
+import type { PeerServer } from "guavatide/vms/peer_server";
+import { PeerClient } from "guavatide/vms/peer_client";
 import * as crypto from "node:crypto";
 import type * as z from "zod";
 import * as serve from "../http/serve.ts";
--- a/packages/standins/src/proofs/silent_peer_test.ts
+++ b/packages/standins/src/proofs/silent_peer_test.ts
@@ -1,7 +1,7 @@
 import { expect } from "earl";
 import { LifeCycle } from "guavatide/utils/life_cycle";
-import { PeerServer } from "guavatide/vms/peer_door";
-import { PeerClient } from "guavatide/vms/peer_link";
+import { PeerServer } from "guavatide/vms/peer_server";
+import { PeerClient } from "guavatide/vms/peer_client";
 import { test } from "node:test";
 import * as z from "zod";
 import { RelayedLink } from "../relay/relayed_link.ts";
