--- a/packages/entry/src/configuration/config_task.ts
+++ b/packages/entry/src/configuration/config_task.ts
@@ -103,7 +103,7 @@
     );
   }
 
-  /** Time since the last successful read of the store, if there was one. */
+  /** Time since the store last confirmed the revision in force, if ever. */
   get confirmedAgeMs(): number | undefined {
     return this.#confirmedAtMs === undefined
       ? undefined
