--- a/packages/contracts/src/assignment.ts
+++ b/packages/contracts/src/assignment.ts
@@ -38,10 +38,10 @@
 /** A range of key hashes and who owns it. */
 export type Slice = z.infer<typeof sliceSchema>;
 
-/** Schema of {@link Keeper}. */
-export const keeperSchema = z.strictObject({ vm: vmIdSchema });
+/** Schema of {@link Voter}. */
+export const voterSchema = z.strictObject({ vm: vmIdSchema });
 /** An entry VM that answers whether an assignment revision is current. */
-export type Keeper = z.infer<typeof keeperSchema>;
+export type Voter = z.infer<typeof voterSchema>;
 
 /** Schema of {@link LeaseTimings}. */
 export const leaseTimingsSchema = z.strictObject({
@@ -68,7 +68,7 @@
    * Keeper sets, oldest first; the last one is in force. An earlier set stays
    * until a majority of it has promised to know of a newer revision.
    */
-  keeperSets: z.array(z.array(keeperSchema).min(1)).min(1),
+  keeperSets: z.array(z.array(voterSchema).min(1)).min(1),
   /** In order of `fromHash`, without gap or overlap, covering all hashes. */
   slices: z.array(sliceSchema).min(1),
   /**
--- a/packages/contracts/src/backend_server.ts
+++ b/packages/contracts/src/backend_server.ts
@@ -40,18 +40,18 @@
   | "deadline"
   | "cold";
 
-/** Schema of {@link HeldSlice}. */
-export const heldSliceSchema = z.strictObject({
+/** Schema of {@link LeasedSlice}. */
+export const leasedSliceSchema = z.strictObject({
   slice: sliceIdSchema,
   fromHash: z.number().int().min(0),
   toHash: z.number().int().min(1),
   fence: z.number().int().min(1),
 });
 /** A slice that a server owns. */
-export type HeldSlice = z.infer<typeof heldSliceSchema>;
+export type LeasedSlice = z.infer<typeof leasedSliceSchema>;
 
-/** Schema of {@link OwnershipOrder}. */
-export const ownershipOrderSchema = z.strictObject({
+/** Schema of {@link LeaseCommand}. */
+export const leaseCommandSchema = z.strictObject({
   service: serviceIdSchema,
   server: serverIdSchema,
   /** Assignment revision. A server ignores one below the highest it saw. */
@@ -67,13 +67,13 @@
   stampInstance: z.string().optional(),
   leaseMs: z.number().int().min(1),
   /** All slices the server owns at this revision; others it lets go. */
-  slices: z.array(heldSliceSchema),
+  slices: z.array(leasedSliceSchema),
 });
 /** Grants, renews and takes away ownership: the whole set, each time. */
-export type OwnershipOrder = z.infer<typeof ownershipOrderSchema>;
+export type LeaseCommand = z.infer<typeof leaseCommandSchema>;
 
-/** Schema of {@link OwnershipReply}. */
-export const ownershipReplySchema = z.strictObject({
+/** Schema of {@link LeaseCommandReply}. */
+export const leaseCommandReplySchema = z.strictObject({
   /** Drawn anew at each start of the server process. */
   instance: z.string().min(1),
   /** The server's monotonic clock now. */
@@ -91,8 +91,8 @@
   /** Whether the server checks fences; false means our side must. */
   checksFences: z.boolean(),
 });
-/** A server's answer to an {@link OwnershipOrder}. */
-export type OwnershipReply = z.infer<typeof ownershipReplySchema>;
+/** A server's answer to an {@link LeaseCommand}. */
+export type LeaseCommandReply = z.infer<typeof leaseCommandReplySchema>;
 
 /** Schema of {@link LoadReport}. */
 export const loadReportSchema = z.strictObject({
@@ -115,9 +115,9 @@
 
 /** Control side of a backend server. */
 export interface BackendControl {
-  order(
-    order: OwnershipOrder,
+  sendLeaseCommand(
+    order: LeaseCommand,
     options: CallOptions,
-  ): ResultAsync<OwnershipReply, ServerCallError>;
+  ): ResultAsync<LeaseCommandReply, ServerCallError>;
   load(options: CallOptions): ResultAsync<LoadReport, ServerCallError>;
 }
--- a/packages/contracts/src/key_grants.ts
+++ b/packages/contracts/src/key_grants.ts
@@ -8,7 +8,7 @@
 import type { ServerCallError } from "./backend_server.ts";
 import { serverIdSchema, serviceIdSchema, vmIdSchema } from "./ids.ts";
 import type { CallOptions } from "./platform_store.ts";
-import type { ServerEntry } from "./server_entry.ts";
+import type { RegisteredServer } from "./registered_server.ts";
 
 /** Number of keys: they are whole numbers from 0 to one below this. */
 export const KEY_COUNT = 65_536;
@@ -34,14 +34,14 @@
 /** Options of a grant call. */
 export interface GrantCallOptions extends CallOptions {
   /** Called right before the bytes leave; false keeps the grant here. */
-  readonly mayLeave?: () => boolean;
+  readonly maySend?: () => boolean;
 }
 
 /** Grant calls of one platform. */
 export interface GrantControl {
   /** Errors: no answer in time, and the grant may take effect; or kept here. */
   grant(
-    server: ServerEntry,
+    server: RegisteredServer,
     grant: KeyGrant,
     options: GrantCallOptions,
   ): ResultAsync<GrantAnswer, ServerCallError>;
@@ -50,7 +50,7 @@
    * ended, the handover for the next owner.
    */
   release(
-    server: ServerEntry,
+    server: RegisteredServer,
     range: KeyRange & { readonly fence: number },
     options: CallOptions,
   ): ResultAsync<string | undefined, ServerCallError>;
--- a/packages/contracts/src/mod.ts
+++ b/packages/contracts/src/mod.ts
@@ -9,7 +9,7 @@
 export * from "./peer.ts";
 export * from "./platform_store.ts";
 export * from "./route_config.ts";
-export * from "./server_entry.ts";
+export * from "./registered_server.ts";
 export * from "./server_report.ts";
 export * from "./service_load.ts";
 export * from "./vm_list.ts";
--- a/packages/contracts/src/peer.ts
+++ b/packages/contracts/src/peer.ts
@@ -34,44 +34,46 @@
 /** The highest assignment revision that a process knows of a service. */
 export type KnownRevision = z.infer<typeof knownRevisionSchema>;
 
-/** Schema of {@link KnownQuestion}. */
-export const knownQuestionSchema = z.strictObject({ service: serviceIdSchema });
+/** Schema of {@link KnownRevisionRequest}. */
+export const knownRevisionRequestSchema = z.strictObject({
+  service: serviceIdSchema,
+});
 /** "Which assignment revision do you know?", method `known-revision`. */
-export type KnownQuestion = z.infer<typeof knownQuestionSchema>;
+export type KnownRevisionRequest = z.infer<typeof knownRevisionRequestSchema>;
 
-/** Schema of {@link KnownReceipt}. */
-export const knownReceiptSchema = z.strictObject({
+/** Schema of {@link KnownRevisionReply}. */
+export const knownRevisionReplySchema = z.strictObject({
   vm: vmIdSchema,
   incarnation: incarnationSchema,
   known: knownRevisionSchema,
 });
-/** Answer to a {@link KnownQuestion}, and to an assignment that was pushed. */
-export type KnownReceipt = z.infer<typeof knownReceiptSchema>;
+/** Answer to a {@link KnownRevisionRequest}, and to an assignment that was pushed. */
+export type KnownRevisionReply = z.infer<typeof knownRevisionReplySchema>;
 
-/** Schema of {@link MemberNote}. */
-export const memberNoteSchema = z.strictObject({
+/** Schema of {@link MemberUpdate}. */
+export const memberUpdateSchema = z.strictObject({
   vm: vmIdSchema,
   incarnation: incarnationSchema.optional(),
   state: z.enum(["alive", "suspect", "lost", "left"]),
 });
 /** A change of membership that rides along in beats. */
-export type MemberNote = z.infer<typeof memberNoteSchema>;
+export type MemberUpdate = z.infer<typeof memberUpdateSchema>;
 
-/** Schema of {@link MemberQuestion}. */
-export const memberQuestionSchema = z.strictObject({ about: vmIdSchema });
+/** Schema of {@link MemberStatusRequest}. */
+export const memberStatusRequestSchema = z.strictObject({ about: vmIdSchema });
 /** "Do you hear this VM?", method `member`. */
-export type MemberQuestion = z.infer<typeof memberQuestionSchema>;
+export type MemberStatusRequest = z.infer<typeof memberStatusRequestSchema>;
 
-/** Schema of {@link MemberAnswer}. */
-export const memberAnswerSchema = z.strictObject({
+/** Schema of {@link MemberStatusReply}. */
+export const memberStatusReplySchema = z.strictObject({
   from: vmIdSchema,
   about: vmIdSchema,
   incarnation: incarnationSchema.optional(),
   /** Time since the last sign of life; absent when there was none. */
   seenAgeMs: z.number().optional(),
 });
-/** Answer to a {@link MemberQuestion}. */
-export type MemberAnswer = z.infer<typeof memberAnswerSchema>;
+/** Answer to a {@link MemberStatusRequest}. */
+export type MemberStatusReply = z.infer<typeof memberStatusReplySchema>;
 
 /** Schema of {@link PeerHeartbeat}. */
 export const peerHeartbeatSchema = z.strictObject({
@@ -86,7 +88,7 @@
   /** Revision of the published configuration in force at the sender. */
   configRevision: z.number().int().min(0),
   /** Changes of membership; bounded. */
-  news: z.array(memberNoteSchema),
+  news: z.array(memberUpdateSchema),
 });
 /** Sent to peers at a fixed interval. */
 export type PeerHeartbeat = z.infer<typeof peerHeartbeatSchema>;
@@ -98,7 +100,7 @@
   known: z.array(knownRevisionSchema),
   configRevision: z.number().int().min(0),
   /** Changes of membership; bounded. */
-  news: z.array(memberNoteSchema),
+  news: z.array(memberUpdateSchema),
   /** Assignments newer than the sender's, whole. */
   newer: z.array(assignmentSchema),
 });
--- a/packages/contracts/src/server_entry.ts
+++ b/packages/contracts/src/registered_server.ts
@@ -2,7 +2,7 @@
 import type { ServerId, ServiceId, ZoneId } from "./ids.ts";
 
 /** One start of a backend server; a later start is another server. */
-export interface ServerEntry {
+export interface RegisteredServer {
   readonly server: ServerId;
   /** Unix time of its start in milliseconds: which life of the id it is. */
   readonly bornMs: number;
--- a/packages/contracts/src/service_load.ts
+++ b/packages/contracts/src/service_load.ts
@@ -44,7 +44,7 @@
 /** One entry VM's view of a keyed service's load. */
 export type ServiceLoad = z.infer<typeof serviceLoadSchema>;
 
-/** Schema of {@link LoadReceipt}. */
-export const loadReceiptSchema = z.strictObject({ taken: z.boolean() });
+/** Schema of {@link ServiceLoadReply}. */
+export const serviceLoadReplySchema = z.strictObject({ taken: z.boolean() });
 /** Answer to a {@link ServiceLoad}. */
-export type LoadReceipt = z.infer<typeof loadReceiptSchema>;
+export type ServiceLoadReply = z.infer<typeof serviceLoadReplySchema>;
--- a/packages/decisions/src/admission/cold_start_limit.ts
+++ b/packages/decisions/src/admission/cold_start_limit.ts
@@ -26,15 +26,15 @@
    * Place of this VM among all that may ever send to the server, lost ones
    * included; undefined while they are not known.
    */
-  readonly placeOf: (server: contracts.ServerId) => number | undefined;
+  readonly rankOf: (server: contracts.ServerId) => number | undefined;
   /** The part of the rate that each place has; the parts sum up to 1. */
-  readonly parts: readonly number[];
+  readonly rateShares: readonly number[];
 }
 
 /** Parts of VMs that send requests of their own, one beside the other. */
-export const EQUAL_PARTS: readonly number[] = [1 / 3, 1 / 3, 1 / 3];
+export const EQUAL_SHARES: readonly number[] = [1 / 3, 1 / 3, 1 / 3];
 /** Parts of a coordinator and of those that take its place. */
-export const COORDINATOR_PARTS: readonly number[] = [1 / 2, 1 / 4, 1 / 4];
+export const COORDINATOR_SHARES: readonly number[] = [1 / 2, 1 / 4, 1 / 4];
 /** The rate of all places, as a multiple of what a cold server bears. */
 const MAX_RATE_RATIO = 2;
 /** Requests of the bound that stay unused, for those that are long on the way. */
@@ -69,7 +69,8 @@
 
   /** Requests a second that this VM may begin at a server that is limited. */
   ratePerSecond(server: contracts.ServerId): number {
-    const { placeOf, parts, bound, requestsPerSecond } = this.#options;
+    const { rankOf: placeOf, rateShares: parts, bound, requestsPerSecond } =
+      this.#options;
     const place = placeOf(server);
     const borne = requestsPerSecond();
     if (borne === undefined || bound === undefined) {
@@ -83,13 +84,13 @@
   }
 
   /** Whether a request may begin now; always at a warm server. */
-  mayBegin(server: contracts.ServerId, nowMs: number): boolean {
+  mayStart(server: contracts.ServerId, nowMs: number): boolean {
     if (!this.isLimited(server, nowMs)) return true;
     return this.#bucket(server, nowMs).tokens >= 1;
   }
 
   /** A request begins. */
-  noteBegin(server: contracts.ServerId, nowMs: number): void {
+  recordStart(server: contracts.ServerId, nowMs: number): void {
     if (!this.isLimited(server, nowMs)) {
       return void this.#buckets.delete(server);
     }
--- a/packages/decisions/src/admission/late_loop_rule.ts
+++ b/packages/decisions/src/admission/lag_shedding.ts
@@ -5,7 +5,7 @@
  */
 
 /** What is known of a request when it has been read. */
-export interface LateRequest {
+export interface DelayedRequest {
   /** How long it lay unread because the event loop was behind; 0 if not. */
   readonly lagMs: number;
   readonly nowMs: number;
@@ -21,13 +21,13 @@
  * Part of the target latency kept for the VM's own work: an overloaded VM takes
  * requests up to this limit.
  */
-const SPARE_PART = 0.2;
+const RESERVED_FRACTION = 0.2;
 
 /** Whether the lag alone makes the answer late. */
-export function isLateByLag(request: LateRequest): boolean {
+export function shouldShedForLag(request: DelayedRequest): boolean {
   const { lagMs, nowMs, arrivedMs, targetLatencyMs, serviceMs } = request;
   if (lagMs <= 0) return false;
-  const lastMs = arrivedMs + targetLatencyMs * (1 - SPARE_PART);
+  const lastMs = arrivedMs + targetLatencyMs * (1 - RESERVED_FRACTION);
   const answeredMs = nowMs + serviceMs;
   return answeredMs > lastMs && answeredMs - lagMs <= lastMs;
 }
--- a/packages/decisions/src/admission/late_loop_rule_test.ts
+++ b/packages/decisions/src/admission/lag_shedding_test.ts
@@ -1,6 +1,6 @@
 import { expect } from "earl";
 import { test } from "node:test";
-import { isLateByLag } from "./late_loop_rule.ts";
+import { shouldShedForLag } from "./lag_shedding.ts";
 
 const SERVICE_MS = 100;
 const TARGET_MS = 300;
@@ -34,7 +34,7 @@
   const requests = 10_000 / ARRIVAL_MS;
   const all = answeredInTarget((lagMs) => lagMs > 400);
   const shed = answeredInTarget((lagMs, nowMs, arrivedMs) =>
-    isLateByLag({
+    shouldShedForLag({
       lagMs,
       nowMs,
       arrivedMs,
@@ -53,7 +53,7 @@
     targetLatencyMs: 150,
     serviceMs: 100,
   };
-  expect(isLateByLag({ ...request, lagMs: 20 })).toEqual(false);
-  expect(isLateByLag({ ...request, lagMs: 90 })).toEqual(true);
-  expect(isLateByLag({ ...request, lagMs: 0 })).toEqual(false);
+  expect(shouldShedForLag({ ...request, lagMs: 20 })).toEqual(false);
+  expect(shouldShedForLag({ ...request, lagMs: 90 })).toEqual(true);
+  expect(shouldShedForLag({ ...request, lagMs: 0 })).toEqual(false);
 });
--- a/packages/decisions/src/admission/rank_order.ts
+++ b/packages/decisions/src/admission/priority_order.ts
@@ -12,7 +12,7 @@
 const STARVATION_LIMIT = 12;
 
 /** The order of one queue. */
-export class RankOrder {
+export class PriorityOrder {
   readonly #times: ServiceTimes;
   /** Urgent requests in a row that went ahead of less urgent ones. */
   #passedOver = 0;
@@ -22,7 +22,7 @@
   }
 
   /** The requests in the order in which they may go, given by arrival. */
-  inTurn(waiting: readonly WaitingRequest[], nowMs: number): WaitingRequest[] {
+  sort(waiting: readonly WaitingRequest[], nowMs: number): WaitingRequest[] {
     // The sort is stable: equals stay in the order of their arrival.
     const ordered = waiting
       .map((request) => ({
@@ -41,7 +41,7 @@
   }
 
   /** Counts the urgent requests that went ahead of less urgent ones. */
-  noteTurn(request: WaitingRequest, queued: readonly WaitingRequest[]): void {
+  recordSent(request: WaitingRequest, queued: readonly WaitingRequest[]): void {
     const { priority } = request.route;
     const isAhead = queued.some(({ route }) => route.priority > priority);
     this.#passedOver = isAhead ? this.#passedOver + 1 : 0;
@@ -49,6 +49,6 @@
 
   /** Whether its answer is likely to miss its target even if it left now. */
   #isLate({ route, targetMs }: WaitingRequest, nowMs: number): boolean {
-    return nowMs + this.#times.routeMs(route) > targetMs;
+    return nowMs + this.#times.estimateMs(route) > targetMs;
   }
 }
--- a/packages/decisions/src/admission/server_load.ts
+++ b/packages/decisions/src/admission/server_load.ts
@@ -4,7 +4,7 @@
 /** A peer's load at a server is dropped after this time. */
 const PEER_LOAD_TTL_MS = 1_000;
 /** Weight of a new end in the ratio of failures. */
-const FAILURE_GAIN = 1 / 8;
+const FAILURE_SAMPLE_WEIGHT = 1 / 8;
 /** Sends without an answer, in a row, after which a server is suspended. */
 const SUSPEND_AFTER_LOSSES = 2;
 /**
@@ -19,7 +19,7 @@
 const SPEED_TTL_MS = 400;
 
 /** How a request at a server ended. */
-export type SendEnd =
+export type SendOutcome =
   /** An answer by the server itself. */
   | { readonly kind: "answered"; readonly isFailure: boolean }
   /** The server said that it did not run the request. */
@@ -38,12 +38,12 @@
 
 interface PeerLoad {
   readonly outstanding: number;
-  readonly atMs: number;
+  readonly reportedMs: number;
 }
 
 /** Load and health of one server. */
 export class ServerLoad {
-  entry: contracts.ServerEntry;
+  entry: contracts.RegisteredServer;
   /** Start times of this VM's requests there, oldest first. */
   readonly #sentMs = new Set<{ readonly atMs: number }>();
   readonly #peerLoads = new Map<contracts.VmId, PeerLoad>();
@@ -57,13 +57,13 @@
   #lastLostMs = Number.NEGATIVE_INFINITY;
   #suspendedUntilMs = Number.NEGATIVE_INFINITY;
 
-  constructor(entry: contracts.ServerEntry, isOwner = false) {
+  constructor(entry: contracts.RegisteredServer, isOwner = false) {
     this.entry = entry;
     this.#isOwner = isOwner;
   }
 
   /** Requests of this VM at the server. */
-  get own(): number {
+  get ownInFlight(): number {
     return this.#sentMs.size;
   }
 
@@ -76,34 +76,34 @@
   outstanding(nowMs: number): number {
     let sum = this.#sentMs.size;
     for (const told of this.#peerLoads.values()) {
-      if (nowMs - told.atMs < PEER_LOAD_TTL_MS) sum += told.outstanding;
+      if (nowMs - told.reportedMs < PEER_LOAD_TTL_MS) sum += told.outstanding;
     }
     return sum;
   }
 
   /** How long the oldest of this VM's requests has been there. */
-  oldestMs(nowMs: number): number {
+  oldestAgeMs(nowMs: number): number {
     for (const { atMs } of this.#sentMs) return nowMs - atMs;
     return 0;
   }
 
   /** Time until requests may be sent again; 0 when they may now. */
-  opensInMs(nowMs: number): number {
+  suspensionLeftMs(nowMs: number): number {
     return Math.max(0, this.#suspendedUntilMs - nowMs);
   }
 
   /** Whether requests may be sent now. */
-  isOpen(nowMs: number): boolean {
-    return this.opensInMs(nowMs) === 0;
+  isUp(nowMs: number): boolean {
+    return this.suspensionLeftMs(nowMs) === 0;
   }
 
   /** A peer told of its requests there. */
-  noteTold(vm: contracts.VmId, told: PeerLoad): void {
+  recordPeerLoad(vm: contracts.VmId, told: PeerLoad): void {
     this.#peerLoads.set(vm, told);
   }
 
   /** The server told its momentary speed, here or at a peer. */
-  noteSpeed(speed: ReportedSpeed): void {
+  recordSpeed(speed: ReportedSpeed): void {
     if (this.#speed === undefined || speed.atMs >= this.#speed.atMs) {
       this.#speed = speed;
     }
@@ -118,7 +118,7 @@
   }
 
   /** A request leaves. The returned function takes note of its end. */
-  begin(nowMs: number): (end: SendEnd, nowMs: number) => void {
+  startRequest(nowMs: number): (end: SendOutcome, nowMs: number) => void {
     const sent = { atMs: nowMs };
     this.#sentMs.add(sent);
     return (end, endedMs) => {
@@ -127,14 +127,15 @@
     };
   }
 
-  #noteEnd(end: SendEnd, sentMs: number, nowMs: number): void {
+  #noteEnd(end: SendOutcome, sentMs: number, nowMs: number): void {
     if (end.kind === "abandoned") return;
     if (end.kind === "lost") return this.#noteLost(sentMs, nowMs);
     this.#lossesInARow = 0;
     this.#suspensions = 0;
     if (end.kind === "rejected") return;
     const failure = end.isFailure ? 1 : 0;
-    this.#failureRatio += FAILURE_GAIN * (failure - this.#failureRatio);
+    this.#failureRatio += FAILURE_SAMPLE_WEIGHT *
+      (failure - this.#failureRatio);
   }
 
   /**
@@ -144,7 +145,7 @@
    * many at once.
    */
   #noteLost(sentMs: number, nowMs: number): void {
-    this.#failureRatio += FAILURE_GAIN * (1 - this.#failureRatio);
+    this.#failureRatio += FAILURE_SAMPLE_WEIGHT * (1 - this.#failureRatio);
     // What left before the last loss was lost with it.
     if (this.#isOwner && sentMs < this.#lastLostMs) return;
     this.#lastLostMs = nowMs;
--- a/packages/decisions/src/admission/server_ranking.ts
+++ b/packages/decisions/src/admission/server_ranking.ts
@@ -2,14 +2,14 @@
 import type * as contracts from "@guavatide/contracts";
 import type { ServerLoad } from "./server_load.ts";
 import type { ServiceTimes } from "./service_times.ts";
-import type { RankedRoute, WaitingRequest } from "./waiting_request.ts";
+import type { PrioritizedRoute, WaitingRequest } from "./waiting_request.ts";
 
 /**
  * Requests sent to a server beyond its slots: one bridges the way from one
  * request's end to the next one's arrival. More would queue at the server,
  * without rank and deadline.
  */
-export const BRIDGING_REQUESTS = 1;
+export const PREFETCHED_REQUESTS = 1;
 /** A server that has just started takes about twice as long. */
 const WARM_UP_FACTOR = 2;
 /** Additional time at a server with all slots busy, as a part. */
@@ -25,14 +25,14 @@
  * Cost of an answer from another availability zone, as milliseconds of waiting:
  * two more hops and the price of its bytes.
  */
-const OTHER_ZONE_MS = 6;
+const CROSS_ZONE_COST_MS = 6;
 /** The same for each kilobyte of the request's body. */
-const OTHER_ZONE_MS_PER_KB = 1.5;
+const CROSS_ZONE_COST_MS_PER_KB = 1.5;
 /**
  * Random part of a score: VMs see one another's requests late, and would all
  * pick the same server.
  */
-const JITTER_PART = 0.25;
+const JITTER_FRACTION = 0.25;
 
 /** What ranks servers. */
 export interface RankingContext {
@@ -45,28 +45,29 @@
 }
 
 /** Whether a server has room for one more request. */
-export function hasRoom(
+export function hasCapacity(
   load: ServerLoad,
   nowMs: number,
 ): boolean {
-  return load.outstanding(nowMs) < load.entry.slots + BRIDGING_REQUESTS;
+  return load.outstanding(nowMs) < load.entry.slots + PREFETCHED_REQUESTS;
 }
 
 /** Expected time until the server would have answered the route's request. */
-export function expectedMs(
+export function expectedResponseMs(
   load: ServerLoad,
-  route: RankedRoute,
+  route: PrioritizedRoute,
   { times, nowMs, isCold }: RankingContext,
 ): number {
   const { slots, server } = load.entry;
   const warmUp = isCold(server) ? WARM_UP_FACTOR : 1;
-  const factor = times.factor(server) * warmUp * load.slowdownRatio(nowMs);
-  const aloneMs = times.routeMs(route) * factor;
+  const factor = times.latencyFactor(server) * warmUp *
+    load.slowdownRatio(nowMs);
+  const aloneMs = times.estimateMs(route) * factor;
   const outstanding = load.outstanding(nowMs);
   const busy = Math.min(1, outstanding / slots);
   const ahead = Math.max(0, outstanding + 1 - slots) / slots;
   const meanMs = (times.meanMs ?? aloneMs) * factor;
-  const oldestMs = load.oldestMs(nowMs);
+  const oldestMs = load.oldestAgeMs(nowMs);
   const stuckMs = oldestMs > STUCK_RATIO * Math.max(aloneMs, meanMs)
     ? oldestMs
     : 0;
@@ -81,13 +82,14 @@
   { route, bodyBytes }: Pick<WaitingRequest, "route" | "bodyBytes">,
   context: RankingContext,
 ): ServerLoad | undefined {
-  const otherZoneMs = OTHER_ZONE_MS + OTHER_ZONE_MS_PER_KB * bodyBytes / 1_000;
+  const otherZoneMs = CROSS_ZONE_COST_MS +
+    CROSS_ZONE_COST_MS_PER_KB * bodyBytes / 1_000;
   let best: ServerLoad | undefined;
   let bestScore = Number.POSITIVE_INFINITY;
   for (const load of loads) {
     const zoneMs = load.entry.zone === context.zone ? 0 : otherZoneMs;
-    const jitter = 1 + JITTER_PART * context.random.next();
-    const score = expectedMs(load, route, context) * jitter + zoneMs;
+    const jitter = 1 + JITTER_FRACTION * context.random.next();
+    const score = expectedResponseMs(load, route, context) * jitter + zoneMs;
     if (score >= bestScore) continue;
     best = load;
     bestScore = score;
--- a/packages/decisions/src/admission/service_queue.ts
+++ b/packages/decisions/src/admission/service_queue.ts
@@ -4,11 +4,11 @@
  */
 import type * as contracts from "@guavatide/contracts";
 import type { ColdStartLimit } from "./cold_start_limit.ts";
-import { RankOrder } from "./rank_order.ts";
+import { PriorityOrder } from "./priority_order.ts";
 import { ServerLoad } from "./server_load.ts";
 import * as ranking from "./server_ranking.ts";
 import type { ServiceTimes } from "./service_times.ts";
-import type { ShortWorkReserve } from "./short_work_reserve.ts";
+import type { ShortRequestReserve } from "./short_request_reserve.ts";
 import type {
   Refusal,
   RefusalReason,
@@ -52,7 +52,7 @@
   /** Absent where another VM limits what cold servers get. */
   readonly coldStarts?: ColdStartLimit | undefined;
   /** Present where all requests at the one server are known. */
-  readonly reserve?: ShortWorkReserve;
+  readonly reserve?: ShortRequestReserve;
   /** Region of an availability zone; undefined for an unknown one. */
   readonly regionOf?: (
     zone: contracts.ZoneId,
@@ -65,7 +65,7 @@
  * Part of its time left that a late request may be expected to wait; beyond it
  * its caller is told at once to come back.
  */
-const LATE_WAIT_PART = 0.5;
+const LATE_WAIT_FRACTION = 0.5;
 /** Shortest and longest time after which a caller is asked to come back. */
 const RETRY_AFTER_MIN_MS = 60;
 const RETRY_AFTER_MAX_MS = 1_500;
@@ -74,18 +74,18 @@
 /** The same while the own cell has cold servers only, which bear little. */
 const OVERFLOW_REQUESTS_WHILE_COLD = 4;
 /** How long a key's move takes when its last owner gives it up. */
-const MOVE_WAIT_MS = 250;
+const HANDOVER_WAIT_MS = 250;
 /** A planned move ends with the work that ran at its last owner. */
-const MAX_PLANNED_MOVE_MS = 800;
+const MAX_PLANNED_HANDOVER_MS = 800;
 /**
  * How long a lost owner's keys wait beyond the length of a grant: until all
  * that was granted has run out.
  */
-const LOSS_WAIT_MS = 700;
+const LOST_OWNER_WAIT_MS = 700;
 /** Shortest wait that is expected of a key without owner. */
-const MIN_MOVE_WAIT_MS = 100;
+const MIN_HANDOVER_WAIT_MS = 100;
 /** A request whose answer cannot come any more within this time is refused. */
-const MIN_SERVICE_PART = 0.5;
+const MIN_SERVICE_FRACTION = 0.5;
 
 /** The queue of one service on one entry VM. */
 export class ServiceQueue {
@@ -94,12 +94,12 @@
   #waiting: WaitingRequest[] = [];
   /** Servers that this VM's cell uses; undefined for all of them. */
   #inCell: ReadonlySet<contracts.ServerId> | undefined;
-  readonly #order: RankOrder;
+  readonly #order: PriorityOrder;
   #waitingElsewhere = 0;
 
   constructor(options: ServiceQueueOptions) {
     this.#options = options;
-    this.#order = new RankOrder(options.times);
+    this.#order = new PriorityOrder(options.times);
   }
 
   /** Requests that wait here. */
@@ -122,7 +122,7 @@
    * cells `inCell` names those that this VM's cell uses; others only help out.
    */
   setServers(
-    entries: readonly contracts.ServerEntry[],
+    entries: readonly contracts.RegisteredServer[],
     inCell?: ReadonlySet<contracts.ServerId>,
   ): void {
     const named = new Map(entries.map((entry) => [entry.server, entry]));
@@ -159,16 +159,16 @@
   }
 
   /** Takes a request out; false when it does not wait here. */
-  withdraw(request: WaitingRequest): boolean {
+  cancel(request: WaitingRequest): boolean {
     const index = this.#waiting.indexOf(request);
     if (index < 0) return false;
     this.#waiting.splice(index, 1);
-    this.#options.keyed?.slots.withdraw(request);
+    this.#options.keyed?.slots.cancel(request);
     return true;
   }
 
   /** A coordinator gave the request a slot: only this one has found room. */
-  placeGiven(request: WaitingRequest, nowMs: number): void {
+  placeGranted(request: WaitingRequest, nowMs: number): void {
     const index = this.#waiting.indexOf(request);
     if (index < 0) return;
     this.#waiting.splice(index, 1);
@@ -177,21 +177,21 @@
 
   /** A coordinator refused the request. */
   refuse(request: WaitingRequest, refusal: Refusal): void {
-    if (this.withdraw(request)) request.refused(refusal);
+    if (this.cancel(request)) request.refused(refusal);
   }
 
   /** Sends what has found room. Called at each end and each news of load. */
-  pump(nowMs: number): void {
+  dispatch(nowMs: number): void {
     if (this.#waiting.length === 0) return;
     const rest: WaitingRequest[] = [];
-    const queued = this.#order.inTurn(this.#waiting, nowMs);
+    const queued = this.#order.sort(this.#waiting, nowMs);
     this.#waiting = [];
     const full = new Set<string>();
     for (const request of queued) {
       // Routes of one place may have different numbers of its slots.
       const place = `${this.#placeName(request)} ${request.route.name}`;
       if (!full.has(place) && this.#tryPlace(request, nowMs)) {
-        this.#order.noteTurn(request, queued);
+        this.#order.recordSent(request, queued);
         continue;
       }
       const isPlaceFull = request.tried.size === 0 &&
@@ -204,13 +204,13 @@
   }
 
   /** Refuses those whose time no longer suffices; called at an interval. */
-  review(nowMs: number): void {
+  refuseExpired(nowMs: number): void {
     const kept: WaitingRequest[] = [];
     const queued = this.#waiting;
     this.#waiting = [];
     for (const request of queued) {
-      const serviceMs = this.#options.times.routeMs(request.route) *
-        MIN_SERVICE_PART;
+      const serviceMs = this.#options.times.estimateMs(request.route) *
+        MIN_SERVICE_FRACTION;
       const leftMs = request.answerByMs - nowMs;
       // The coordinator knows who else waits there.
       const waitMs = this.#awaitsSlot(request, nowMs)
@@ -222,7 +222,7 @@
       }
       const reason = this.#blockedBy(request, nowMs);
       const refusal = this.#refusal(request, reason, waitMs, nowMs);
-      this.#options.keyed?.slots.withdraw(request);
+      this.#options.keyed?.slots.cancel(request);
       request.refused(refusal);
     }
     this.#waiting = [...kept, ...this.#waiting];
@@ -252,11 +252,11 @@
 
   #tryAny(request: WaitingRequest, nowMs: number): boolean {
     const { coldStarts, reserve } = this.#options;
-    if (reserve?.mayTake(request, nowMs) === false) return false;
+    if (reserve?.mayAcquire(request, nowMs) === false) return false;
     const open = this.#candidates(request, nowMs)
       .filter((load) =>
-        ranking.hasRoom(load, nowMs) &&
-        (coldStarts?.mayBegin(load.entry.server, nowMs) ?? true)
+        ranking.hasCapacity(load, nowMs) &&
+        (coldStarts?.mayStart(load.entry.server, nowMs) ?? true)
       );
     const context = this.#context(nowMs);
     const best = ranking.chooseServer(open, request, context);
@@ -265,7 +265,7 @@
     // A request behind a full server's slots waits for as long as work takes.
     const load = isFree ? best : this.#overflowServer(request, nowMs) ?? best;
     if (load === undefined) return false;
-    coldStarts?.noteBegin(load.entry.server, nowMs);
+    coldStarts?.recordStart(load.entry.server, nowMs);
     const outstanding = load.outstanding(nowMs);
     request.placed({ load, outstanding, fence: undefined });
     return true;
@@ -288,11 +288,12 @@
     let sent = 0;
     for (const load of this.#loads.values()) {
       if (inCell.has(load.entry.server)) continue;
-      sent += load.own;
+      sent += load.ownInFlight;
       if (sent >= limit) return undefined;
-      const isUsable = load.own === 0 && this.#isUsable(load, request) &&
+      const isUsable = load.ownInFlight === 0 &&
+        this.#isUsable(load, request) &&
         !this.#isLimited(load.entry.server, nowMs) &&
-        load.isOpen(nowMs) && load.outstanding(nowMs) < load.entry.slots;
+        load.isUp(nowMs) && load.outstanding(nowMs) < load.entry.slots;
       if (isUsable) usable.push(load);
     }
     if (usable.length === 0) return undefined;
@@ -314,7 +315,7 @@
 
   /** Whether the server's region may run the request. */
   #isHome(
-    { zone }: contracts.ServerEntry,
+    { zone }: contracts.RegisteredServer,
     { route: { homeRegions } }: WaitingRequest,
   ): boolean {
     if (homeRegions === undefined) return true;
@@ -330,19 +331,24 @@
     if (owner.kind !== "owned") return false;
     const load = this.#loads.get(owner.server);
     if (load === undefined || load.entry.bornMs !== owner.bornMs) return false;
-    if (!load.isOpen(nowMs) || !this.#isHome(load.entry, request)) return false;
+    if (!load.isUp(nowMs) || !this.#isHome(load.entry, request)) return false;
     const { slots } = this.#options.keyed!;
-    if (!slots.take(request, load, nowMs)) return false;
+    if (!slots.tryAcquire(request, load, nowMs)) return false;
     const outstanding = load.outstanding(nowMs);
-    const ended = slots.begin(request);
-    request.placed({ load, outstanding, fence: owner.fence, ended });
+    const ended = slots.markInUse(request);
+    request.placed({
+      load,
+      outstanding,
+      fence: owner.fence,
+      releaseSlot: ended,
+    });
     return true;
   }
 
   /** Servers that a request may go to, whether or not they have room. */
   #candidates(request: WaitingRequest, nowMs: number): ServerLoad[] {
     const live = this.#usableServers(request, nowMs);
-    const open = live.filter((load) => load.isOpen(nowMs));
+    const open = live.filter((load) => load.isUp(nowMs));
     // With every server suspended one of them is tried all the same.
     return open.length > 0 ? open : live;
   }
@@ -377,7 +383,7 @@
     if (owner?.kind !== "owned") return false;
     const load = this.#loads.get(owner.server);
     // Nobody is asked for a slot of a server that is left alone for now.
-    return load?.entry.bornMs === owner.bornMs && load.isOpen(nowMs) &&
+    return load?.entry.bornMs === owner.bornMs && load.isUp(nowMs) &&
       this.#isHome(load.entry, request);
   }
 
@@ -424,8 +430,8 @@
     nowMs: number,
   ): number {
     const owner = this.#ownerOf(request);
-    if (owner?.kind === "moving") return moveWaitMs(owner);
-    if (owner?.kind === "unknown") return MOVE_WAIT_MS;
+    if (owner?.kind === "moving") return handoverWaitMs(owner);
+    if (owner?.kind === "unknown") return HANDOVER_WAIT_MS;
     const place = this.#placeName(request);
     const ahead =
       queued.filter((other) =>
@@ -434,11 +440,11 @@
       ).length;
     const here = Math.max(1, queued.length);
     const { times } = this.#options;
-    const meanMs = times.meanMs ?? times.routeMs(request.route);
+    const meanMs = times.meanMs ?? times.estimateMs(request.route);
     if (owner?.kind === "owned") {
       const load = this.#loads.get(owner.server);
-      if (load === undefined) return MOVE_WAIT_MS;
-      return load.opensInMs(nowMs) +
+      if (load === undefined) return HANDOVER_WAIT_MS;
+      return load.suspensionLeftMs(nowMs) +
         (ahead + 1) / this.#servedPerMs([load], meanMs, nowMs);
     }
     const heldBackMs = this.#heldBackWaitMs(request, queued, nowMs);
@@ -466,7 +472,8 @@
     if (own >= slots) return undefined;
     const ahead =
       queued.filter((other) => other.route.priority === route.priority).length;
-    return (ahead + 1) * times.routeMs(route) * times.factor(server) / own;
+    return (ahead + 1) * times.estimateMs(route) * times.latencyFactor(server) /
+      own;
   }
 
   #servedPerMs(
@@ -477,7 +484,8 @@
     const { times, coldStarts } = this.#options;
     let perMs = 0;
     for (const { entry: { server, slots } } of loads) {
-      const warmPerMs = slots / Math.max(1, meanMs * times.factor(server));
+      const warmPerMs = slots /
+        Math.max(1, meanMs * times.latencyFactor(server));
       const mostPerMs = this.#isLimited(server, nowMs)
         ? coldStarts!.ratePerSecond(server) / 1_000
         : warmPerMs;
@@ -491,10 +499,10 @@
     waitMs: number,
     nowMs: number,
   ): boolean {
-    const serviceMs = this.#options.times.routeMs(request.route);
+    const serviceMs = this.#options.times.estimateMs(request.route);
     if (nowMs + waitMs + serviceMs <= request.targetMs) return false;
     const leftMs = request.answerByMs - nowMs;
-    return waitMs > leftMs * LATE_WAIT_PART || waitMs + serviceMs > leftMs;
+    return waitMs > leftMs * LATE_WAIT_FRACTION || waitMs + serviceMs > leftMs;
   }
 
   #refusal(
@@ -529,10 +537,10 @@
 }
 
 /** How much longer a key that has no owner is expected to have none. */
-function moveWaitMs(
+function handoverWaitMs(
   { ageMs, holdMs }: Extract<KeyOwner, { kind: "moving" }>,
 ): number {
-  const isPlanned = ageMs < MAX_PLANNED_MOVE_MS;
-  const totalMs = isPlanned ? MOVE_WAIT_MS : holdMs + LOSS_WAIT_MS;
-  return Math.max(MIN_MOVE_WAIT_MS, totalMs - ageMs);
+  const isPlanned = ageMs < MAX_PLANNED_HANDOVER_MS;
+  const totalMs = isPlanned ? HANDOVER_WAIT_MS : holdMs + LOST_OWNER_WAIT_MS;
+  return Math.max(MIN_HANDOVER_WAIT_MS, totalMs - ageMs);
 }
--- a/packages/decisions/src/admission/service_queue_test.ts
+++ b/packages/decisions/src/admission/service_queue_test.ts
@@ -17,8 +17,8 @@
 
 function server(
   name: string,
-  options: Partial<contracts.ServerEntry> = {},
-): contracts.ServerEntry {
+  options: Partial<contracts.RegisteredServer> = {},
+): contracts.RegisteredServer {
   return {
     server: name as contracts.ServerId,
     bornMs: 1,
@@ -70,10 +70,10 @@
 }
 
 /** Owners' slots without end. */
-const FREE_SLOTS: admission.SlotSource = {
-  take: () => true,
-  begin: () => () => {},
-  withdraw: () => {},
+const UNLIMITED_SLOTS: admission.SlotSource = {
+  tryAcquire: () => true,
+  markInUse: () => () => {},
+  cancel: () => {},
 };
 
 /** Keys that one server owns. */
@@ -89,14 +89,14 @@
   nowMs = 1_000;
 
   constructor(
-    servers: readonly contracts.ServerEntry[],
+    servers: readonly contracts.RegisteredServer[],
     ownerOf?: (key: number) => admission.KeyOwner,
   ) {
     this.queue = new admission.ServiceQueue({
       zone: "z1" as contracts.ZoneId,
       times: this.times,
       random: { next: () => 0.5 },
-      keyed: ownerOf && { ownerOf, slots: FREE_SLOTS },
+      keyed: ownerOf && { ownerOf, slots: UNLIMITED_SLOTS },
     });
     this.queue.setServers(servers);
   }
@@ -108,18 +108,18 @@
   }
 
   /** Adds a request and lets it begin when it finds a server. */
-  begin(
+  start(
     options: ConstructorParameters<typeof Request>[1] = {},
-  ): [Request, (end: admission.SendEnd, nowMs: number) => void] {
+  ): [Request, (end: admission.SendOutcome, nowMs: number) => void] {
     const request = this.add(options);
-    return [request, request.placement!.load.begin(this.nowMs)];
+    return [request, request.placement!.load.startRequest(this.nowMs)];
   }
 
   /** Teaches how long requests take. */
   learn(tookMs: number): void {
     for (let index = 0; index < 200; index++) {
       for (const server of this.queue.loads.keys()) {
-        this.times.note(ROUTE, server, tookMs);
+        this.times.record(ROUTE, server, tookMs);
       }
     }
   }
@@ -139,9 +139,9 @@
 test("should count the requests that peers told of", () => {
   const fixture = new Fixture([server("a", { slots: 2 })]);
   const load = fixture.queue.loads.get("a" as contracts.ServerId)!;
-  load.noteTold("vm2" as contracts.VmId, {
+  load.recordPeerLoad("vm2" as contracts.VmId, {
     outstanding: 3,
-    atMs: fixture.nowMs,
+    reportedMs: fixture.nowMs,
   });
   expect(fixture.add().placement).toEqual(undefined);
   // A peer that is lost tells no more; its requests are forgotten in time.
@@ -151,8 +151,8 @@
 
 test("should send waiting requests by rank, then by arrival", () => {
   const fixture = new Fixture([server("a")]);
-  const [, endFirst] = fixture.begin();
-  const [, endSecond] = fixture.begin();
+  const [, endFirst] = fixture.start();
+  const [, endSecond] = fixture.start();
   const low = fixture.add({ priority: 2 });
   const high = fixture.add({ priority: 0 });
   endFirst({ kind: "answered", isFailure: false }, fixture.nowMs);
@@ -162,10 +162,10 @@
   for (const request of [low, high]) {
     request.placed = (placement) => {
       placed.push(request);
-      placement.load.begin(fixture.nowMs);
+      placement.load.startRequest(fixture.nowMs);
     };
   }
-  fixture.queue.pump(fixture.nowMs);
+  fixture.queue.dispatch(fixture.nowMs);
   expect(placed).toEqual([high, low]);
 });
 
@@ -173,7 +173,7 @@
 test("should serve a less urgent request after a number of urgent ones", () => {
   const fixture = new Fixture([server("a")]);
   fixture.learn(10);
-  const ends = [fixture.begin()[1], fixture.begin()[1]];
+  const ends = [fixture.start()[1], fixture.start()[1]];
   let isServed = false;
   const low = fixture.add({ priority: 2 });
   low.placed = () => isServed = true;
@@ -182,10 +182,10 @@
     const request = fixture.add({ priority: 0 });
     request.placed = ({ load }) => {
       urgent++;
-      ends.push(load.begin(fixture.nowMs));
+      ends.push(load.startRequest(fixture.nowMs));
     };
     ends.shift()!({ kind: "answered", isFailure: false }, fixture.nowMs);
-    fixture.queue.pump(fixture.nowMs);
+    fixture.queue.dispatch(fixture.nowMs);
   }
   expect(isServed).toEqual(true);
   expect(urgent <= 13).toEqual(true);
@@ -195,8 +195,8 @@
 test("should refuse at once what can't be answered in time", () => {
   const fixture = new Fixture([server("a")]);
   fixture.learn(200);
-  fixture.begin();
-  fixture.begin();
+  fixture.start();
+  fixture.start();
   const requests = Array.from({ length: 20 }, () => fixture.add());
   const refused = requests.filter(({ refusal }) => refusal !== undefined);
   expect(refused.length > 10).toEqual(true);
@@ -230,7 +230,7 @@
     bornMs: 1,
     fence: 9,
   };
-  fixture.queue.pump(fixture.nowMs);
+  fixture.queue.dispatch(fixture.nowMs);
   expect(request.placement?.load.entry.server).toEqual(
     "b" as contracts.ServerId,
   );
@@ -250,7 +250,7 @@
     server("good", { slots: 1, zone: "z2" as contracts.ZoneId }),
   ]);
   fixture.learn(10);
-  const begun = [fixture.begin(), fixture.begin()];
+  const begun = [fixture.start(), fixture.start()];
   for (const [request, end] of begun) {
     expect(request.placement?.load.entry.server).toEqual(
       "bad" as contracts.ServerId,
@@ -258,8 +258,8 @@
     end({ kind: "lost" }, fixture.nowMs);
   }
   const load = fixture.queue.loads.get("bad" as contracts.ServerId)!;
-  expect(load.isOpen(fixture.nowMs)).toEqual(false);
-  expect(load.isOpen(fixture.nowMs + 1_000)).toEqual(true);
+  expect(load.isUp(fixture.nowMs)).toEqual(false);
+  expect(load.isUp(fixture.nowMs + 1_000)).toEqual(true);
   expect(fixture.add().placement?.load.entry.server).toEqual(
     "good" as contracts.ServerId,
   );
@@ -268,14 +268,14 @@
 /** Guards against a sound server suspended for long after one reset. */
 test("should take requests that are lost together for one loss", () => {
   const fixture = new Fixture([server("a", { slots: 8 })]);
-  const begun = Array.from({ length: 6 }, () => fixture.begin());
+  const begun = Array.from({ length: 6 }, () => fixture.start());
   for (const [, end] of begun) end({ kind: "lost" }, fixture.nowMs);
   const load = fixture.queue.loads.get("a" as contracts.ServerId)!;
-  expect(load.isOpen(fixture.nowMs + 450)).toEqual(true);
+  expect(load.isUp(fixture.nowMs + 450)).toEqual(true);
   // One that left afterwards and is lost as well shows that it is not sound.
   fixture.nowMs += 450;
-  load.begin(fixture.nowMs)({ kind: "lost" }, fixture.nowMs);
-  expect(load.isOpen(fixture.nowMs + 450)).toEqual(false);
+  load.startRequest(fixture.nowMs)({ kind: "lost" }, fixture.nowMs);
+  expect(load.isUp(fixture.nowMs + 450)).toEqual(false);
 });
 
 /** Guards against callers that wait in vain for a suspended owner. */
@@ -284,7 +284,7 @@
   const load = fixture.queue.loads.get("a" as contracts.ServerId)!;
   for (let loss = 0; loss < 6; loss++) {
     fixture.nowMs += 5_000;
-    load.begin(fixture.nowMs)({ kind: "lost" }, fixture.nowMs);
+    load.startRequest(fixture.nowMs)({ kind: "lost" }, fixture.nowMs);
   }
   const request = fixture.add({ key: 1 });
   expect(request.refusal?.reason).toEqual("no-room");
@@ -299,7 +299,7 @@
   ]);
   fixture.learn(100);
   const bodyBytes = 60_000;
-  const servers = [fixture.begin({ bodyBytes }), fixture.begin({ bodyBytes })]
+  const servers = [fixture.start({ bodyBytes }), fixture.start({ bodyBytes })]
     .map(([request]) => request.placement!.load.entry.server as string);
   expect(servers).toEqual(["near", "near"]);
 });
@@ -316,7 +316,7 @@
   expect(late.refusal?.reason).toEqual("no-owner");
   expect(late.refusal!.retryAfterMs > 500).toEqual(true);
   fixture.nowMs += 780;
-  fixture.queue.review(fixture.nowMs);
+  fixture.queue.refuseExpired(fixture.nowMs);
   expect(early.refusal?.reason).toEqual("no-owner");
 });
 
@@ -326,13 +326,13 @@
   const load = fixture.queue.loads.get("a" as contracts.ServerId)!;
   for (let request = 0; request < 50; request++) {
     fixture.nowMs += 20;
-    const end = load.begin(fixture.nowMs);
+    const end = load.startRequest(fixture.nowMs);
     const isLost = request % 5 < 2;
     end(
       isLost ? { kind: "lost" } : { kind: "answered", isFailure: false },
       fixture.nowMs,
     );
-    expect(load.isOpen(fixture.nowMs)).toEqual(true);
+    expect(load.isUp(fixture.nowMs)).toEqual(true);
   }
 });
 
@@ -341,7 +341,7 @@
   const fixture = new Fixture([server("slow"), server("usual")]);
   fixture.learn(100);
   const slow = fixture.queue.loads.get("slow" as contracts.ServerId)!;
-  slow.noteSpeed({ slowdownRatio: 3, atMs: fixture.nowMs });
+  slow.recordSpeed({ slowdownRatio: 3, atMs: fixture.nowMs });
   expect(fixture.add().placement?.load.entry.server)
     .toEqual("usual" as contracts.ServerId);
   expect(slow.slowdownRatio(fixture.nowMs + 200)).toEqual(2);
@@ -352,8 +352,8 @@
 test("should keep the newest word of a server's speed", () => {
   const fixture = new Fixture([server("a")]);
   const load = fixture.queue.loads.get("a" as contracts.ServerId)!;
-  load.noteSpeed({ slowdownRatio: 1, atMs: 50 });
-  load.noteSpeed({ slowdownRatio: 3, atMs: 10 });
+  load.recordSpeed({ slowdownRatio: 1, atMs: 50 });
+  load.recordSpeed({ slowdownRatio: 3, atMs: 10 });
   expect(load.slowdownRatio(50)).toEqual(1);
 });
 
@@ -363,9 +363,9 @@
   const entries = [server("own"), server("other"), server("third")];
   const inCell = new Set(["own" as contracts.ServerId]);
   fixture.queue.setServers(entries, inCell);
-  const [first] = fixture.begin();
-  const [second] = fixture.begin();
-  const [third] = fixture.begin();
+  const [first] = fixture.start();
+  const [second] = fixture.start();
+  const [third] = fixture.start();
   const nameOf = ({ placement }: Request) => placement!.load.entry.server;
   expect(nameOf(first)).toEqual("own" as contracts.ServerId);
   expect(inCell.has(nameOf(second))).toEqual(false);
@@ -379,8 +379,8 @@
     bound: undefined,
     coldUntilMs: (id) => id === "cold" ? 5_000 : 0,
     requestsPerSecond: () => undefined,
-    placeOf: () => undefined,
-    parts: admission.EQUAL_PARTS,
+    rankOf: () => undefined,
+    rateShares: admission.EQUAL_SHARES,
   });
   const queue = new admission.ServiceQueue({
     zone: "z1" as contracts.ZoneId,
@@ -391,7 +391,7 @@
   queue.setServers([server("cold"), server("warm")]);
   const [first, second] = [new Request(1_000), new Request(1_000)];
   queue.add(first, 1_000);
-  first.placement!.load.begin(1_000);
+  first.placement!.load.startRequest(1_000);
   queue.add(second, 1_000);
   expect(first.placement?.load.entry.server)
     .toEqual("warm" as contracts.ServerId);
--- a/packages/decisions/src/admission/service_times_test.ts
+++ b/packages/decisions/src/admission/service_times_test.ts
@@ -20,10 +20,10 @@
     const place = index % SPEEDS.length;
     // Exponential times scatter as much as real work does.
     const workMs = -WORK_MS * Math.log(1 - uniformFloat64(random));
-    times.note(ROUTE, servers[place]!, workMs / SPEEDS[place]!);
-    if (index > 200) worst = Math.max(worst, times.routeMs(ROUTE) / WORK_MS);
+    times.record(ROUTE, servers[place]!, workMs / SPEEDS[place]!);
+    if (index > 200) worst = Math.max(worst, times.estimateMs(ROUTE) / WORK_MS);
   }
   expect(worst < 2).toEqual(true);
-  const factors = servers.map((server) => times.factor(server));
+  const factors = servers.map((server) => times.latencyFactor(server));
   expect(factors[0]! > factors[2]!).toEqual(true);
 });
--- a/packages/decisions/src/admission/shared_retry_budget.ts
+++ b/packages/decisions/src/admission/shared_retry_budget.ts
@@ -16,18 +16,18 @@
  * Part of the budget that is used: windows are not aligned between VMs, and a
  * VM may know too few of the others.
  */
-const USED_PART = 0.75;
+const USED_FRACTION = 0.75;
 /** Steps a window is counted in. */
-const STEPS = 20;
+const WINDOW_STEPS = 20;
 
 /** Counts events of the last window in steps. */
-class WindowCount {
-  readonly #counts = new Array<number>(STEPS).fill(0);
+class SlidingWindowCounter {
+  readonly #counts = new Array<number>(WINDOW_STEPS).fill(0);
   #step = 0;
 
   add(step: number): void {
     this.#advance(step);
-    this.#counts[step % STEPS]!++;
+    this.#counts[step % WINDOW_STEPS]!++;
   }
 
   total(step: number): number {
@@ -36,9 +36,9 @@
   }
 
   #advance(step: number): void {
-    const passed = Math.min(STEPS, step - this.#step);
+    const passed = Math.min(WINDOW_STEPS, step - this.#step);
     for (let index = 1; index <= passed; index++) {
-      this.#counts[(this.#step + index) % STEPS] = 0;
+      this.#counts[(this.#step + index) % WINDOW_STEPS] = 0;
     }
     this.#step = Math.max(this.#step, step);
   }
@@ -47,35 +47,35 @@
 /** Second sends to one service. */
 export class SharedRetryBudget {
   readonly #options: SharedRetryBudgetOptions;
-  readonly #requests = new WindowCount();
-  readonly #repeats = new WindowCount();
+  readonly #requests = new SlidingWindowCounter();
+  readonly #repeats = new SlidingWindowCounter();
 
   constructor(options: SharedRetryBudgetOptions) {
     this.#options = options;
   }
 
   /** A caller's request for the service came in. */
-  noteRequest(nowMs: number): void {
+  recordRequest(nowMs: number): void {
     this.#requests.add(this.#step(nowMs));
   }
 
   /** Second sends that may still be made now, `vmCount` VMs sharing. */
-  left(nowMs: number, vmCount: number): number {
+  remaining(nowMs: number, vmCount: number): number {
     const { ratio, slack } = this.#options;
     const step = this.#step(nowMs);
     const allowed = ratio * this.#requests.total(step) +
       slack / Math.max(1, vmCount);
-    return allowed * USED_PART - this.#repeats.total(step);
+    return allowed * USED_FRACTION - this.#repeats.total(step);
   }
 
   /** Takes one second send from the budget if there is one. */
   tryTake(nowMs: number, vmCount: number): boolean {
-    if (this.left(nowMs, vmCount) < 1) return false;
+    if (this.remaining(nowMs, vmCount) < 1) return false;
     this.#repeats.add(this.#step(nowMs));
     return true;
   }
 
   #step(nowMs: number): number {
-    return Math.floor(nowMs / (this.#options.windowMs / STEPS));
+    return Math.floor(nowMs / (this.#options.windowMs / WINDOW_STEPS));
   }
 }
--- a/packages/decisions/src/admission/shared_retry_budget_test.ts
+++ b/packages/decisions/src/admission/shared_retry_budget_test.ts
@@ -15,7 +15,7 @@
   const requests: number[] = [];
   for (let nowMs = 0; nowMs < 60_000; nowMs += 25) {
     for (const budget of budgets) {
-      budget.noteRequest(nowMs);
+      budget.recordRequest(nowMs);
       requests.push(nowMs);
       if (budget.tryTake(nowMs, vmCount)) repeats.push(nowMs);
     }
--- a/packages/decisions/src/admission/short_work_reserve.ts
+++ b/packages/decisions/src/admission/short_request_reserve.ts
@@ -4,12 +4,12 @@
  * rank.
  */
 import type { ServiceTimes } from "./service_times.ts";
-import type { RankedRoute, WaitingRequest } from "./waiting_request.ts";
+import type { PrioritizedRoute, WaitingRequest } from "./waiting_request.ts";
 
 /** Work is long beside another kind that takes at most this part of it. */
-const SHORT_WORK_RATIO = 0.5;
+const SHORT_REQUEST_RATIO = 0.5;
 /** Time constant of the rate at which a kind is asked for. */
-const RATE_MS = 1_000;
+const RATE_DECAY_MS = 1_000;
 /**
  * A slot is kept when so many short requests are expected while a long one
  * runs; with fewer it would mostly stay empty.
@@ -20,21 +20,21 @@
  * A long request may take the kept slot when its target is less than so many
  * times its work away.
  */
-const CRITICAL_RATIO = 2;
+const CRITICAL_TIME_RATIO = 2;
 
-interface Kind {
-  readonly route: RankedRoute;
-  /** Decaying count of requests, which is their rate by {@link RATE_MS}. */
+interface RouteUsage {
+  readonly route: PrioritizedRoute;
+  /** Decaying count of requests, which is their rate by {@link RATE_DECAY_MS}. */
   asked: number;
   askedMs: number;
   held: number;
 }
 
 /** Who may take which slots of one server. */
-export class ShortWorkReserve {
+export class ShortRequestReserve {
   readonly #times: ServiceTimes;
   readonly #slots: number;
-  readonly #kinds = new Map<string, Kind>();
+  readonly #kinds = new Map<string, RouteUsage>();
 
   constructor(times: ServiceTimes, slots: number) {
     this.#times = times;
@@ -42,26 +42,26 @@
   }
 
   /** A request of a route asks for a slot. */
-  noteAsked(route: RankedRoute, nowMs: number): void {
+  recordRequest(route: PrioritizedRoute, nowMs: number): void {
     const kind = this.#kind(route);
-    kind.asked = askedNow(kind, nowMs) + 1;
+    kind.asked = countAt(kind, nowMs) + 1;
     kind.askedMs = nowMs;
   }
 
   /** A slot is taken. Returns what gives it back. */
-  begin(route: RankedRoute): () => void {
+  acquire(route: PrioritizedRoute): () => void {
     const kind = this.#kind(route);
     kind.held++;
     return () => kind.held--;
   }
 
   /** Slots that a route may have at a time. */
-  slotsFor(route: RankedRoute, nowMs: number): number {
+  slotsFor(route: PrioritizedRoute, nowMs: number): number {
     return this.#isHeldBack(route, nowMs) ? this.#slots - 1 : this.#slots;
   }
 
   /** Whether a request may take one more slot. */
-  mayTake(
+  mayAcquire(
     { route, targetMs }: Pick<WaitingRequest, "route" | "targetMs">,
     nowMs: number,
   ): boolean {
@@ -78,25 +78,25 @@
   }
 
   /** Whether it can still be answered in time, but not for much longer. */
-  #isCritical(route: RankedRoute, leftMs: number): boolean {
-    const workMs = this.#times.routeMs(route);
-    return leftMs < workMs * CRITICAL_RATIO && leftMs >= workMs;
+  #isCritical(route: PrioritizedRoute, leftMs: number): boolean {
+    const workMs = this.#times.estimateMs(route);
+    return leftMs < workMs * CRITICAL_TIME_RATIO && leftMs >= workMs;
   }
 
   /** Whether a more urgent kind of much shorter work comes at present. */
-  #isHeldBack(route: RankedRoute, nowMs: number): boolean {
+  #isHeldBack(route: PrioritizedRoute, nowMs: number): boolean {
     if (this.#slots < 2) return false;
-    const longMs = this.#times.routeMs(route);
+    const longMs = this.#times.estimateMs(route);
     let expected = 0;
     for (const kind of this.#kinds.values()) {
       const isShort = kind.route.priority < route.priority &&
-        this.#times.routeMs(kind.route) <= longMs * SHORT_WORK_RATIO;
-      if (isShort) expected += askedNow(kind, nowMs) * longMs / RATE_MS;
+        this.#times.estimateMs(kind.route) <= longMs * SHORT_REQUEST_RATIO;
+      if (isShort) expected += countAt(kind, nowMs) * longMs / RATE_DECAY_MS;
     }
     return expected >= MIN_EXPECTED_REQUESTS;
   }
 
-  #kind(route: RankedRoute): Kind {
+  #kind(route: PrioritizedRoute): RouteUsage {
     const found = this.#kinds.get(route.name);
     if (found !== undefined) return found;
     const created = { route, asked: 0, askedMs: 0, held: 0 };
@@ -105,6 +105,6 @@
   }
 }
 
-function askedNow({ asked, askedMs }: Kind, nowMs: number): number {
-  return asked * Math.exp((askedMs - nowMs) / RATE_MS);
+function countAt({ asked, askedMs }: RouteUsage, nowMs: number): number {
+  return asked * Math.exp((askedMs - nowMs) / RATE_DECAY_MS);
 }
--- a/packages/decisions/src/admission/short_work_reserve_test.ts
+++ b/packages/decisions/src/admission/short_request_reserve_test.ts
@@ -9,24 +9,24 @@
 const VM = "vm" as contracts.VmId;
 const STEP_MS = 1;
 const RUN_MS = 120_000;
-const REVIEW_MS = 25;
+const SWEEP_MS = 25;
 /** From a coordinator's word to the server, and back from a request's end. */
-const WAY_MS = 4;
+const ONE_WAY_MS = 4;
 
-interface Kind {
-  readonly route: admission.RankedRoute;
+interface Workload {
+  readonly route: admission.PrioritizedRoute;
   readonly workMs: number;
   readonly perSecond: number;
   readonly timeoutMs: number;
 }
 
-const SHORT: Kind = {
+const SHORT: Workload = {
   route: { name: "short", priority: 1, targetLatencyMs: 150 },
   workMs: 40,
   perSecond: 7,
   timeoutMs: 1_000,
 };
-const LONG: Kind = {
+const LONG: Workload = {
   route: { name: "long", priority: 2, targetLatencyMs: 800 },
   workMs: 250,
   perSecond: 3,
@@ -35,7 +35,7 @@
 
 interface Sent {
   readonly id: number;
-  readonly kind: Kind;
+  readonly kind: Workload;
   readonly sentMs: number;
 }
 
@@ -47,7 +47,7 @@
 }
 
 /** Plays two kinds of load on a server with two slots and its coordinator. */
-class Play {
+class Simulation {
   readonly #random = xoroshiro128plus(1);
   readonly #coordinator: admission.SlotCoordinator;
   readonly #requests = new Map<number, Sent>();
@@ -62,13 +62,13 @@
     this.#coordinator = new admission.SlotCoordinator({
       zone: "z1" as contracts.ZoneId,
       random: { next: () => this.#next() },
-      decide: ({ id, kind }) => {
-        if (kind === "given") this.#after(WAY_MS, () => this.#arrive(id));
+      onDecision: ({ id, kind }) => {
+        if (kind === "given") this.#after(ONE_WAY_MS, () => this.#arrive(id));
       },
     });
   }
 
-  run(kinds: readonly Kind[], loadRatio: number): void {
+  run(kinds: readonly Workload[], loadRatio: number): void {
     for (; this.#nowMs < RUN_MS; this.#nowMs += STEP_MS) {
       for (const kind of kinds) {
         const chance = kind.perSecond * loadRatio * STEP_MS / 1_000;
@@ -78,16 +78,16 @@
         if (due.atMs <= this.#nowMs) due.run();
         else this.#due.push(due);
       }
-      if (this.#nowMs % REVIEW_MS === 0) this.#coordinator.review(this.#nowMs);
+      if (this.#nowMs % SWEEP_MS === 0) this.#coordinator.sweep(this.#nowMs);
     }
   }
 
-  #ask(kind: Kind): void {
+  #ask(kind: Workload): void {
     const id = this.#nextId++;
     const nowMs = this.#nowMs;
     this.#requests.set(id, { id, kind, sentMs: nowMs });
     this.#outcome(kind).asked++;
-    this.#coordinator.wish({
+    this.#coordinator.request({
       service: "s" as contracts.ServiceId,
       server: "s1" as contracts.ServerId,
       bornMs: 1,
@@ -121,13 +121,13 @@
     const isInTime = this.#nowMs - sentMs <= kind.route.targetLatencyMs;
     if (isInTime) outcome.inTime++;
     outcome.served++;
-    this.#after(WAY_MS, () => {
-      this.#coordinator.end(VM, id, { tookMs, nowMs: this.#nowMs });
+    this.#after(ONE_WAY_MS, () => {
+      this.#coordinator.release(VM, id, { tookMs, nowMs: this.#nowMs });
     });
     this.#start();
   }
 
-  #outcome({ route }: Kind): Outcome {
+  #outcome({ route }: Workload): Outcome {
     const found = this.outcomes.get(route.name);
     if (found !== undefined) return found;
     const created = { asked: 0, inTime: 0, served: 0 };
@@ -146,7 +146,7 @@
 
 /** Guards against short urgent requests that wait for long ones to end. */
 test("should answer most short urgent requests in time beside long ones", () => {
-  const play = new Play();
+  const play = new Simulation();
   play.run([SHORT, LONG], 1.2);
   const short = play.outcomes.get("short")!;
   const long = play.outcomes.get("long")!;
@@ -156,7 +156,7 @@
 
 /** Guards against a slot that stays empty for work that does not come. */
 test("should give long requests all slots while nothing shorter comes", () => {
-  const play = new Play();
+  const play = new Simulation();
   play.run([{ ...LONG, perSecond: 6 }], 1);
   const long = play.outcomes.get("long")!;
   expect(long.served / long.asked >= 0.9).toEqual(true);
@@ -164,7 +164,7 @@
 
 /** Guards against an overloaded server that answers each request just too late. */
 test("should answer half in time at a fifth more load than a server carries", () => {
-  const play = new Play();
+  const play = new Simulation();
   play.run([{ ...SHORT, perSecond: 60 }], 1);
   const short = play.outcomes.get("short")!;
   expect(short.served / short.asked >= 0.6).toEqual(true);
--- a/packages/decisions/src/admission/slot_asks.ts
+++ b/packages/decisions/src/admission/slot_client.ts
@@ -3,14 +3,14 @@
 import type {
   HeldSlot,
   SlotDecision,
+  SlotRequest,
   SlotServer,
-  SlotWish,
 } from "./slot_coordinator.ts";
 import type { Refusal, WaitingRequest } from "./waiting_request.ts";
 
 /** Messages for one coordinator, sent together. */
-export interface SlotMessage {
-  readonly wishes: SlotWish[];
+export interface CoordinatorMessage {
+  readonly requests: SlotRequest[];
   /** Wishes and slots that are over, with the time of an answered request. */
   readonly ended: { readonly id: number; readonly tookMs?: number }[];
   /** All slots that this VM has of the coordinator; undefined when not told now. */
@@ -18,10 +18,10 @@
 }
 
 /** A coordinator's answer to one wish of this VM. */
-export type SlotWord = Omit<SlotDecision, "vm">;
+export type SlotReply = Omit<SlotDecision, "vm">;
 
-/** Options of {@link SlotAsks}. */
-export interface SlotAsksOptions {
+/** Options of {@link SlotClient}. */
+export interface SlotClientOptions {
   readonly vm: contracts.VmId;
   /** The VM that gives out a server's slots, leaving out silent ones. */
   readonly coordinatorOf: (
@@ -31,10 +31,10 @@
   /** There are messages to send. */
   readonly onMessage: () => void;
   /** A request has a slot and can be placed. */
-  readonly onGiven: (request: WaitingRequest) => void;
+  readonly onGranted: (request: WaitingRequest) => void;
   readonly onRefused: (request: WaitingRequest, refusal: Refusal) => void;
   /** A coordinator is left out for a while, and asked again afterwards. */
-  readonly onSilent: (coordinator: contracts.VmId) => void;
+  readonly onUnresponsive: (coordinator: contracts.VmId) => void;
 }
 
 /** A wish without any word is sent again: the datagram was lost. */
@@ -50,27 +50,27 @@
 /** Interval at which slots are listed to their coordinators. */
 const HELD_SLOTS_INTERVAL_MS = 500;
 
-interface Ask {
-  readonly wish: SlotWish;
+interface OpenRequest {
+  readonly slotRequest: SlotRequest;
   readonly request: WaitingRequest;
   /** Undefined when no coordinator can be asked. */
   readonly coordinator: contracts.VmId | undefined;
   state: "asked" | "queued" | "given" | "in-use";
   sentMs: number;
-  heardMs: number;
+  lastReplyMs: number;
 }
 
 /** Wishes and slots of one entry VM. */
-export class SlotAsks {
-  readonly #options: SlotAsksOptions;
-  readonly #open = new Map<WaitingRequest, Ask>();
-  readonly #byId = new Map<number, Ask>();
+export class SlotClient {
+  readonly #options: SlotClientOptions;
+  readonly #open = new Map<WaitingRequest, OpenRequest>();
+  readonly #byId = new Map<number, OpenRequest>();
   readonly #silentUntilMs = new Map<contracts.VmId, number>();
-  readonly #outbox = new Map<contracts.VmId, SlotMessage>();
+  readonly #outbox = new Map<contracts.VmId, CoordinatorMessage>();
   #nextId = 1;
   #listedMs = 0;
 
-  constructor(options: SlotAsksOptions) {
+  constructor(options: SlotClientOptions) {
     this.#options = options;
   }
 
@@ -79,23 +79,23 @@
    * `ownRequests` are this VM's requests there: without a coordinator the first
    * is sent all the same.
    */
-  take(
+  tryAcquire(
     request: WaitingRequest,
     server: SlotServer,
     { ownRequests, nowMs }: { ownRequests: number; nowMs: number },
   ): boolean {
     let ask = this.#open.get(request);
-    const isSame = ask?.wish.server === server.server &&
-      ask.wish.bornMs === server.bornMs;
+    const isSame = ask?.slotRequest.server === server.server &&
+      ask.slotRequest.bornMs === server.bornMs;
     // The key has moved to another owner since.
-    if (ask !== undefined && !isSame) this.withdraw(request);
+    if (ask !== undefined && !isSame) this.cancel(request);
     if (ask === undefined || !isSame) ask = this.#ask(request, server, nowMs);
     if (ask.coordinator === undefined) return ownRequests === 0;
     return ask.state === "given";
   }
 
   /** A request is sent with its slot. The returned function gives it back. */
-  begin(request: WaitingRequest): (tookMs: number | undefined) => void {
+  markInUse(request: WaitingRequest): (tookMs: number | undefined) => void {
     const ask = this.#open.get(request);
     if (ask === undefined) return () => {};
     this.#open.delete(request);
@@ -104,7 +104,7 @@
   }
 
   /** A request needs no slot any more. */
-  withdraw(request: WaitingRequest): void {
+  cancel(request: WaitingRequest): void {
     const ask = this.#open.get(request);
     if (ask === undefined) return;
     this.#open.delete(request);
@@ -117,9 +117,9 @@
   }
 
   /** Words of a coordinator. */
-  noteWords(
+  handleReplies(
     coordinator: contracts.VmId,
-    words: readonly SlotWord[],
+    words: readonly SlotReply[],
     nowMs: number,
   ): void {
     for (const { id, kind, refusal } of words) {
@@ -129,7 +129,7 @@
         if (kind === "given") this.#message(coordinator).ended.push({ id });
         continue;
       }
-      ask.heardMs = nowMs;
+      ask.lastReplyMs = nowMs;
       if (ask.state === "in-use" || ask.state === "given") continue;
       if (kind === "refused") this.#refuse(ask, refusal!);
       else this.#advance(ask, kind);
@@ -144,7 +144,9 @@
     for (const ask of [...this.#open.values()]) this.#review(ask, nowMs);
     if (nowMs - this.#listedMs < HELD_SLOTS_INTERVAL_MS) return;
     this.#listedMs = nowMs;
-    for (const { state, coordinator, wish } of this.#byId.values()) {
+    for (
+      const { state, coordinator, slotRequest: wish } of this.#byId.values()
+    ) {
       if (state !== "in-use" || coordinator === undefined) continue;
       const message = this.#message(coordinator);
       message.held ??= [];
@@ -153,17 +155,21 @@
   }
 
   /** Takes what is to be sent, by coordinator. */
-  takeMessages(): Map<contracts.VmId, SlotMessage> {
+  drainMessages(): Map<contracts.VmId, CoordinatorMessage> {
     const messages = new Map(this.#outbox);
     this.#outbox.clear();
     return messages;
   }
 
-  #ask(request: WaitingRequest, server: SlotServer, nowMs: number): Ask {
+  #ask(
+    request: WaitingRequest,
+    server: SlotServer,
+    nowMs: number,
+  ): OpenRequest {
     const { vm, coordinatorOf } = this.#options;
     const { route, targetMs, answerByMs } = request;
     const { service, server: name, bornMs, slots } = server;
-    const wish: SlotWish = {
+    const wish: SlotRequest = {
       service,
       server: name,
       bornMs,
@@ -178,61 +184,77 @@
       server,
       new Set(this.#silentUntilMs.keys()),
     );
-    const ask: Ask = {
-      wish,
+    const ask: OpenRequest = {
+      slotRequest: wish,
       request,
       coordinator,
       state: "asked",
       sentMs: nowMs,
-      heardMs: nowMs,
+      lastReplyMs: nowMs,
     };
     this.#open.set(request, ask);
     this.#byId.set(wish.id, ask);
-    if (coordinator !== undefined) this.#message(coordinator).wishes.push(wish);
+    if (coordinator !== undefined) {
+      this.#message(coordinator).requests.push(wish);
+    }
     return ask;
   }
 
-  #review(ask: Ask, nowMs: number): void {
-    const { coordinator, state, heardMs, sentMs, wish, request } = ask;
+  #review(ask: OpenRequest, nowMs: number): void {
+    const {
+      coordinator,
+      state,
+      lastReplyMs: heardMs,
+      sentMs,
+      slotRequest: wish,
+      request,
+    } = ask;
     if (coordinator === undefined || state === "given") return;
     const isQueued = state === "queued";
     const limitMs = isQueued ? QUEUED_TIMEOUT_MS : ANSWER_TIMEOUT_MS;
     if (nowMs - heardMs >= limitMs) {
       if (!this.#silentUntilMs.has(coordinator)) {
-        this.#options.onSilent(coordinator);
+        this.#options.onUnresponsive(coordinator);
       }
       this.#silentUntilMs.set(coordinator, nowMs + COORDINATOR_QUARANTINE_MS);
-      this.withdraw(request);
+      this.cancel(request);
       // Asks the next coordinator, or goes without one.
-      return this.#options.onGiven(request);
+      return this.#options.onGranted(request);
     }
     const againMs = isQueued ? QUEUED_RESEND_MS : RESEND_MS;
     if (nowMs - sentMs < againMs) return;
     ask.sentMs = nowMs;
-    this.#message(coordinator).wishes.push(wish);
+    this.#message(coordinator).requests.push(wish);
   }
 
-  #advance(ask: Ask, kind: "given" | "queued"): void {
+  #advance(ask: OpenRequest, kind: "given" | "queued"): void {
     ask.state = kind;
-    if (kind === "given") this.#options.onGiven(ask.request);
+    if (kind === "given") this.#options.onGranted(ask.request);
   }
 
-  #refuse(ask: Ask, refusal: Refusal): void {
+  #refuse(ask: OpenRequest, refusal: Refusal): void {
     this.#open.delete(ask.request);
-    this.#byId.delete(ask.wish.id);
+    this.#byId.delete(ask.slotRequest.id);
     this.#options.onRefused(ask.request, refusal);
   }
 
-  #end({ wish, coordinator }: Ask, tookMs: number | undefined): void {
+  #end(
+    { slotRequest: wish, coordinator }: OpenRequest,
+    tookMs: number | undefined,
+  ): void {
     this.#byId.delete(wish.id);
     if (coordinator === undefined) return;
     this.#message(coordinator).ended.push({ id: wish.id, tookMs });
   }
 
-  #message(coordinator: contracts.VmId): SlotMessage {
+  #message(coordinator: contracts.VmId): CoordinatorMessage {
     const found = this.#outbox.get(coordinator);
     if (found !== undefined) return found;
-    const created: SlotMessage = { wishes: [], ended: [], held: undefined };
+    const created: CoordinatorMessage = {
+      requests: [],
+      ended: [],
+      held: undefined,
+    };
     this.#outbox.set(coordinator, created);
     this.#options.onMessage();
     return created;
--- a/packages/decisions/src/admission/slot_coordinator.ts
+++ b/packages/decisions/src/admission/slot_coordinator.ts
@@ -8,9 +8,9 @@
 import type { ColdStartLimit } from "./cold_start_limit.ts";
 import { ServiceQueue } from "./service_queue.ts";
 import { ServiceTimes } from "./service_times.ts";
-import { ShortWorkReserve } from "./short_work_reserve.ts";
+import { ShortRequestReserve } from "./short_request_reserve.ts";
 import type {
-  RankedRoute,
+  PrioritizedRoute,
   Refusal,
   WaitingRequest,
 } from "./waiting_request.ts";
@@ -24,20 +24,20 @@
 }
 
 /** A request at some entry VM that asks for a slot. */
-export interface SlotWish extends SlotServer {
+export interface SlotRequest extends SlotServer {
   /** Drawn by the VM; rises with each of its wishes. */
   readonly id: number;
   readonly vm: contracts.VmId;
-  readonly route: RankedRoute;
+  readonly route: PrioritizedRoute;
   readonly targetMs: number;
   readonly answerByMs: number;
 }
 
 /** A slot that an entry VM says it has. */
-export type HeldSlot = Omit<SlotWish, "vm" | "targetMs" | "answerByMs">;
+export type HeldSlot = Omit<SlotRequest, "vm" | "targetMs" | "answerByMs">;
 
 /** What a coordinator says to a wish. */
-export type SlotDecision = Pick<SlotWish, "vm" | "id"> & {
+export type SlotDecision = Pick<SlotRequest, "vm" | "id"> & {
   readonly kind: "given" | "queued" | "refused";
   /** Present when refused. */
   readonly refusal?: Refusal;
@@ -47,7 +47,7 @@
 export interface SlotCoordinatorOptions {
   readonly zone: contracts.ZoneId;
   readonly random: contracts.RandomSource;
-  readonly decide: (decision: SlotDecision) => void;
+  readonly onDecision: (decision: SlotDecision) => void;
   /** What this VM may give out of a service's cold servers; absent for all. */
   readonly coldStartsOf?: (
     service: contracts.ServiceId,
@@ -60,20 +60,20 @@
  */
 const UNLISTED_SLOT_TTL_MS = 300;
 /** Slots and wishes of a VM that was not heard for so long are dropped. */
-const VM_TIMEOUT_MS = 2_000;
+const UNRESPONSIVE_VM_TIMEOUT_MS = 2_000;
 /** A server that nobody asked for is forgotten after this time. */
 const IDLE_SERVER_TTL_MS = 10_000;
 
-interface Held {
-  readonly route: RankedRoute;
-  readonly sinceMs: number;
+interface HeldSlotState {
+  readonly route: PrioritizedRoute;
+  readonly grantedMs: number;
   readonly release: (nowMs: number) => void;
 }
 
 /** The coordinator of one entry VM, for all servers whose slots it gives out. */
 export class SlotCoordinator {
   readonly #options: SlotCoordinatorOptions;
-  readonly #servers = new Map<string, ServerSlots>();
+  readonly #servers = new Map<string, ServerSlotAllocator>();
   readonly #times = new Map<contracts.ServiceId, ServiceTimes>();
   readonly #heardMs = new Map<contracts.VmId, number>();
 
@@ -82,31 +82,31 @@
   }
 
   /** Takes a wish; one that is known already is answered as it stands. */
-  wish(wish: SlotWish, nowMs: number): void {
+  request(wish: SlotRequest, nowMs: number): void {
     this.#heardMs.set(wish.vm, nowMs);
-    this.#slotsOf(wish).wish(wish, nowMs);
+    this.#slotsOf(wish).request(wish, nowMs);
   }
 
   /** A slot is free again, or a wish is over; `tookMs` of an answered request. */
-  end(
+  release(
     vm: contracts.VmId,
     id: number,
     { tookMs, nowMs }: { readonly tookMs?: number; readonly nowMs: number },
   ): void {
-    const name = nameOf(vm, id);
+    const name = requestKey(vm, id);
     for (const server of this.#servers.values()) {
-      if (server.end(name, tookMs, nowMs)) return;
+      if (server.release(name, tookMs, nowMs)) return;
     }
   }
 
   /** All slots that a VM has of this coordinator, as it knows them. */
-  noteHeld(
+  reconcileHeld(
     vm: contracts.VmId,
     slots: readonly HeldSlot[],
     nowMs: number,
   ): void {
     this.#heardMs.set(vm, nowMs);
-    const listed = new Set(slots.map(({ id }) => nameOf(vm, id)));
+    const listed = new Set(slots.map(({ id }) => requestKey(vm, id)));
     for (const server of this.#servers.values()) {
       server.dropUnlisted(vm, listed, nowMs);
     }
@@ -114,66 +114,68 @@
   }
 
   /** Refuses what waits in vain; forgets VMs and servers that are gone. */
-  review(nowMs: number): void {
+  sweep(nowMs: number): void {
     for (const [vm, heardMs] of this.#heardMs) {
-      if (nowMs - heardMs < VM_TIMEOUT_MS) continue;
+      if (nowMs - heardMs < UNRESPONSIVE_VM_TIMEOUT_MS) continue;
       this.#heardMs.delete(vm);
       for (const server of this.#servers.values()) {
         server.dropUnlisted(vm, new Set(), nowMs);
-        server.dropWishes(vm);
+        server.dropPending(vm);
       }
     }
     for (const [name, server] of this.#servers) {
-      server.review(nowMs);
+      server.sweep(nowMs);
       if (server.isIdle(nowMs)) this.#servers.delete(name);
     }
   }
 
   /** Whether some request waits for a slot given out here. */
-  get isWaited(): boolean {
-    for (const { hasWishes } of this.#servers.values()) {
+  get hasPending(): boolean {
+    for (const { hasPending: hasWishes } of this.#servers.values()) {
       if (hasWishes) return true;
     }
     return false;
   }
 
   /** How much longer than average each server takes, by server. */
-  factors(service: contracts.ServiceId): Map<contracts.ServerId, number> {
+  latencyFactors(
+    service: contracts.ServiceId,
+  ): Map<contracts.ServerId, number> {
     const factors = new Map<contracts.ServerId, number>();
     const times = this.#times.get(service);
     if (times === undefined) return factors;
     for (const { server } of this.#servers.values()) {
       if (server.service !== service) continue;
-      factors.set(server.server, times.factor(server.server));
+      factors.set(server.server, times.latencyFactor(server.server));
     }
     return factors;
   }
 
-  #slotsOf(server: SlotServer): ServerSlots {
+  #slotsOf(server: SlotServer): ServerSlotAllocator {
     const name = `${server.server}/${server.bornMs}`;
     const found = this.#servers.get(name);
     if (found !== undefined) return found;
     const times = this.#times.get(server.service) ?? new ServiceTimes();
     this.#times.set(server.service, times);
-    const created = new ServerSlots(server, times, this.#options);
+    const created = new ServerSlotAllocator(server, times, this.#options);
     this.#servers.set(name, created);
     return created;
   }
 }
 
-function nameOf(vm: contracts.VmId, id: number): string {
+function requestKey(vm: contracts.VmId, id: number): string {
   return `${vm}/${id}`;
 }
 
 /** One server's slots and the wishes for them. */
-class ServerSlots {
+class ServerSlotAllocator {
   readonly server: SlotServer;
   readonly #times: ServiceTimes;
   readonly #queue: ServiceQueue;
-  readonly #reserve: ShortWorkReserve;
+  readonly #reserve: ShortRequestReserve;
   readonly #decide: (decision: SlotDecision) => void;
-  readonly #wishes = new Map<string, QueuedWish>();
-  readonly #held = new Map<string, Held>();
+  readonly #wishes = new Map<string, PendingSlotRequest>();
+  readonly #held = new Map<string, HeldSlotState>();
   /** Time of the latest call: slots are given in the course of it. */
   #nowMs = 0;
   #usedMs = 0;
@@ -181,13 +183,13 @@
   constructor(
     server: SlotServer,
     times: ServiceTimes,
-    { zone, random, decide, coldStartsOf }: SlotCoordinatorOptions,
+    { zone, random, onDecision: decide, coldStartsOf }: SlotCoordinatorOptions,
   ) {
     this.server = server;
     this.#times = times;
     this.#decide = decide;
     const coldStarts = coldStartsOf?.(server.service);
-    const reserve = new ShortWorkReserve(times, server.slots);
+    const reserve = new ShortRequestReserve(times, server.slots);
     this.#reserve = reserve;
     this.#queue = new ServiceQueue({
       zone,
@@ -196,44 +198,44 @@
       coldStarts,
       reserve,
     });
-    this.#queue.setServers([entryOf(server, zone)]);
+    this.#queue.setServers([serverEntryOf(server, zone)]);
   }
 
-  get hasWishes(): boolean {
+  get hasPending(): boolean {
     return this.#wishes.size > 0;
   }
 
-  wish(wish: SlotWish, nowMs: number): void {
+  request(wish: SlotRequest, nowMs: number): void {
     this.#usedMs = nowMs;
     this.#nowMs = nowMs;
     const { vm, id } = wish;
-    const name = nameOf(vm, id);
+    const name = requestKey(vm, id);
     if (this.#held.has(name)) return this.#decide({ vm, id, kind: "given" });
     if (this.#wishes.has(name)) return this.#decide({ vm, id, kind: "queued" });
-    const request = new QueuedWish(wish, {
-      give: () => {
+    const request = new PendingSlotRequest(wish, {
+      onGranted: () => {
         this.#wishes.delete(name);
         this.#hold(name, wish.route, this.#nowMs);
         this.#decide({ vm, id, kind: "given" });
       },
-      refuse: (refusal) => {
+      onRefused: (refusal) => {
         this.#wishes.delete(name);
         this.#decide({ vm, id, kind: "refused", refusal });
       },
     });
     this.#wishes.set(name, request);
-    this.#reserve.noteAsked(wish.route, nowMs);
+    this.#reserve.recordRequest(wish.route, nowMs);
     this.#queue.add(request, nowMs);
     if (this.#wishes.has(name)) this.#decide({ vm, id, kind: "queued" });
   }
 
   /** Whether the slot or wish was here. */
-  end(name: string, tookMs: number | undefined, nowMs: number): boolean {
+  release(name: string, tookMs: number | undefined, nowMs: number): boolean {
     this.#nowMs = nowMs;
     const wish = this.#wishes.get(name);
     if (wish !== undefined) {
       this.#wishes.delete(name);
-      this.#queue.withdraw(wish);
+      this.#queue.cancel(wish);
       return true;
     }
     const held = this.#held.get(name);
@@ -241,14 +243,14 @@
     this.#held.delete(name);
     held.release(nowMs);
     if (tookMs !== undefined) {
-      this.#times.note(held.route, this.server.server, tookMs);
+      this.#times.record(held.route, this.server.server, tookMs);
     }
-    this.#queue.pump(nowMs);
+    this.#queue.dispatch(nowMs);
     return true;
   }
 
   adopt(vm: contracts.VmId, { id, route }: HeldSlot, nowMs: number): void {
-    const name = nameOf(vm, id);
+    const name = requestKey(vm, id);
     if (!this.#held.has(name)) this.#hold(name, route, nowMs);
   }
 
@@ -257,26 +259,26 @@
     listed: ReadonlySet<string>,
     nowMs: number,
   ): void {
-    for (const [name, { sinceMs }] of this.#held) {
+    for (const [name, { grantedMs: sinceMs }] of this.#held) {
       const isOver = name.startsWith(`${vm}/`) && !listed.has(name) &&
         nowMs - sinceMs >= UNLISTED_SLOT_TTL_MS;
-      if (isOver) this.end(name, undefined, nowMs);
+      if (isOver) this.release(name, undefined, nowMs);
     }
   }
 
-  dropWishes(vm: contracts.VmId): void {
+  dropPending(vm: contracts.VmId): void {
     for (const [name, wish] of this.#wishes) {
       if (wish.vm !== vm) continue;
       this.#wishes.delete(name);
-      this.#queue.withdraw(wish);
+      this.#queue.cancel(wish);
     }
   }
 
-  review(nowMs: number): void {
+  sweep(nowMs: number): void {
     this.#nowMs = nowMs;
     if (this.#queue.waiting === 0) return;
-    this.#queue.pump(nowMs);
-    this.#queue.review(nowMs);
+    this.#queue.dispatch(nowMs);
+    this.#queue.refuseExpired(nowMs);
   }
 
   isIdle(nowMs: number): boolean {
@@ -284,35 +286,35 @@
       nowMs - this.#usedMs > IDLE_SERVER_TTL_MS;
   }
 
-  #hold(name: string, route: RankedRoute, nowMs: number): void {
-    const end = this.#queue.loads.get(this.server.server)!.begin(nowMs);
-    const giveBack = this.#reserve.begin(route);
+  #hold(name: string, route: PrioritizedRoute, nowMs: number): void {
+    const end = this.#queue.loads.get(this.server.server)!.startRequest(nowMs);
+    const giveBack = this.#reserve.acquire(route);
     const release = (endedMs: number) => {
       giveBack();
       end({ kind: "abandoned" }, endedMs);
     };
-    this.#held.set(name, { route, sinceMs: nowMs, release });
+    this.#held.set(name, { route, grantedMs: nowMs, release });
   }
 }
 
 /** What becomes of a wish. */
-interface WishOutcome {
-  give(): void;
-  refuse(refusal: Refusal): void;
+interface SlotRequestCallbacks {
+  onGranted(): void;
+  onRefused(refusal: Refusal): void;
 }
 
 /** A wish as the queue sees it. */
-class QueuedWish implements WaitingRequest {
+class PendingSlotRequest implements WaitingRequest {
   readonly vm: contracts.VmId;
-  readonly route: RankedRoute;
+  readonly route: PrioritizedRoute;
   readonly key = undefined;
   readonly bodyBytes = 0;
   readonly targetMs: number;
   readonly answerByMs: number;
   readonly tried = new Set<contracts.ServerId>();
-  readonly #outcome: WishOutcome;
+  readonly #outcome: SlotRequestCallbacks;
 
-  constructor(wish: SlotWish, outcome: WishOutcome) {
+  constructor(wish: SlotRequest, outcome: SlotRequestCallbacks) {
     this.vm = wish.vm;
     this.route = wish.route;
     this.targetMs = wish.targetMs;
@@ -321,19 +323,19 @@
   }
 
   placed(): void {
-    this.#outcome.give();
+    this.#outcome.onGranted();
   }
 
   refused(refusal: Refusal): void {
-    this.#outcome.refuse(refusal);
+    this.#outcome.onRefused(refusal);
   }
 }
 
 /** The server as a queue wants it; only its slots matter to a coordinator. */
-function entryOf(
+function serverEntryOf(
   { service, server, bornMs, slots }: SlotServer,
   zone: contracts.ZoneId,
-): contracts.ServerEntry {
+): contracts.RegisteredServer {
   return {
     service,
     server,
--- a/packages/decisions/src/admission/slot_coordinator_test.ts
+++ b/packages/decisions/src/admission/slot_coordinator_test.ts
@@ -16,7 +16,7 @@
   readonly key = 7;
   readonly bodyBytes = 0;
   readonly tried = new Set<contracts.ServerId>();
-  readonly route: admission.RankedRoute;
+  readonly route: admission.PrioritizedRoute;
   readonly targetMs: number;
   readonly answerByMs: number;
   refusal: admission.Refusal | undefined;
@@ -38,15 +38,15 @@
 class Fixture {
   nowMs = 1_000;
   readonly coordinators = new Map<contracts.VmId, admission.SlotCoordinator>();
-  readonly words: (admission.SlotDecision & { coordinator: contracts.VmId })[] =
-    [];
-  readonly vms = new Map<contracts.VmId, admission.SlotAsks>();
+  readonly replies:
+    (admission.SlotDecision & { coordinator: contracts.VmId })[] = [];
+  readonly vms = new Map<contracts.VmId, admission.SlotClient>();
   /** Coordinators that take and say nothing. */
-  readonly deaf = new Set<contracts.VmId>();
+  readonly unreachable = new Set<contracts.VmId>();
   /** Coordinators that were found silent, each time. */
-  readonly silent: contracts.VmId[] = [];
+  readonly unresponsive: contracts.VmId[] = [];
   /** Words that are still to be lost. */
-  lostWords = 0;
+  repliesToLose = 0;
 
   constructor(vmCount: number) {
     for (const coordinator of [COORDINATOR, OTHER_COORDINATOR]) {
@@ -55,7 +55,8 @@
         new admission.SlotCoordinator({
           zone: "z1" as contracts.ZoneId,
           random: { next: () => 0.5 },
-          decide: (decision) => this.words.push({ ...decision, coordinator }),
+          onDecision: (decision) =>
+            this.replies.push({ ...decision, coordinator }),
         }),
       );
     }
@@ -63,72 +64,77 @@
       const vm = `vm${index}` as contracts.VmId;
       this.vms.set(
         vm,
-        new admission.SlotAsks({
+        new admission.SlotClient({
           vm,
           coordinatorOf: (_server, silent) =>
             [COORDINATOR, OTHER_COORDINATOR].find((coordinator) =>
               !silent.has(coordinator)
             ),
           onMessage: () => {},
-          onGiven: () => {},
+          onGranted: () => {},
           onRefused: (request, refusal) => request.refused(refusal),
-          onSilent: (coordinator) => this.silent.push(coordinator),
+          onUnresponsive: (coordinator) => this.unresponsive.push(coordinator),
         }),
       );
     }
   }
 
-  vm(index: number): admission.SlotAsks {
+  vm(index: number): admission.SlotClient {
     return this.vms.get(`vm${index}` as contracts.VmId)!;
   }
 
   /** Delivers all messages, and what they bring about. */
   deliver(): void {
     for (const [vm, asks] of this.vms) {
-      for (const [name, message] of asks.takeMessages()) {
-        if (this.deaf.has(name)) continue;
+      for (const [name, message] of asks.drainMessages()) {
+        if (this.unreachable.has(name)) continue;
         const coordinator = this.coordinators.get(name)!;
         for (const { id, tookMs } of message.ended) {
-          coordinator.end(vm, id, { tookMs, nowMs: this.nowMs });
+          coordinator.release(vm, id, { tookMs, nowMs: this.nowMs });
+        }
+        for (const wish of message.requests) {
+          coordinator.request(wish, this.nowMs);
         }
-        for (const wish of message.wishes) coordinator.wish(wish, this.nowMs);
         if (message.held !== undefined) {
-          coordinator.noteHeld(vm, message.held, this.nowMs);
+          coordinator.reconcileHeld(vm, message.held, this.nowMs);
         }
       }
     }
-    for (const { vm, coordinator, ...word } of this.words.splice(0)) {
-      if (this.lostWords > 0) {
-        this.lostWords--;
+    for (const { vm, coordinator, ...word } of this.replies.splice(0)) {
+      if (this.repliesToLose > 0) {
+        this.repliesToLose--;
         continue;
       }
-      this.vms.get(vm)!.noteWords(coordinator, [word], this.nowMs);
+      this.vms.get(vm)!.handleReplies(coordinator, [word], this.nowMs);
     }
   }
 
-  take(index: number, request: Request): boolean {
+  tryAcquire(index: number, request: Request): boolean {
     const { nowMs } = this;
-    return this.vm(index).take(request, SERVER, { ownRequests: 0, nowMs });
+    return this.vm(index).tryAcquire(request, SERVER, {
+      ownRequests: 0,
+      nowMs,
+    });
   }
 
   /** The first VMs send one request each, until no slot is left. */
   useAllSlots(): void {
     for (const index of [0, 1, 2]) {
       const request = new Request(1_000);
-      this.take(index, request);
+      this.tryAcquire(index, request);
       this.deliver();
-      this.vm(index).begin(request);
+      this.vm(index).markInUse(request);
     }
   }
 
   /** Lets time pass, with regular work every 25 ms. */
-  pass(ms: number): void {
+  advance(ms: number): void {
     const endMs = this.nowMs + ms;
     while (this.nowMs < endMs) {
       this.nowMs += 25;
       for (const asks of this.vms.values()) asks.tick(this.nowMs);
       for (const coordinator of this.coordinators.values()) {
-        coordinator.review(this.nowMs);
+        coordinator.sweep(this.nowMs);
       }
       this.deliver();
     }
@@ -140,11 +146,11 @@
   const fixture = new Fixture(80);
   const requests = Array.from({ length: 80 }, () => new Request(1_000));
   for (const [index, request] of requests.entries()) {
-    expect(fixture.take(index, request)).toEqual(false);
+    expect(fixture.tryAcquire(index, request)).toEqual(false);
   }
   fixture.deliver();
   const sent = requests.filter((request, index) =>
-    fixture.take(index, request)
+    fixture.tryAcquire(index, request)
   );
   expect(sent.length).toEqual(SERVER.slots + 1);
   // Of the rest, those that can't be answered in time know it at once.
@@ -155,54 +161,56 @@
 test("should give a freed slot to the most urgent request of any VM", () => {
   const fixture = new Fixture(6);
   const first = [0, 1, 2].map(() => new Request(1_000));
-  for (const [index, request] of first.entries()) fixture.take(index, request);
+  for (const [index, request] of first.entries()) {
+    fixture.tryAcquire(index, request);
+  }
   const patient = new Request(1_000, 2);
   const urgent = new Request(1_000, 1);
-  fixture.take(3, patient);
-  fixture.take(4, urgent);
+  fixture.tryAcquire(3, patient);
+  fixture.tryAcquire(4, urgent);
   fixture.deliver();
-  const end = fixture.vm(0).begin(first[0]!);
+  const end = fixture.vm(0).markInUse(first[0]!);
   fixture.nowMs += 90;
   end(90);
   fixture.deliver();
-  expect(fixture.take(4, urgent)).toEqual(true);
-  expect(fixture.take(3, patient)).toEqual(false);
+  expect(fixture.tryAcquire(4, urgent)).toEqual(true);
+  expect(fixture.tryAcquire(3, patient)).toEqual(false);
 });
 
 /** Guards against a slot that stays empty because its datagram was lost. */
 test("should make a lost word good within a tenth of a second", () => {
   const fixture = new Fixture(1);
   const request = new Request(1_000);
-  fixture.take(0, request);
-  fixture.lostWords = 1;
+  fixture.tryAcquire(0, request);
+  fixture.repliesToLose = 1;
   fixture.deliver();
-  expect(fixture.take(0, request)).toEqual(false);
-  fixture.pass(100);
-  expect(fixture.take(0, request)).toEqual(true);
+  expect(fixture.tryAcquire(0, request)).toEqual(false);
+  fixture.advance(100);
+  expect(fixture.tryAcquire(0, request)).toEqual(true);
 });
 
 /** Guards against requests that wait for a dead coordinator. */
 test("should ask another coordinator when one is silent", () => {
   const fixture = new Fixture(1);
   const request = new Request(1_000);
-  fixture.deaf.add(COORDINATOR);
-  fixture.take(0, request);
-  fixture.pass(250);
-  fixture.take(0, request);
+  fixture.unreachable.add(COORDINATOR);
+  fixture.tryAcquire(0, request);
+  fixture.advance(250);
+  fixture.tryAcquire(0, request);
   fixture.deliver();
-  expect(fixture.take(0, request)).toEqual(true);
-  expect(fixture.silent).toEqual([COORDINATOR]);
+  expect(fixture.tryAcquire(0, request)).toEqual(true);
+  expect(fixture.unresponsive).toEqual([COORDINATOR]);
 });
 
 test("should send a VM's only request when no coordinator answers at all", () => {
   const fixture = new Fixture(1);
   const request = new Request(1_000);
-  fixture.deaf.add(COORDINATOR).add(OTHER_COORDINATOR);
-  fixture.take(0, request);
-  fixture.pass(250);
-  fixture.take(0, request);
-  fixture.pass(250);
-  expect(fixture.take(0, request)).toEqual(true);
+  fixture.unreachable.add(COORDINATOR).add(OTHER_COORDINATOR);
+  fixture.tryAcquire(0, request);
+  fixture.advance(250);
+  fixture.tryAcquire(0, request);
+  fixture.advance(250);
+  expect(fixture.tryAcquire(0, request)).toEqual(true);
 });
 
 /** Guards against slots that stay taken when their VM is gone. */
@@ -212,11 +220,11 @@
   for (const index of [0, 1, 2]) {
     fixture.vms.delete(`vm${index}` as contracts.VmId);
   }
-  fixture.pass(2_100);
+  fixture.advance(2_100);
   const request = new Request(fixture.nowMs);
-  fixture.take(3, request);
+  fixture.tryAcquire(3, request);
   fixture.deliver();
-  expect(fixture.take(3, request)).toEqual(true);
+  expect(fixture.tryAcquire(3, request)).toEqual(true);
 });
 
 /** Guards against slots given out twice by a restarted coordinator. */
@@ -228,25 +236,25 @@
     new admission.SlotCoordinator({
       zone: "z1" as contracts.ZoneId,
       random: { next: () => 0.5 },
-      decide: (decision) =>
-        fixture.words.push({ ...decision, coordinator: COORDINATOR }),
+      onDecision: (decision) =>
+        fixture.replies.push({ ...decision, coordinator: COORDINATOR }),
     }),
   );
-  fixture.pass(525);
+  fixture.advance(525);
   const request = new Request(fixture.nowMs);
-  fixture.take(3, request);
+  fixture.tryAcquire(3, request);
   fixture.deliver();
-  expect(fixture.take(3, request)).toEqual(false);
+  expect(fixture.tryAcquire(3, request)).toEqual(false);
 });
 
 test("should give the slot of a withdrawn request to the next", () => {
   const fixture = new Fixture(4);
   const requests = [0, 1, 2, 3].map(() => new Request(1_000));
   for (const [index, request] of requests.entries()) {
-    fixture.take(index, request);
+    fixture.tryAcquire(index, request);
   }
   fixture.deliver();
-  fixture.vm(1).withdraw(requests[1]!);
+  fixture.vm(1).cancel(requests[1]!);
   fixture.deliver();
-  expect(fixture.take(3, requests[3]!)).toEqual(true);
+  expect(fixture.tryAcquire(3, requests[3]!)).toEqual(true);
 });
--- a/packages/decisions/src/admission/waiting_request.ts
+++ b/packages/decisions/src/admission/waiting_request.ts
@@ -33,28 +33,28 @@
    * Called when the send has ended, with the time of an answered one; gives the
    * server's slot back where slots are given out.
    */
-  readonly ended?: (tookMs: number | undefined) => void;
+  readonly releaseSlot?: (tookMs: number | undefined) => void;
 }
 
 /** Gives out slots of owners where no VM knows all requests at a server. */
 export interface SlotSource {
   /** Whether the request has a slot at the server; asks for it if not. */
-  take(request: WaitingRequest, load: ServerLoad, nowMs: number): boolean;
+  tryAcquire(request: WaitingRequest, load: ServerLoad, nowMs: number): boolean;
   /** The request is sent with its slot; returns what ends that. */
-  begin(request: WaitingRequest): (tookMs: number | undefined) => void;
+  markInUse(request: WaitingRequest): (tookMs: number | undefined) => void;
   /** The request needs no slot any more. */
-  withdraw(request: WaitingRequest): void;
+  cancel(request: WaitingRequest): void;
 }
 
 /** What of a route decides who goes first, and how long it takes. */
-export type RankedRoute = Pick<
+export type PrioritizedRoute = Pick<
   contracts.Route,
   "name" | "priority" | "targetLatencyMs" | "homeRegions"
 >;
 
 /** A request that waits for a server. */
 export interface WaitingRequest {
-  readonly route: RankedRoute;
+  readonly route: PrioritizedRoute;
   readonly key: number | undefined;
   /** Size of its body. */
   readonly bodyBytes: number;
--- a/packages/decisions/src/grants/duty_order.ts
+++ b/packages/decisions/src/grants/vm_ranking.ts
@@ -1,7 +1,7 @@
 /** The order in which VMs take a duty, the same on all without messages. */
 import type * as contracts from "@guavatide/contracts";
-import type { KeyHasher } from "../ownership/key_hash.ts";
-import { rankByName } from "../ownership/renewers.ts";
+import type { KeyHasher } from "../ownership/key_hasher.ts";
+import { rendezvousOrder } from "../ownership/rendezvous_order.ts";
 
 interface Ranked {
   /** VMs that the order was worked out for. */
@@ -10,7 +10,7 @@
 }
 
 /** Orders of VMs by duty, kept while the VMs stay the same. */
-export class DutyOrder {
+export class VmRanking {
   readonly #hasher: KeyHasher;
   readonly #ranked = new Map<string, Ranked>();
 
@@ -19,11 +19,14 @@
   }
 
   /** The VMs in the order in which they take a duty, the same on every VM. */
-  of(duty: string, vms: readonly contracts.VmId[]): readonly contracts.VmId[] {
+  rank(
+    duty: string,
+    vms: readonly contracts.VmId[],
+  ): readonly contracts.VmId[] {
     const present = vms.join();
     const found = this.#ranked.get(duty);
     if (found?.present === present) return found.vms;
-    const ranked = rankByName(duty, vms, { hasher: this.#hasher });
+    const ranked = rendezvousOrder(duty, vms, { hasher: this.#hasher });
     this.#ranked.set(duty, { present, vms: ranked });
     return ranked;
   }
--- a/packages/decisions/src/ownership/assignment_edit.ts
+++ b/packages/decisions/src/ownership/assignment_builder.ts
@@ -3,7 +3,7 @@
  * event concerns go into one update.
  */
 import * as contracts from "@guavatide/contracts";
-import type { ChangeRequest, MoveStep } from "./moves.ts";
+import type { ChangeRequest, SliceChange } from "./assignment_changes.ts";
 import { SliceMap } from "./slice_map.ts";
 
 /** Whether a server is known to check fences; undefined when not met. */
@@ -18,10 +18,10 @@
 >;
 
 /** Builds the successor of an assignment. */
-export class AssignmentEdit {
+export class AssignmentBuilder {
   readonly #base: contracts.Assignment | undefined;
   readonly #checksFences: ChecksFences;
-  readonly #steps: MoveStep[] = [];
+  readonly #steps: SliceChange[] = [];
   #slices: SliceMap;
   #keeperSets: contracts.Assignment["keeperSets"];
   #timings: contracts.LeaseTimings[];
@@ -47,12 +47,12 @@
   }
 
   /** What the update does, slice by slice. */
-  get steps(): readonly MoveStep[] {
+  get changes(): readonly SliceChange[] {
     return this.#steps;
   }
 
   /** Gives every vacating slice that is free to its next owner. */
-  settle(isFree: (slice: contracts.Slice) => boolean): void {
+  finishHandovers(isFree: (slice: contracts.Slice) => boolean): void {
     for (const slice of this.#slices.slices) {
       if (slice.state !== "vacating" || !isFree(slice)) continue;
       const owned: contracts.Slice = {
@@ -86,20 +86,20 @@
   }
 
   /** Drops all keeper sets but the one in force. */
-  retireKeepers(): void {
+  dropEarlierVoterSets(): void {
     this.#keeperSets = this.#keeperSets.slice(-1);
     this.#isChanged = true;
   }
 
   /** Appends a keeper set unless it is in force already. */
-  useKeepers(keepers: readonly contracts.Keeper[]): void {
-    if (isSameSet(keepers, this.#keeperSets.at(-1) ?? [])) return;
+  addVoterSet(keepers: readonly contracts.Voter[]): void {
+    if (isSameVoterSet(keepers, this.#keeperSets.at(-1) ?? [])) return;
     this.#keeperSets = [...this.#keeperSets, [...keepers]];
     this.#isChanged = true;
   }
 
   /** Puts timings in force, unless they are. */
-  useTimings(timings: contracts.LeaseTimings): void {
+  addTimings(timings: contracts.LeaseTimings): void {
     if (isSameTimings(timings, this.#timings.at(-1))) return;
     const { evidenceMs, leaseMs, clockRateMargin } = timings;
     const own = { evidenceMs, leaseMs, clockRateMargin };
@@ -108,18 +108,18 @@
   }
 
   /** Drops all timings but those in force. */
-  retireTimings(): void {
+  dropEarlierTimings(): void {
     this.#timings = this.#timings.slice(-1);
     this.#isChanged = true;
   }
 
   /** Writes a successor although no slice and no keeper changes. */
-  touch(): void {
+  markChanged(): void {
     this.#isChanged = true;
   }
 
   /** The successor, one revision higher. */
-  finish(writer: AssignmentWriter): contracts.Assignment {
+  build(writer: AssignmentWriter): contracts.Assignment {
     return {
       ...writer,
       revision: this.#revision(),
@@ -153,7 +153,7 @@
 
   #replace(
     slice: contracts.Slice,
-    step: Pick<MoveStep, "step" | "from" | "reason">,
+    step: Pick<SliceChange, "step" | "from" | "reason">,
   ): void {
     this.#slices = this.#slices.replace(slice)._unsafeUnwrap();
     this.#note(slice, step);
@@ -161,7 +161,7 @@
 
   #note(
     slice: contracts.Slice,
-    step: Pick<MoveStep, "step" | "from" | "reason">,
+    step: Pick<SliceChange, "step" | "from" | "reason">,
   ): void {
     this.#isChanged = true;
     this.#steps.push({
@@ -207,13 +207,13 @@
 }
 
 /** Whether two sets name the same keepers, in whatever order. */
-export function isSameSet(
-  left: readonly contracts.Keeper[],
-  right: readonly contracts.Keeper[],
+export function isSameVoterSet(
+  left: readonly contracts.Voter[],
+  right: readonly contracts.Voter[],
 ): boolean {
   return namesOf(left) === namesOf(right);
 }
 
-function namesOf(keepers: readonly contracts.Keeper[]): string {
+function namesOf(keepers: readonly contracts.Voter[]): string {
   return keepers.map(({ vm }) => vm).sort().join();
 }
--- a/packages/decisions/src/ownership/moves.ts
+++ b/packages/decisions/src/ownership/assignment_changes.ts
@@ -26,7 +26,7 @@
   };
 
 /** One slice's part in an update of the assignment. */
-export interface MoveStep {
+export interface SliceChange {
   readonly slice: contracts.SliceId;
   readonly step: "vacate" | "settle" | "redirect" | "split" | "merge";
   readonly from: readonly contracts.ServerId[];
--- a/packages/decisions/src/ownership/mover.ts
+++ b/packages/decisions/src/ownership/assignment_controller.ts
@@ -6,17 +6,23 @@
  * case: read, and go on from what was read.
  */
 import * as contracts from "@guavatide/contracts";
-import { AssignmentEdit } from "./assignment_edit.ts";
-import { AssignmentUpkeep } from "./assignment_upkeep.ts";
-import { ForwardBook, type ForwardReport } from "./forward_book.ts";
-import type { ChangeRequest, MoveStep } from "./moves.ts";
-import { type KeeperPromise, PromiseBook } from "./promise_book.ts";
+import { AssignmentBuilder } from "./assignment_builder.ts";
+import { AssignmentMaintenance } from "./assignment_maintenance.ts";
+import {
+  type UnfencedRequestReport,
+  UnfencedRequestTracker,
+} from "./unfenced_request_tracker.ts";
+import type { ChangeRequest, SliceChange } from "./assignment_changes.ts";
+import {
+  type RevisionAck,
+  RevisionAckTracker,
+} from "./revision_ack_tracker.ts";
 import { longestTimings, type OwnershipSettings } from "./settings.ts";
-import type { AnsweredOrder } from "./slice_wait.ts";
-import { WaitBook } from "./wait_book.ts";
+import type { AnsweredCommand } from "./slice_handover.ts";
+import { HandoverTracker } from "./handover_tracker.ts";
 
 /** What came of a read of the assignment object. */
-export type AssignmentRead =
+export type AssignmentReadResult =
   | {
     readonly kind: "found";
     readonly assignment: contracts.Assignment;
@@ -26,7 +32,7 @@
   | { readonly kind: "unavailable" };
 
 /** What came of a conditional update. */
-export type AssignmentWrite =
+export type AssignmentWriteResult =
   | { readonly kind: "acknowledged"; readonly version: string }
   /** Another version was there, or no reply came: it has to be read. */
   | { readonly kind: "conflict" }
@@ -34,18 +40,18 @@
   | { readonly kind: "refused" };
 
 /** What a mover asks of the task around it. */
-export type MoverEffect =
+export type AssignmentEffect =
   | { readonly kind: "read" }
   | {
     readonly kind: "write";
     readonly assignment: contracts.Assignment;
     readonly condition: contracts.WriteCondition;
     /** Moves that the update begins or ends, for the log. */
-    readonly steps: readonly MoveStep[];
+    readonly changes: readonly SliceChange[];
   };
 
 /** The world as the task sees it at a tick. */
-export interface MoverTick {
+export interface AssignmentTick {
   readonly nowMs: number;
   readonly random: contracts.RandomSource;
   /** Whether a server can take slices now. */
@@ -57,7 +63,7 @@
 }
 
 /** Who moves. */
-export interface MoverIdentity {
+export interface ControllerIdentity {
   readonly service: contracts.ServiceId;
   readonly vm: contracts.VmId;
   readonly incarnation: contracts.Incarnation;
@@ -73,29 +79,29 @@
 const RETRY_MAX_MS = 2_000;
 
 /** Moves the slices of one service. */
-export class Mover {
-  readonly #identity: MoverIdentity;
+export class AssignmentController {
+  readonly #identity: ControllerIdentity;
   readonly #settings: OwnershipSettings;
-  protected readonly promises = new PromiseBook();
-  readonly #forwards: ForwardBook;
+  protected readonly acks = new RevisionAckTracker();
+  readonly #forwards: UnfencedRequestTracker;
   #queue: ChangeRequest[] = [];
   /** Requests that the write under way covers. */
   #written: readonly ChangeRequest[] = [];
-  readonly #waits: WaitBook;
-  readonly #upkeep = new AssignmentUpkeep();
+  readonly #waits: HandoverTracker;
+  readonly #upkeep = new AssignmentMaintenance();
   #stored: StoredAssignment | undefined;
   #isAbsent = false;
   #first: contracts.Slice[] | undefined;
-  #call: MoverEffect | undefined;
+  #call: AssignmentEffect | undefined;
   #mustRead = true;
   #notBeforeMs = Number.NEGATIVE_INFINITY;
   #failures = 0;
 
-  constructor(identity: MoverIdentity, settings: OwnershipSettings) {
+  constructor(identity: ControllerIdentity, settings: OwnershipSettings) {
     this.#identity = identity;
     this.#settings = settings;
-    this.#forwards = new ForwardBook(settings.unfencedMoveWaitMs);
-    this.#waits = new WaitBook(settings);
+    this.#forwards = new UnfencedRequestTracker(settings.unfencedMoveWaitMs);
+    this.#waits = new HandoverTracker(settings);
   }
 
   /** The assignment as last read or acknowledged. */
@@ -121,13 +127,13 @@
   }
 
   /** Asks for the first assignment, written only if there is none. */
-  requestFirst(slices: contracts.Slice[]): void {
+  requestInitial(slices: contracts.Slice[]): void {
     this.#first = slices;
   }
 
   /** Asks for a keeper set. */
-  requestKeepers(keepers: readonly contracts.Keeper[]): void {
-    this.#upkeep.requestKeepers(keepers);
+  requestVoters(keepers: readonly contracts.Voter[]): void {
+    this.#upkeep.requestVoters(keepers);
   }
 
   /** Asks for timings to be put in force. */
@@ -136,42 +142,42 @@
   }
 
   /** Reads anew before the next decision, for example after taking duty. */
-  forget(): void {
+  reset(): void {
     this.#queue = [];
-    this.#waits.clear();
-    this.#upkeep.clear();
+    this.#waits.reset();
+    this.#upkeep.reset();
     this.#mustRead = true;
   }
 
   /** A newer revision than the one stored here is known to exist. */
-  noteNewer(revision: number): void {
+  noteNewerRevision(revision: number): void {
     if (revision > (this.assignment?.revision ?? 0)) this.#mustRead = true;
   }
 
   /** An entry VM told which revision it knows. */
-  notePromise(promise: KeeperPromise): void {
-    this.promises.note(promise);
+  noteAck(promise: RevisionAck): void {
+    this.acks.noteAck(promise);
     this.#checkPromises(promise.nowMs);
   }
 
   /** Whether the keepers are to be asked once more what they know. */
-  get needsAnswers(): boolean {
+  get needsVoterReplies(): boolean {
     const sets = this.assignment?.keeperSets;
     if (sets === undefined) return false;
-    return this.#waits.unpromised.some((revision) =>
-      this.promises.isWorthAsking(sets, revision)
+    return this.#waits.revisionsWithoutQuorum.some((revision) =>
+      this.acks.mayReachQuorum(sets, revision)
     );
   }
 
   /** See `PromiseBook.noteGone`. */
-  noteGone(vms: ReadonlySet<contracts.VmId>, nowMs: number): void {
-    this.promises.noteGone(vms);
+  noteRemovedVms(vms: ReadonlySet<contracts.VmId>, nowMs: number): void {
+    this.acks.noteRemovedVms(vms);
     this.#checkPromises(nowMs);
   }
 
   /** An entry VM told of its requests at servers that check no fences. */
-  noteForwards(report: ForwardReport): void {
-    this.#forwards.note(report);
+  noteUnfencedRequests(report: UnfencedRequestReport): void {
+    this.#forwards.noteReport(report);
   }
 
   /** Forgets what entry VMs told that are no longer members. */
@@ -180,7 +186,7 @@
   }
 
   /** A server answered an order. */
-  noteReply(answer: AnsweredOrder): void {
+  noteReply(answer: AnsweredCommand): void {
     this.#upkeep.noteReply(answer, this.assignment);
     this.#waits.noteReply(answer);
   }
@@ -195,12 +201,12 @@
    * Servers to send an order to without delay, once: from now on their
    * answers count as a release.
    */
-  takeHurried(): contracts.ServerId[] {
-    return this.#waits.takeHurried();
+  takeUrgentServers(): contracts.ServerId[] {
+    return this.#waits.takeUrgentServers();
   }
 
   /** Decides what to do next; at most one call to the store is under way. */
-  tick(tick: MoverTick): MoverEffect | undefined {
+  tick(tick: AssignmentTick): AssignmentEffect | undefined {
     if (this.#call !== undefined || tick.nowMs < this.#notBeforeMs) {
       return undefined;
     }
@@ -210,7 +216,7 @@
 
   /** The read that `tick` asked for has ended. */
   noteRead(
-    read: AssignmentRead,
+    read: AssignmentReadResult,
     nowMs: number,
     random: contracts.RandomSource,
   ): void {
@@ -227,7 +233,7 @@
 
   /** The write that `tick` asked for has ended. */
   noteWrite(
-    write: AssignmentWrite,
+    write: AssignmentWriteResult,
     nowMs: number,
     random: contracts.RandomSource,
   ): void {
@@ -252,15 +258,15 @@
     this.#first = undefined;
     this.#mustRead = false;
     this.#failures = 0;
-    this.promises.note({
+    this.acks.noteAck({
       ...this.#identity,
       revision: stored.assignment.revision,
-      askedAtMs: Number.POSITIVE_INFINITY,
+      requestedAtMs: Number.POSITIVE_INFINITY,
       nowMs,
     });
-    this.promises.keepOnly(stored.assignment.keeperSets);
-    this.#waits.renew(stored.assignment, nowMs);
-    this.#upkeep.renew(stored.assignment);
+    this.acks.keepOnly(stored.assignment.keeperSets);
+    this.#waits.noteStored(stored.assignment, nowMs);
+    this.#upkeep.noteStored(stored.assignment);
     this.#checkPromises(nowMs);
   }
 
@@ -282,27 +288,30 @@
   }
 
   #checkPromises(nowMs: number): void {
-    const hasPromise = (revision: number) => this.hasPromise(revision);
-    this.#waits.checkPromises(hasPromise, nowMs);
-    this.#upkeep.checkPromise(hasPromise, nowMs);
+    const hasPromise = (revision: number) => this.hasQuorum(revision);
+    this.#waits.checkQuorum(hasPromise, nowMs);
+    this.#upkeep.checkQuorum(hasPromise, nowMs);
   }
 
   /** Whether a majority of every keeper set knows a revision. */
-  protected hasPromise(revision: number): boolean {
+  protected hasQuorum(revision: number): boolean {
     const sets = this.assignment?.keeperSets;
-    return sets !== undefined && this.promises.hasMajority(sets, revision);
+    return sets !== undefined && this.acks.hasQuorum(sets, revision);
   }
 
   /** Whether the second update of a move may be written. */
-  protected mayTake(slice: contracts.Slice, tick: MoverTick): boolean {
-    const wait = this.#waits.of(slice);
+  protected mayFinishHandover(
+    slice: contracts.Slice,
+    tick: AssignmentTick,
+  ): boolean {
+    const wait = this.#waits.get(slice);
     if (wait === undefined || !tick.isLive(slice.server)) return false;
-    return wait.isOver(slice.server, {
+    return wait.mayFinish(slice.server, {
       nowMs: tick.nowMs,
       timings: this.longestTimings(),
       isUnfenced: (server) => this.#isUnfenced(server, tick),
-      isForwardingOver: (server, revision) =>
-        this.#forwards.isOver(server, revision, {
+      areRequestsDrained: (server, revision) =>
+        this.#forwards.isDrained(server, revision, {
           vms: tick.entryVms,
           nowMs: tick.nowMs,
         }),
@@ -314,22 +323,26 @@
     return longestTimings(this.assignment, this.#settings);
   }
 
-  #isUnfenced(server: contracts.ServerId, tick: MoverTick): boolean {
+  #isUnfenced(server: contracts.ServerId, tick: AssignmentTick): boolean {
     const listed = this.assignment?.unfencedServers ?? [];
     return listed.includes(server) || tick.checksFences(server) === false;
   }
 
-  #nextWrite(tick: MoverTick): MoverEffect | undefined {
+  #nextWrite(tick: AssignmentTick): AssignmentEffect | undefined {
     if (this.#stored === undefined) return this.#firstWrite(tick);
     const { assignment } = this.#stored;
     const hasWork = this.#queue.length > 0 || !this.#waits.isEmpty ||
       this.#upkeep.isDue(assignment);
     if (!hasWork) return undefined;
-    const edit = new AssignmentEdit(assignment, assignment, tick.checksFences);
-    edit.settle((slice) => this.mayTake(slice, tick));
+    const edit = new AssignmentBuilder(
+      assignment,
+      assignment,
+      tick.checksFences,
+    );
+    edit.finishHandovers((slice) => this.mayFinishHandover(slice, tick));
     for (const change of this.#queue) edit.apply(change);
     this.#upkeep.apply(edit, assignment, {
-      hasPromise: (revision) => this.hasPromise(revision),
+      hasPromise: (revision) => this.hasQuorum(revision),
       nowMs: tick.nowMs,
     });
     this.#written = this.#queue;
@@ -341,29 +354,29 @@
     return this.#write(edit, tick, { kind: "version", version });
   }
 
-  #firstWrite(tick: MoverTick): MoverEffect | undefined {
-    const { keepers } = this.#upkeep;
+  #firstWrite(tick: AssignmentTick): AssignmentEffect | undefined {
+    const { voters: keepers } = this.#upkeep;
     const slices = this.#first;
     const isReady = this.#isAbsent && slices && keepers;
     if (!isReady) return undefined;
     const start = { slices, keeperSets: [[...keepers]] };
-    const edit = new AssignmentEdit(undefined, start, tick.checksFences);
-    edit.useTimings(this.#settings);
+    const edit = new AssignmentBuilder(undefined, start, tick.checksFences);
+    edit.addTimings(this.#settings);
     return this.#write(edit, tick, { kind: "absent" });
   }
 
   #write(
-    edit: AssignmentEdit,
-    tick: MoverTick,
+    edit: AssignmentBuilder,
+    tick: AssignmentTick,
     condition: contracts.WriteCondition,
-  ): MoverEffect {
+  ): AssignmentEffect {
     const { service, vm, incarnation } = this.#identity;
-    const assignment = edit.finish({
+    const assignment = edit.build({
       service,
       writer: vm,
       writerIncarnation: incarnation,
       nonce: Math.floor(tick.random.next() * 2 ** 48).toString(16),
     });
-    return { kind: "write", assignment, condition, steps: edit.steps };
+    return { kind: "write", assignment, condition, changes: edit.changes };
   }
 }
--- a/packages/decisions/src/ownership/mover_test.ts
+++ b/packages/decisions/src/ownership/assignment_controller_test.ts
@@ -23,7 +23,7 @@
 const SLICE = contracts.sliceIdOf(START.slices[0]!);
 
 class Fixture {
-  readonly mover = new ownership.Mover(
+  readonly mover = new ownership.AssignmentController(
     { service: START.service, vm: SELF, incarnation: RUN },
     SETTINGS,
   );
@@ -38,7 +38,7 @@
     );
   }
 
-  tick(nowMs: number): ownership.MoverEffect | undefined {
+  tick(nowMs: number): ownership.AssignmentEffect | undefined {
     return this.mover.tick({
       nowMs,
       random: RANDOM,
@@ -79,7 +79,7 @@
       draining: false,
       checksFences: this.checksFences,
     };
-    this.mover.noteReply({ order, reply, sentAtMs: nowMs, nowMs });
+    this.mover.noteReply({ command: order, reply, sentAtMs: nowMs, nowMs });
   }
 }
 
@@ -103,7 +103,7 @@
 test("should wait out evidence and lease of a silent server", () => {
   const fixture = new Fixture();
   fixture.vacate();
-  const endMs = 10 + ownership.waitOutMs(SETTINGS);
+  const endMs = 10 + ownership.leaseExpiryWaitMs(SETTINGS);
   expect(fixture.tick(endMs - 1)).toEqual(undefined);
   expect(fixture.tick(endMs)?.kind).toEqual("write");
 });
@@ -113,7 +113,7 @@
 test("should give a server that answers time to finish its requests", () => {
   const fixture = new Fixture();
   fixture.vacate();
-  const endMs = 10 + ownership.waitOutMs(SETTINGS);
+  const endMs = 10 + ownership.leaseExpiryWaitMs(SETTINGS);
   fixture.reply(1, endMs - 50);
   expect(fixture.tick(endMs + 50)).toEqual(undefined);
   fixture.reply(0, endMs + 60);
@@ -141,7 +141,7 @@
     RANDOM,
   );
   expect(fixture.tick(1_020)).toEqual(undefined);
-  const endMs = 1_010 + ownership.waitOutMs(SETTINGS);
+  const endMs = 1_010 + ownership.leaseExpiryWaitMs(SETTINGS);
   expect(fixture.tick(endMs)?.kind).toEqual("write");
 });
 
@@ -167,7 +167,7 @@
   const settledMs = 10 + SETTINGS.unfencedMoveWaitMs + 100;
   for (const [vm, nowMs] of [[SELF, 30], [PEER, 100]] as const) {
     const report = { vm, incarnation: RUN, revision: 5, busyServers: [] };
-    fixture.mover.noteForwards({ ...report, nowMs });
+    fixture.mover.noteUnfencedRequests({ ...report, nowMs });
   }
   expect(fixture.tick(settledMs - 20)).toEqual(undefined);
   expect(fixture.tick(settledMs)?.kind).toEqual("write");
--- a/packages/decisions/src/ownership/assignment_upkeep.ts
+++ b/packages/decisions/src/ownership/assignment_maintenance.ts
@@ -5,34 +5,34 @@
  */
 import type * as contracts from "@guavatide/contracts";
 import {
-  type AssignmentEdit,
-  isSameSet,
+  type AssignmentBuilder,
   isSameTimings,
-} from "./assignment_edit.ts";
-import type { AnsweredOrder } from "./slice_wait.ts";
-import { TimingsWait } from "./timings_wait.ts";
+  isSameVoterSet,
+} from "./assignment_builder.ts";
+import type { AnsweredCommand } from "./slice_handover.ts";
+import { TimingsExpiry } from "./timings_expiry.ts";
 
 /** Keeper sets that may stand beside each other. */
-const KEEPER_SETS = 3;
+const MAX_VOTER_SETS = 3;
 /** Timings that may be listed beside each other. */
-const TIMINGS_LISTED = 4;
+const MAX_TIMINGS = 4;
 
 /** Whether a majority of every keeper set is known to know a revision. */
-export type HasPromise = (revision: number) => boolean;
+export type HasQuorum = (revision: number) => boolean;
 
 /** The upkeep of one mover for one service. */
-export class AssignmentUpkeep {
-  readonly #timingsWait = new TimingsWait();
-  #keepers: readonly contracts.Keeper[] | undefined;
+export class AssignmentMaintenance {
+  readonly #timingsWait = new TimingsExpiry();
+  #keepers: readonly contracts.Voter[] | undefined;
   #timings: contracts.LeaseTimings | undefined;
   #hasFenceNews = false;
 
   /** The keeper set to have; undefined while none was asked for. */
-  get keepers(): readonly contracts.Keeper[] | undefined {
+  get voters(): readonly contracts.Voter[] | undefined {
     return this.#keepers;
   }
 
-  requestKeepers(keepers: readonly contracts.Keeper[]): void {
+  requestVoters(keepers: readonly contracts.Voter[]): void {
     this.#keepers = keepers;
   }
 
@@ -41,19 +41,19 @@
   }
 
   /** Begins all waits anew, for example after duty was taken over. */
-  clear(): void {
-    this.#timingsWait.clear();
+  reset(): void {
+    this.#timingsWait.reset();
   }
 
   /** Takes in what the store holds. */
-  renew(assignment: contracts.Assignment): void {
+  noteStored(assignment: contracts.Assignment): void {
     this.#hasFenceNews = false;
-    this.#timingsWait.renew(assignment);
+    this.#timingsWait.noteStored(assignment);
   }
 
   /** Entry VMs learn from the assignment which servers they must guard. */
   noteReply(
-    { order, reply }: AnsweredOrder,
+    { command: order, reply }: AnsweredCommand,
     assignment: contracts.Assignment | undefined,
   ): void {
     const listed = assignment?.unfencedServers ?? [];
@@ -61,15 +61,15 @@
     if (isNews && order.slices.length > 0) this.#hasFenceNews = true;
   }
 
-  checkPromise(hasPromise: HasPromise, nowMs: number): void {
-    this.#timingsWait.checkPromise(hasPromise, nowMs);
+  checkQuorum(hasPromise: HasQuorum, nowMs: number): void {
+    this.#timingsWait.checkQuorum(hasPromise, nowMs);
   }
 
   /** Whether there may be anything to change. */
   isDue(assignment: contracts.Assignment): boolean {
     const { keeperSets, leaseTimings = [] } = assignment;
     const isKeeperChange = this.#keepers !== undefined &&
-      !isSameSet(this.#keepers, keeperSets.at(-1)!);
+      !isSameVoterSet(this.#keepers, keeperSets.at(-1)!);
     const isTimingsChange = this.#timings !== undefined &&
       !isSameTimings(this.#timings, leaseTimings.at(-1));
     return keeperSets.length > 1 || leaseTimings.length > 1 ||
@@ -78,13 +78,13 @@
 
   /** Puts the changes that are due into an update. */
   apply(
-    edit: AssignmentEdit,
+    edit: AssignmentBuilder,
     assignment: contracts.Assignment,
-    seen: { readonly hasPromise: HasPromise; readonly nowMs: number },
+    seen: { readonly hasPromise: HasQuorum; readonly nowMs: number },
   ): void {
     this.#changeKeepers(edit, assignment, seen.hasPromise);
     this.#changeTimings(edit, assignment, seen.nowMs);
-    if (this.#hasFenceNews) edit.touch();
+    if (this.#hasFenceNews) edit.markChanged();
   }
 
   /**
@@ -92,27 +92,28 @@
    * the present revision: until then they could still confirm an older one.
    */
   #changeKeepers(
-    edit: AssignmentEdit,
+    edit: AssignmentBuilder,
     { keeperSets, revision }: contracts.Assignment,
-    hasPromise: HasPromise,
+    hasPromise: HasQuorum,
   ): void {
     const mayRetire = keeperSets.length > 1 && hasPromise(revision);
-    if (mayRetire) edit.retireKeepers();
+    if (mayRetire) edit.dropEarlierVoterSets();
     // More sets than these would only let old ones pile up unconfirmed.
-    const mayAdd = keeperSets.length < KEEPER_SETS || mayRetire;
-    if (this.#keepers !== undefined && mayAdd) edit.useKeepers(this.#keepers);
+    const mayAdd = keeperSets.length < MAX_VOTER_SETS || mayRetire;
+    if (this.#keepers !== undefined && mayAdd) edit.addVoterSet(this.#keepers);
   }
 
   /** Settings may be rolled out VM by VM: the holder of duty's count. */
   #changeTimings(
-    edit: AssignmentEdit,
+    edit: AssignmentBuilder,
     assignment: contracts.Assignment,
     nowMs: number,
   ): void {
     const count = assignment.leaseTimings?.length ?? 0;
-    const mayRetire = count > 1 && this.#timingsWait.isOver(assignment, nowMs);
-    if (mayRetire) edit.retireTimings();
-    const mayAdd = count < TIMINGS_LISTED || mayRetire;
-    if (this.#timings !== undefined && mayAdd) edit.useTimings(this.#timings);
+    const mayRetire = count > 1 &&
+      this.#timingsWait.hasExpired(assignment, nowMs);
+    if (mayRetire) edit.dropEarlierTimings();
+    const mayAdd = count < MAX_TIMINGS || mayRetire;
+    if (this.#timings !== undefined && mayAdd) edit.addTimings(this.#timings);
   }
 }
--- a/packages/decisions/src/ownership/evidence.ts
+++ b/packages/decisions/src/ownership/assignment_tracker.ts
@@ -5,17 +5,17 @@
  * the question left, because the answer may have been on its way for long.
  */
 import type * as contracts from "@guavatide/contracts";
-import { timingsInForce } from "./settings.ts";
+import { activeTimings } from "./settings.ts";
 
 /** A peer's answer to the question what it knows of the service. */
-export interface KeeperAnswer {
+export interface VoterReply {
   readonly vm: contracts.VmId;
   readonly known: contracts.KnownRevision;
   /** When the question was sent, on the asker's clock. */
-  readonly askedAtMs: number;
+  readonly requestedAtMs: number;
 }
 
-interface StoreAnswer {
+interface StoreReply {
   readonly revision: number;
   readonly askedAtMs: number;
 }
@@ -24,18 +24,18 @@
 export const NEVER_MS = Number.NEGATIVE_INFINITY;
 
 /** Number of members that form a majority of a set. */
-export function majorityOf(memberCount: number): number {
+export function quorumSize(memberCount: number): number {
   return Math.floor(memberCount / 2) + 1;
 }
 
 /** Evidence of one process for one service. */
-export class EvidenceBook {
+export class AssignmentTracker {
   readonly #self: contracts.VmId;
   readonly #service: contracts.ServiceId;
   readonly #settings: contracts.LeaseTimings;
-  readonly #answers = new Map<contracts.VmId, KeeperAnswer>();
+  readonly #answers = new Map<contracts.VmId, VoterReply>();
   #assignment: contracts.Assignment | undefined;
-  #store: StoreAnswer | undefined;
+  #store: StoreReply | undefined;
   #isSettled = false;
 
   constructor(
@@ -55,7 +55,7 @@
 
   /** Timings to act on at the highest assignment known. */
   get timings(): contracts.LeaseTimings {
-    return timingsInForce(this.#assignment, this.#settings);
+    return activeTimings(this.#assignment, this.#settings);
   }
 
   /** Revision of the highest assignment known; 0 when there is none. */
@@ -71,16 +71,16 @@
    * the start returns at least what was promised. While the store is away,
    * the other keepers' answers serve as well, see {@link #settleByPeers}.
    */
-  get settled(): boolean {
+  get mayVote(): boolean {
     return this.#isSettled;
   }
 
   /** What this process tells peers. */
-  known(): contracts.KnownRevision {
+  knownRevision(): contracts.KnownRevision {
     return {
       service: this.#service,
       revision: this.revision,
-      settled: this.settled,
+      settled: this.mayVote,
     };
   }
 
@@ -110,28 +110,28 @@
   }
 
   /** A peer answered what it knows. Late and crossed answers change nothing. */
-  noteAnswer(answer: KeeperAnswer): void {
+  noteVoterReply(answer: VoterReply): void {
     const last = this.#answers.get(answer.vm);
-    if (last !== undefined && last.askedAtMs > answer.askedAtMs) return;
+    if (last !== undefined && last.requestedAtMs > answer.requestedAtMs) return;
     this.#answers.set(answer.vm, answer);
     this.#settleByPeers();
   }
 
   /** Forgets all evidence, for example when the machine was suspended. */
-  dropEvidence(): void {
+  dropConfirmations(): void {
     this.#answers.clear();
     this.#store = undefined;
   }
 
   /** Time as of which the known revision has evidence; else NEVER_MS. */
-  evidenceAskedAtMs(nowMs: number): number {
+  confirmedAtMs(nowMs: number): number {
     if (this.#assignment === undefined) return NEVER_MS;
     return Math.max(this.#storeAskedAtMs(), this.#roundAskedAtMs(nowMs));
   }
 
   /** Whether orders for the known revision may leave now. */
-  isGood(nowMs: number): boolean {
-    return nowMs < this.evidenceAskedAtMs(nowMs) + this.timings.evidenceMs;
+  isConfirmed(nowMs: number): boolean {
+    return nowMs < this.confirmedAtMs(nowMs) + this.timings.evidenceMs;
   }
 
   /**
@@ -175,19 +175,19 @@
     const times: number[] = [];
     for (const { vm } of keepers) {
       if (vm === this.#self) {
-        if (this.settled) times.push(nowMs);
+        if (this.mayVote) times.push(nowMs);
         continue;
       }
       const answer = this.#answers.get(vm);
       if (answer !== undefined && this.#confirms(answer)) {
-        times.push(answer.askedAtMs);
+        times.push(answer.requestedAtMs);
       }
     }
     times.sort((a, b) => b - a);
-    return times[majorityOf(keepers.length) - 1] ?? NEVER_MS;
+    return times[quorumSize(keepers.length) - 1] ?? NEVER_MS;
   }
 
-  #confirms(answer: KeeperAnswer): boolean {
+  #confirms(answer: VoterReply): boolean {
     return answer.known.settled && answer.known.revision <= this.revision;
   }
 }
--- a/packages/decisions/src/ownership/model_serving_test.ts
+++ b/packages/decisions/src/ownership/cluster_serving_test.ts
@@ -1,19 +1,19 @@
 /** That keys are served at all in the model world, and while the store is away. */
 import { expect } from "earl";
 import { test } from "node:test";
-import { type Fault, SLICES } from "./model_parts_test.ts";
-import { World } from "./model_world_test.ts";
+import { type Fault, SLICES } from "./simulated_processes_test.ts";
+import { SimulatedCluster } from "./simulated_cluster_test.ts";
 
 test("should serve every slice and finish a move when nothing fails", () => {
-  const world = new World({
+  const world = new SimulatedCluster({
     seed: 1,
     faults: [{ kind: "move", atMs: 2_000, keeper: 0, slice: 0, to: 1 }],
   });
-  world.runTo(1_500);
-  expect(world.heldSlices()).toEqual(SLICES);
-  world.runTo(3_000);
+  world.runUntil(1_500);
+  expect(world.leasedSliceCount()).toEqual(SLICES);
+  world.runUntil(3_000);
   expect(world.violations).toEqual([]);
-  expect(world.heldSlices()).toEqual(SLICES);
+  expect(world.leasedSliceCount()).toEqual(SLICES);
   const moved = world.assignment.slices[0]!;
   expect([moved.state, moved.server as string]).toEqual(["owned", "server-1"]);
 });
@@ -21,7 +21,7 @@
 // The store stays away and one of three keepers with it. Keys must be served
 // all the same: hosts would find no open slot for as long as it lasts.
 test("should keep serving while the store is away", () => {
-  const world = new World({
+  const world = new SimulatedCluster({
     seed: 2,
     faults: [
       ...[0, 1, 2].map((keeper) => ({
@@ -33,9 +33,9 @@
       { kind: "pause-keeper", atMs: 2_000, keeper: 0, forMs: 60_000 },
     ],
   });
-  world.runTo(30_000);
+  world.runUntil(30_000);
   expect(world.violations).toEqual([]);
-  expect(world.heldSlices()).toEqual(SLICES);
+  expect(world.leasedSliceCount()).toEqual(SLICES);
 });
 
 // Every entry VM is replaced in turn during a long outage of the store. Each
@@ -52,8 +52,11 @@
     atMs: 2_000 + index * 1_000,
     keeper,
   }));
-  const world = new World({ seed: 3, faults: [...cuts, ...restarts] });
-  world.runTo(20_000);
+  const world = new SimulatedCluster({
+    seed: 3,
+    faults: [...cuts, ...restarts],
+  });
+  world.runUntil(20_000);
   expect(world.violations).toEqual([]);
-  expect(world.heldSlices()).toEqual(SLICES);
+  expect(world.leasedSliceCount()).toEqual(SLICES);
 });
--- a/packages/decisions/src/ownership/loss_detector.ts
+++ b/packages/decisions/src/ownership/failure_detector.ts
@@ -6,11 +6,11 @@
 import type { OwnershipSettings } from "./settings.ts";
 
 /** A gap between two ticks that shows that this process itself was paused. */
-const OWN_PAUSE_MS = 400;
+const PAUSE_THRESHOLD_MS = 400;
 /** A peer's report counts for so long. */
-const REPORT_MS = 1000;
+const REPORT_EXPIRY_MS = 1000;
 
-/** Options of {@link LossDetector.isLost}. */
+/** Options of {@link FailureDetector.isLost}. */
 export interface IsLostOptions {
   readonly nowMs: number;
   /** Other VMs that send orders to the server and would report silence. */
@@ -21,12 +21,12 @@
 type Vote = "lost" | "there" | "none";
 
 interface PeerReport {
-  readonly silent: ReadonlyMap<contracts.ServerId, number>;
-  readonly atMs: number;
+  readonly silenceMs: ReadonlyMap<contracts.ServerId, number>;
+  readonly receivedAtMs: number;
 }
 
 /** Judges the servers of one service. */
-export class LossDetector {
+export class FailureDetector {
   readonly #detectMs: number;
   readonly #silentSinceMs = new Map<contracts.ServerId, number>();
   readonly #contactAtMs = new Map<contracts.ServerId, number>();
@@ -45,7 +45,7 @@
   noteTick(nowMs: number): void {
     const lastMs = this.#lastTickMs ?? nowMs;
     this.#lastTickMs = nowMs;
-    if (nowMs - lastMs <= OWN_PAUSE_MS) return;
+    if (nowMs - lastMs <= PAUSE_THRESHOLD_MS) return;
     for (const [server, sinceMs] of this.#silentSinceMs) {
       const wasLost = lastMs - sinceMs >= this.#detectMs;
       if (!wasLost) this.#silentSinceMs.set(server, nowMs);
@@ -53,13 +53,13 @@
   }
 
   /** An order left; silence counts from the first one without an answer. */
-  noteAttempt(server: contracts.ServerId, nowMs: number): void {
+  noteRequest(server: contracts.ServerId, nowMs: number): void {
     if (this.#silentSinceMs.has(server)) return;
     this.#silentSinceMs.set(server, nowMs);
   }
 
   /** The server answered anything at all. */
-  noteContact(server: contracts.ServerId, nowMs: number): void {
+  noteReply(server: contracts.ServerId, nowMs: number): void {
     this.#silentSinceMs.delete(server);
     this.#contactAtMs.set(server, nowMs);
   }
@@ -76,14 +76,14 @@
     silent: ReadonlyMap<contracts.ServerId, number>,
     nowMs: number,
   ): void {
-    this.#reports.set(vm, { silent, atMs: nowMs });
+    this.#reports.set(vm, { silenceMs: silent, receivedAtMs: nowMs });
   }
 
   /**
    * Servers to tell peers of: silent for half the detection time, or not
    * heard of at all yet. A server that is not told counts as answering.
    */
-  silentServers(nowMs: number): Map<contracts.ServerId, number> {
+  unresponsiveServers(nowMs: number): Map<contracts.ServerId, number> {
     const silent = new Map<contracts.ServerId, number>();
     for (const [server, sinceMs] of this.#silentSinceMs) {
       const silentMs = nowMs - sinceMs;
@@ -111,7 +111,7 @@
   }
 
   /** Whether this process has an answer that is not overdue. */
-  hasContact(server: contracts.ServerId, nowMs: number): boolean {
+  isResponsive(server: contracts.ServerId, nowMs: number): boolean {
     return this.#ownVote(server, nowMs) === "there";
   }
 
@@ -141,10 +141,12 @@
     nowMs: number,
   ): Vote {
     const report = this.#reports.get(vm);
-    if (report === undefined || nowMs - report.atMs > REPORT_MS) return "none";
-    const silentMs = report.silent.get(server);
+    if (
+      report === undefined || nowMs - report.receivedAtMs > REPORT_EXPIRY_MS
+    ) return "none";
+    const silentMs = report.silenceMs.get(server);
     if (silentMs === undefined) return "there";
-    const sinceMs = silentMs + nowMs - report.atMs;
+    const sinceMs = silentMs + nowMs - report.receivedAtMs;
     return sinceMs >= this.#detectMs ? "lost" : "none";
   }
 }
--- a/packages/decisions/src/ownership/loss_detector_test.ts
+++ b/packages/decisions/src/ownership/failure_detector_test.ts
@@ -1,7 +1,7 @@
 import type * as contracts from "@guavatide/contracts";
 import { expect } from "earl";
 import { test } from "node:test";
-import { LossDetector } from "./loss_detector.ts";
+import { FailureDetector } from "./failure_detector.ts";
 import { DEFAULT_OWNERSHIP_SETTINGS as SETTINGS } from "./settings.ts";
 
 const SERVER = "server-1" as contracts.ServerId;
@@ -59,10 +59,10 @@
 
 for (const row of ROWS) {
   test(`should ${row.name}`, () => {
-    const detector = new LossDetector(SETTINGS);
-    for (const atMs of row.silent) detector.noteAttempt(SERVER, atMs);
+    const detector = new FailureDetector(SETTINGS);
+    for (const atMs of row.silent) detector.noteRequest(SERVER, atMs);
     if (row.answerAtMs !== undefined) {
-      detector.noteContact(SERVER, row.answerAtMs);
+      detector.noteReply(SERVER, row.answerAtMs);
     }
     row.peers.forEach((silentMs, index) => {
       if (silentMs === undefined) return;
@@ -77,9 +77,9 @@
 // The judging process itself is stopped for a minute. All replies are overdue
 // when it wakes; taking that for loss would move every key of the service.
 test("should not call servers lost after its own pause", () => {
-  const detector = new LossDetector(SETTINGS);
+  const detector = new FailureDetector(SETTINGS);
   detector.noteTick(0);
-  detector.noteAttempt(SERVER, 0);
+  detector.noteRequest(SERVER, 0);
   detector.noteTick(60_000);
   const options = { nowMs: 60_000, otherRenewers: [] };
   expect(detector.isLost(SERVER, options)).toEqual(false);
@@ -88,9 +88,9 @@
 // The VM that plans moves is stopped for a while. Were a dead server to look
 // alive again after it, keys would be moved onto it.
 test("should keep a server lost through its own pause", () => {
-  const detector = new LossDetector(SETTINGS);
+  const detector = new FailureDetector(SETTINGS);
   detector.noteTick(0);
-  detector.noteAttempt(SERVER, 0);
+  detector.noteRequest(SERVER, 0);
   for (let nowMs = 100; nowMs <= 1_100; nowMs += 100) detector.noteTick(nowMs);
   detector.noteTick(60_000);
   const options = { nowMs: 60_000, otherRenewers: [] };
--- a/packages/decisions/src/ownership/wait_book.ts
+++ b/packages/decisions/src/ownership/handover_tracker.ts
@@ -1,13 +1,13 @@
 /** The waits of one mover: one for each slice between two owners. */
 import * as contracts from "@guavatide/contracts";
 import type { OwnershipSettings } from "./settings.ts";
-import { type AnsweredOrder, SliceWait } from "./slice_wait.ts";
+import { type AnsweredCommand, SliceHandover } from "./slice_handover.ts";
 
 /** Waits for the vacating slices of one service. */
-export class WaitBook {
+export class HandoverTracker {
   readonly #settings: OwnershipSettings;
   readonly #hurried = new Set<contracts.ServerId>();
-  #waits = new Map<string, SliceWait>();
+  #waits = new Map<string, SliceHandover>();
 
   constructor(settings: OwnershipSettings) {
     this.#settings = settings;
@@ -18,52 +18,53 @@
   }
 
   /** Revisions that wait for the keepers' promise. */
-  get unpromised(): number[] {
+  get revisionsWithoutQuorum(): number[] {
     return [...this.#waits.values()]
-      .filter((wait) => !wait.isPromised)
+      .filter((wait) => !wait.hasQuorum)
       .map((wait) => wait.revision);
   }
 
   /** The wait for a slice; undefined when it is not vacating. */
-  of(slice: contracts.Slice): SliceWait | undefined {
-    return this.#waits.get(waitName(slice));
+  get(slice: contracts.Slice): SliceHandover | undefined {
+    return this.#waits.get(handoverKey(slice));
   }
 
-  clear(): void {
+  reset(): void {
     this.#waits.clear();
   }
 
   /** A wait goes on while its slice stays taken from the same ownership. */
-  renew(assignment: contracts.Assignment, acknowledgedAtMs: number): void {
+  noteStored(assignment: contracts.Assignment, acknowledgedAtMs: number): void {
     const { revision } = assignment;
-    const waits = new Map<string, SliceWait>();
+    const waits = new Map<string, SliceHandover>();
     for (const slice of assignment.slices) {
       if (slice.state !== "vacating") continue;
       const seen = { revision, acknowledgedAtMs };
-      const wait = this.of(slice) ?? new SliceWait(slice, seen, this.#settings);
-      waits.set(waitName(slice), wait);
+      const wait = this.get(slice) ??
+        new SliceHandover(slice, seen, this.#settings);
+      waits.set(handoverKey(slice), wait);
     }
     this.#waits = waits;
   }
 
   /** Notes which waits have the keepers' promise as of now. */
-  checkPromises(
+  checkQuorum(
     hasPromise: (revision: number) => boolean,
     nowMs: number,
   ): void {
     for (const wait of this.#waits.values()) {
-      if (wait.isPromised || !hasPromise(wait.revision)) continue;
-      wait.notePromised(nowMs);
+      if (wait.hasQuorum || !hasPromise(wait.revision)) continue;
+      wait.noteQuorum(nowMs);
       for (const server of wait.earlierOwners) this.#hurried.add(server);
     }
   }
 
-  noteReply(answer: AnsweredOrder): void {
+  noteReply(answer: AnsweredCommand): void {
     for (const wait of this.#waits.values()) wait.noteReply(answer);
   }
 
   /** Servers whose answers count as a release from now on; told once. */
-  takeHurried(): contracts.ServerId[] {
+  takeUrgentServers(): contracts.ServerId[] {
     const hurried = [...this.#hurried];
     this.#hurried.clear();
     return hurried;
@@ -71,6 +72,6 @@
 }
 
 /** The same for as long as a slice stays taken from one ownership. */
-function waitName(slice: contracts.Slice): string {
+function handoverKey(slice: contracts.Slice): string {
   return `${contracts.sliceIdOf(slice)}/${slice.fence}/${slice.from.join()}`;
 }
--- a/packages/decisions/src/ownership/duty.ts
+++ b/packages/decisions/src/ownership/leader_lease.ts
@@ -6,18 +6,18 @@
 import * as contracts from "@guavatide/contracts";
 import * as z from "zod";
 
-/** Schema of {@link DutyRecord}. */
-export const dutyRecordSchema = z.strictObject({
+/** Schema of {@link LeaderRecord}. */
+export const leaderRecordSchema = z.strictObject({
   holder: contracts.vmIdSchema,
   incarnation: contracts.incarnationSchema,
   /** Counts the holder's writes, so that each changes the object. */
   renewal: z.number().int().min(0),
 });
 /** The object that names the holder of a duty. */
-export type DutyRecord = z.infer<typeof dutyRecordSchema>;
+export type LeaderRecord = z.infer<typeof leaderRecordSchema>;
 
 /** Times of a duty lease. */
-export interface DutySettings {
+export interface LeaderLeaseSettings {
   readonly leaseMs: number;
   readonly renewMs: number;
   /** How often one who does not hold the duty looks at it. */
@@ -25,44 +25,44 @@
   /** Mean time between two tries while the store gives no answer. */
   readonly retryMs: number;
   /** Delay of a take-over for each live VM ranked before this one. */
-  readonly rankDelayMs: number;
+  readonly takeoverDelayMs: number;
 }
 
 /** Defaults: about one store call every 3 s for each VM and duty. */
-export const DEFAULT_DUTY_SETTINGS: DutySettings = {
+export const DEFAULT_LEADER_LEASE_SETTINGS: LeaderLeaseSettings = {
   leaseMs: 8_000,
   renewMs: 2_500,
   pollMs: 3_000,
   retryMs: 800,
-  rankDelayMs: 250,
+  takeoverDelayMs: 250,
 };
 
 /** What came of a read. */
-export type DutyRead =
+export type LeaderRecordRead =
   | {
     readonly kind: "found";
-    readonly record: DutyRecord;
+    readonly record: LeaderRecord;
     readonly version: string;
   }
   | { readonly kind: "absent" }
   | { readonly kind: "unavailable" };
 
 /** What came of a conditional write. */
-export type DutyWrite =
+export type LeaderRecordWrite =
   | { readonly kind: "acknowledged"; readonly version: string }
   | { readonly kind: "conflict" | "unavailable" };
 
 /** What the task around it is to do. */
-export type DutyEffect =
+export type LeaderLeaseEffect =
   | { readonly kind: "read" }
   | {
     readonly kind: "write";
-    readonly record: DutyRecord;
+    readonly record: LeaderRecord;
     readonly condition: contracts.WriteCondition;
   };
 
 /** The world at a tick. */
-export interface DutyTick {
+export interface LeaderLeaseTick {
   readonly nowMs: number;
   /** Place of this VM among the live ones for this duty; 0 is the first. */
   rank(): number;
@@ -70,28 +70,28 @@
   isLost(holder: contracts.VmId, incarnation: contracts.Incarnation): boolean;
 }
 
-interface SeenRecord {
-  readonly record: DutyRecord | undefined;
+interface ObservedRecord {
+  readonly record: LeaderRecord | undefined;
   readonly condition: contracts.WriteCondition;
   /** When this version was first seen here. */
-  readonly seenAtMs: number;
+  readonly observedAtMs: number;
 }
 
 /** One VM's part in the lease of one duty. */
-export class DutyLease {
+export class LeaderLease {
   readonly #vm: contracts.VmId;
   readonly #incarnation: contracts.Incarnation;
-  readonly #settings: DutySettings;
-  #seen: SeenRecord | undefined;
+  readonly #settings: LeaderLeaseSettings;
+  #seen: ObservedRecord | undefined;
   #heldUntilMs = Number.NEGATIVE_INFINITY;
   #nextCallAtMs = Number.NEGATIVE_INFINITY;
   #vacantSinceMs: number | undefined;
   #callSentAtMs: number | undefined;
-  #written: DutyRecord | undefined;
+  #written: LeaderRecord | undefined;
 
   constructor(
     self: { readonly vm: contracts.VmId; incarnation: contracts.Incarnation },
-    settings: DutySettings,
+    settings: LeaderLeaseSettings,
   ) {
     this.#vm = self.vm;
     this.#incarnation = self.incarnation;
@@ -99,17 +99,17 @@
   }
 
   /** Whether this VM holds the duty, counted from before its last renewal. */
-  holds(nowMs: number): boolean {
+  isLeader(nowMs: number): boolean {
     return nowMs < this.#heldUntilMs;
   }
 
   /** The holder as last seen. */
-  get holder(): contracts.VmId | undefined {
+  get leader(): contracts.VmId | undefined {
     return this.#seen?.record?.holder;
   }
 
   /** The next call, if one is due; at most one is under way. */
-  tick(tick: DutyTick): DutyEffect | undefined {
+  tick(tick: LeaderLeaseTick): LeaderLeaseEffect | undefined {
     if (this.#callSentAtMs !== undefined) return undefined;
     const effect = this.#choose(tick);
     if (effect !== undefined) this.#callSentAtMs = tick.nowMs;
@@ -118,7 +118,7 @@
 
   /** The read has ended. */
   noteRead(
-    read: DutyRead,
+    read: LeaderRecordRead,
     nowMs: number,
     random: contracts.RandomSource,
   ): void {
@@ -133,7 +133,7 @@
 
   /** The write has ended. */
   noteWrite(
-    write: DutyWrite,
+    write: LeaderRecordWrite,
     nowMs: number,
     random: contracts.RandomSource,
   ): void {
@@ -159,14 +159,14 @@
   }
 
   /** The write that hands the duty back while this VM leaves, if it holds. */
-  release(nowMs: number): DutyEffect | undefined {
-    if (!this.holds(nowMs) || this.#seen === undefined) return undefined;
+  resign(nowMs: number): LeaderLeaseEffect | undefined {
+    if (!this.isLeader(nowMs) || this.#seen === undefined) return undefined;
     this.#heldUntilMs = Number.NEGATIVE_INFINITY;
     const record = { ...this.#record(), renewal: 0 };
     return { kind: "write", record, condition: this.#seen.condition };
   }
 
-  #choose(tick: DutyTick): DutyEffect | undefined {
+  #choose(tick: LeaderLeaseTick): LeaderLeaseEffect | undefined {
     const isDue = tick.nowMs >= this.#nextCallAtMs;
     if (this.#seen === undefined) return isDue ? { kind: "read" } : undefined;
     if (this.#isOwn()) return isDue ? this.#write() : undefined;
@@ -174,15 +174,15 @@
     return isDue ? { kind: "read" } : undefined;
   }
 
-  #mayTakeOver(tick: DutyTick): boolean {
-    const { record, seenAtMs } = this.#seen!;
+  #mayTakeOver(tick: LeaderLeaseTick): boolean {
+    const { record, observedAtMs: seenAtMs } = this.#seen!;
     const isVacant = record === undefined || record.renewal === 0 ||
       tick.isLost(record.holder, record.incarnation);
     if (isVacant) this.#vacantSinceMs ??= tick.nowMs;
     else this.#vacantSinceMs = undefined;
     const fromMs = this.#vacantSinceMs ?? seenAtMs + this.#settings.leaseMs;
     if (tick.nowMs < fromMs) return false;
-    return tick.nowMs >= fromMs + tick.rank() * this.#settings.rankDelayMs;
+    return tick.nowMs >= fromMs + tick.rank() * this.#settings.takeoverDelayMs;
   }
 
   #isOwn(): boolean {
@@ -191,13 +191,13 @@
       record.incarnation === this.#incarnation;
   }
 
-  #write(): DutyEffect {
+  #write(): LeaderLeaseEffect {
     this.#written = this.#record();
     const condition = this.#seen!.condition;
     return { kind: "write", record: this.#written, condition };
   }
 
-  #record(): DutyRecord {
+  #record(): LeaderRecord {
     return {
       holder: this.#vm,
       incarnation: this.#incarnation,
@@ -206,7 +206,7 @@
   }
 
   #see(
-    found: { record: DutyRecord; version: string } | undefined,
+    found: { record: LeaderRecord; version: string } | undefined,
     nowMs: number,
   ): void {
     const condition: contracts.WriteCondition = found === undefined
@@ -216,6 +216,6 @@
       this.#seen.condition.version === found?.version;
     if (isSame) return;
     this.#vacantSinceMs = undefined;
-    this.#seen = { record: found?.record, condition, seenAtMs: nowMs };
+    this.#seen = { record: found?.record, condition, observedAtMs: nowMs };
   }
 }
--- a/packages/decisions/src/ownership/duty_test.ts
+++ b/packages/decisions/src/ownership/leader_lease_test.ts
@@ -1,29 +1,29 @@
 import type * as contracts from "@guavatide/contracts";
 import { expect } from "earl";
 import { test } from "node:test";
-import * as duty from "./duty.ts";
+import * as duty from "./leader_lease.ts";
 
-const SETTINGS = duty.DEFAULT_DUTY_SETTINGS;
+const SETTINGS = duty.DEFAULT_LEADER_LEASE_SETTINGS;
 const RANDOM = { next: () => 0.5 };
 const SELF = {
   vm: "entry-1" as contracts.VmId,
   incarnation: "run-1" as contracts.Incarnation,
 };
-const OTHER: duty.DutyRecord = {
+const OTHER: duty.LeaderRecord = {
   holder: "entry-2" as contracts.VmId,
   incarnation: "run-9" as contracts.Incarnation,
   renewal: 4,
 };
 
 /** A lease that has read the other's record at time 0. */
-function leaseOfOther(): duty.DutyLease {
-  const lease = new duty.DutyLease(SELF, SETTINGS);
+function leaseOfOther(): duty.LeaderLease {
+  const lease = new duty.LeaderLease(SELF, SETTINGS);
   expect(lease.tick(at(0))?.kind).toEqual("read");
   lease.noteRead({ kind: "found", record: OTHER, version: "v4" }, 0, RANDOM);
   return lease;
 }
 
-function at(nowMs: number, isLost = false): duty.DutyTick {
+function at(nowMs: number, isLost = false): duty.LeaderLeaseTick {
   return { nowMs, rank: () => 0, isLost: () => isLost };
 }
 
@@ -41,8 +41,8 @@
     condition: { kind: "version", version: "v4" },
   });
   lease.noteWrite({ kind: "acknowledged", version: "v5" }, 30, RANDOM);
-  expect(lease.holds(30)).toEqual(true);
-  expect(lease.holds(20 + SETTINGS.leaseMs)).toEqual(false);
+  expect(lease.isLeader(30)).toEqual(true);
+  expect(lease.isLeader(20 + SETTINGS.leaseMs)).toEqual(false);
 });
 
 test("should take a duty over when its object stays unchanged", () => {
@@ -57,7 +57,7 @@
   const lease = leaseOfOther();
   const second = { ...at(20, true), rank: () => 1 };
   expect(lease.tick(second)).toEqual(undefined);
-  const laterMs = 20 + SETTINGS.rankDelayMs;
+  const laterMs = 20 + SETTINGS.takeoverDelayMs;
   expect(lease.tick({ ...second, nowMs: laterMs })?.kind).toEqual("write");
 });
 
@@ -67,7 +67,7 @@
   const lease = leaseOfOther();
   lease.tick(at(20, true));
   lease.noteWrite({ kind: "unavailable" }, 30, RANDOM);
-  expect(lease.holds(30)).toEqual(false);
+  expect(lease.isLeader(30)).toEqual(false);
   const nextMs = 30 + SETTINGS.retryMs;
   expect(lease.tick(at(nextMs))?.kind).toEqual("read");
 });
--- a/packages/decisions/src/ownership/order_book.ts
+++ b/packages/decisions/src/ownership/lease_command_scheduler.ts
@@ -5,15 +5,15 @@
  * was first seen.
  */
 import type * as contracts from "@guavatide/contracts";
-import { NEVER_MS } from "./evidence.ts";
+import { NEVER_MS } from "./assignment_tracker.ts";
 import type { OwnershipSettings } from "./settings.ts";
 import type { SliceMap } from "./slice_map.ts";
 
 /** Orders to one server that may wait for a reply at once. */
-const OUTSTANDING_ORDERS = 3;
+const MAX_OUTSTANDING_COMMANDS = 3;
 
 /** What the book decides from. */
-export interface OrdersDue {
+export interface LeaseCommandContext {
   readonly nowMs: number;
   readonly service: contracts.ServiceId;
   /** Highest revision known; 1 while there is no assignment. */
@@ -21,7 +21,7 @@
   /** Slices of that revision; absent while there is no assignment. */
   readonly slices?: SliceMap;
   /** See `EvidenceBook.evidenceAskedAtMs`. */
-  readonly evidenceAskedAtMs: number;
+  readonly confirmedAtMs: number;
   /** In force at the revision. */
   readonly timings: contracts.LeaseTimings;
   /** Servers that this process sends orders to. */
@@ -29,7 +29,7 @@
 }
 
 /** What is known of a server from its replies. */
-export interface ServerFacts {
+export interface ServerStatus {
   readonly instance: string;
   readonly checksFences: boolean;
   readonly draining: boolean;
@@ -42,16 +42,16 @@
   outstanding: number;
   /** Send again without waiting for the interval: a stamp has just come. */
   isUrgent: boolean;
-  reply?: contracts.OwnershipReply;
+  reply?: contracts.LeaseCommandReply;
   /** When the order left whose reply is kept. */
-  replySentAtMs: number;
+  replyRequestSentAtMs: number;
   lastReplyAtMs: number;
   /** When this process first saw the server's present run. */
   instanceSeenAtMs: number;
 }
 
 /** Orders of one process for one service. */
-export class OrderBook {
+export class LeaseCommandScheduler {
   readonly #settings: OwnershipSettings;
   readonly #servers = new Map<contracts.ServerId, ServerState>();
 
@@ -60,8 +60,8 @@
   }
 
   /** The orders that are to leave now; they count as sent. */
-  takeDue(due: OrdersDue): contracts.OwnershipOrder[] {
-    const orders: contracts.OwnershipOrder[] = [];
+  takeDue(due: LeaseCommandContext): contracts.LeaseCommand[] {
+    const orders: contracts.LeaseCommand[] = [];
     for (const server of due.servers) {
       const state = this.#stateOf(server);
       if (!this.#isDue(state, due)) continue;
@@ -75,7 +75,7 @@
   }
 
   /** Sends to these servers at the next chance, for example after a move. */
-  hurry(servers: Iterable<contracts.ServerId>): void {
+  markUrgent(servers: Iterable<contracts.ServerId>): void {
     for (const server of servers) this.#stateOf(server).isUrgent = true;
   }
 
@@ -85,18 +85,18 @@
    */
   noteReply(
     server: contracts.ServerId,
-    reply: contracts.OwnershipReply,
+    reply: contracts.LeaseCommandReply,
     times: { readonly sentAtMs: number; readonly nowMs: number },
   ): void {
     const state = this.#stateOf(server);
     state.outstanding = Math.max(0, state.outstanding - 1);
-    if (times.sentAtMs < state.replySentAtMs) return;
+    if (times.sentAtMs < state.replyRequestSentAtMs) return;
     const isNewRun = state.reply?.instance !== reply.instance;
     if (isNewRun) state.instanceSeenAtMs = times.nowMs;
     // A refused stamp is replaced by this reply's; send it back without delay.
     if (isNewRun || !reply.accepted) state.isUrgent = true;
     state.reply = reply;
-    state.replySentAtMs = times.sentAtMs;
+    state.replyRequestSentAtMs = times.sentAtMs;
     state.lastReplyAtMs = times.nowMs;
   }
 
@@ -107,7 +107,7 @@
   }
 
   /** What a server's last reply told; undefined before the first. */
-  facts(server: contracts.ServerId): ServerFacts | undefined {
+  status(server: contracts.ServerId): ServerStatus | undefined {
     const state = this.#servers.get(server);
     if (state?.reply === undefined) return undefined;
     return {
@@ -125,23 +125,23 @@
     }
   }
 
-  #isDue(state: ServerState, due: OrdersDue): boolean {
+  #isDue(state: ServerState, due: LeaseCommandContext): boolean {
     if (due.nowMs >= state.lastSentAtMs + this.#settings.renewMs) return true;
-    if (state.outstanding >= OUTSTANDING_ORDERS) return false;
+    if (state.outstanding >= MAX_OUTSTANDING_COMMANDS) return false;
     return state.isUrgent || state.lastSentRevision < due.revision;
   }
 
   #compose(
     server: contracts.ServerId,
     state: ServerState,
-    due: OrdersDue,
-  ): contracts.OwnershipOrder {
+    due: LeaseCommandContext,
+  ): contracts.LeaseCommand {
     const order = {
       service: due.service,
       server,
       revision: due.revision,
       leaseMs: due.timings.leaseMs,
-      slices: due.slices?.heldBy(server) ?? [],
+      slices: due.slices?.ownedBy(server) ?? [],
     };
     if (state.reply === undefined || !this.mayGrant(state, due)) return order;
     return {
@@ -159,11 +159,11 @@
    */
   protected mayGrant(
     state: { readonly instanceSeenAtMs: number },
-    due: OrdersDue,
+    due: LeaseCommandContext,
   ): boolean {
     const isFresh = due.nowMs <
-      due.evidenceAskedAtMs + due.timings.evidenceMs;
-    return isFresh && due.evidenceAskedAtMs >= state.instanceSeenAtMs;
+      due.confirmedAtMs + due.timings.evidenceMs;
+    return isFresh && due.confirmedAtMs >= state.instanceSeenAtMs;
   }
 
   #stateOf(server: contracts.ServerId): ServerState {
@@ -174,7 +174,7 @@
       lastSentRevision: 0,
       outstanding: 0,
       isUrgent: true,
-      replySentAtMs: NEVER_MS,
+      replyRequestSentAtMs: NEVER_MS,
       lastReplyAtMs: NEVER_MS,
       instanceSeenAtMs: NEVER_MS,
     };
--- a/packages/decisions/src/ownership/ownership_model_test.ts
+++ b/packages/decisions/src/ownership/ownership_model_test.ts
@@ -10,18 +10,18 @@
 import {
   END_MS,
   type Fault,
-  KEEPERS,
-  type Rules,
+  type Overrides,
   type Scenario,
   SERVERS,
   SETTINGS,
   SLICES,
-} from "./model_parts_test.ts";
-import { World } from "./model_world_test.ts";
+  VOTERS,
+} from "./simulated_processes_test.ts";
+import { SimulatedCluster } from "./simulated_cluster_test.ts";
 
 const atMs = fc.integer({ min: 500, max: 6_000 });
 const forMs = fc.integer({ min: 50, max: 3_000 });
-const keeper = fc.integer({ min: 0, max: KEEPERS - 1 });
+const keeper = fc.integer({ min: 0, max: VOTERS - 1 });
 const server = fc.integer({ min: 0, max: SERVERS - 1 });
 const slice = fc.integer({ min: 0, max: SLICES - 1 });
 const move = fc.record({
@@ -32,7 +32,7 @@
   to: server,
 });
 
-function fault<Kind extends Fault["kind"], Fields>(
+function faultOf<Kind extends Fault["kind"], Fields>(
   kind: Kind,
   fields: { [Name in keyof Fields]: fc.Arbitrary<Fields[Name]> },
 ) {
@@ -41,21 +41,21 @@
 
 const anyFault: fc.Arbitrary<Fault> = fc.oneof(
   { weight: 4, arbitrary: move },
-  fault("restart-keeper", { keeper }),
-  fault("pause-keeper", { keeper, forMs }),
-  fault("restart-server", { server }),
-  fault("pause-server", { server, forMs }),
-  fault("cut-store", { keeper, forMs }),
-  fault("lose-store-replies", { forMs }),
-  fault("cut-peers", { keeper, forMs }),
-  fault("cut-server", { keeper, server, forMs }),
-  fault("split", {
+  faultOf("restart-keeper", { keeper }),
+  faultOf("pause-keeper", { keeper, forMs }),
+  faultOf("restart-server", { server }),
+  faultOf("pause-server", { server, forMs }),
+  faultOf("cut-store", { keeper, forMs }),
+  faultOf("lose-store-replies", { forMs }),
+  faultOf("cut-peers", { keeper, forMs }),
+  faultOf("cut-server", { keeper, server, forMs }),
+  faultOf("split", {
     forMs,
     side: fc.uniqueArray(fc.integer({ min: 0, max: 4 }), { maxLength: 4 }),
   }),
-  fault("slow", { forMs, delayMs: fc.integer({ min: 50, max: 1_500 }) }),
-  fault("timings", { keeper }),
-  fault("keepers", { keeper, set: fc.integer({ min: 0, max: 4 }) }),
+  faultOf("slow", { forMs, delayMs: fc.integer({ min: 50, max: 1_500 }) }),
+  faultOf("timings", { keeper }),
+  faultOf("keepers", { keeper, set: fc.integer({ min: 0, max: 4 }) }),
 ) as fc.Arbitrary<Fault>;
 
 const anyScenario: fc.Arbitrary<Scenario> = fc.record({
@@ -68,7 +68,7 @@
 });
 
 function violationsOf(scenario: Scenario): string[] {
-  return new World(scenario).runTo(END_MS).violations;
+  return new SimulatedCluster(scenario).runUntil(END_MS).violations;
 }
 
 // Processes are paused, restarted and cut off in any order while keys move.
@@ -83,24 +83,24 @@
   );
 });
 
-class ForgetfulBook extends ownership.EvidenceBook {
-  override get settled(): boolean {
+class AlwaysVotingTracker extends ownership.AssignmentTracker {
+  override get mayVote(): boolean {
     return true;
   }
 }
 
 /** Grants to a new run of a server on evidence from before it. */
-class HastyOrders extends ownership.OrderBook {
+class StaleConfirmationScheduler extends ownership.LeaseCommandScheduler {
   protected override mayGrant(
     _state: { readonly instanceSeenAtMs: number },
-    due: ownership.OrdersDue,
+    due: ownership.LeaseCommandContext,
   ): boolean {
-    return due.nowMs < due.evidenceAskedAtMs + due.timings.evidenceMs;
+    return due.nowMs < due.confirmedAtMs + due.timings.evidenceMs;
   }
 }
 
 /** Takes a slice that is moved a second time without the first wait. */
-class SkippingMover extends ownership.Mover {
+class NoSecondWaitController extends ownership.AssignmentController {
   readonly #moved = new Set<string>();
   override request(change: ownership.ChangeRequest): void {
     const isVacating = this.assignment?.slices.some((slice) =>
@@ -109,40 +109,40 @@
     if (isVacating) this.#moved.add(change.slice);
     super.request(change);
   }
-  protected override mayTake(
+  protected override mayFinishHandover(
     slice: contracts.Slice,
-    tick: ownership.MoverTick,
+    tick: ownership.AssignmentTick,
   ): boolean {
-    return this.#moved.size > 0 || super.mayTake(slice, tick);
+    return this.#moved.size > 0 || super.mayFinishHandover(slice, tick);
   }
 }
 
 /** Waits without the keepers' promise. */
-class UnpromisedMover extends ownership.Mover {
-  protected override hasPromise(): boolean {
+class NoQuorumController extends ownership.AssignmentController {
+  protected override hasQuorum(): boolean {
     return true;
   }
 }
 
 /** Asks only the newest keeper set for its promise. */
-class NewSetMover extends ownership.Mover {
-  protected override hasPromise(revision: number): boolean {
+class NewestVoterSetController extends ownership.AssignmentController {
+  protected override hasQuorum(revision: number): boolean {
     const sets = this.assignment?.keeperSets.slice(-1) ?? [];
-    return this.promises.hasMajority(sets, revision);
+    return this.acks.hasQuorum(sets, revision);
   }
 }
 
 const LONG_MS = 60_000;
 
 /** Counts promises of runs that have ended since. */
-class LastingPromises extends ownership.PromiseBook {
+class AcksAcrossRestarts extends ownership.RevisionAckTracker {
   readonly #highest = new Map<contracts.VmId, number>();
-  override note(promise: ownership.KeeperPromise): void {
-    super.note(promise);
+  override noteAck(promise: ownership.RevisionAck): void {
+    super.noteAck(promise);
     const { vm, revision } = promise;
     this.#highest.set(vm, Math.max(revision, this.#highest.get(vm) ?? 0));
   }
-  protected override isPromisedAt(
+  protected override isAckedAt(
     vm: contracts.VmId,
     revision: number,
   ): boolean {
@@ -150,14 +150,14 @@
   }
 }
 
-class LastingMover extends ownership.Mover {
-  protected override readonly promises = new LastingPromises();
+class AcksAcrossRestartsController extends ownership.AssignmentController {
+  protected override readonly acks = new AcksAcrossRestarts();
 }
 
-interface Trap {
+interface Safeguard {
   readonly name: string;
-  readonly withoutRule: Rules;
-  readonly keepers?: number;
+  readonly withoutSafeguard: Overrides;
+  readonly voters?: number;
   readonly leasesMs?: readonly number[];
   readonly faults: readonly Fault[];
 }
@@ -181,11 +181,11 @@
   }));
 }
 
-const TRAPS: readonly Trap[] = [
+const SAFEGUARDS: readonly Safeguard[] = [
   {
     // The keeper had promised the newer revision and forgot it.
     name: "a restarted keeper gives no evidence before it has read the store",
-    withoutRule: { book: ForgetfulBook },
+    withoutSafeguard: { trackerClass: AlwaysVotingTracker },
     faults: [
       { kind: "cut-store", atMs: 1_950, keeper: 1, forMs: LONG_MS },
       { kind: "cut-peers", atMs: 1_950, keeper: 1, forMs: 450 },
@@ -199,7 +199,7 @@
   },
   {
     name: "a second move of a vacating slice keeps the first one's wait",
-    withoutRule: { mover: SkippingMover },
+    withoutSafeguard: { controllerClass: NoSecondWaitController },
     faults: [
       { kind: "pause-server", atMs: 1_990, server: 0, forMs: 5_000 },
       moveAway,
@@ -208,7 +208,7 @@
   },
   {
     name: "a lease counts from the server's stamp, not from arrival",
-    withoutRule: { isLeaseFromArrival: true },
+    withoutSafeguard: { isLeaseFromArrival: true },
     faults: [
       { kind: "pause-server", atMs: 1_500, server: 0, forMs: 3_500 },
       ...[0, 1, 2].flatMap((keeper) => cutOff(keeper, 1_960, [0])),
@@ -217,7 +217,7 @@
   },
   {
     name: "evidence counts from before the question left",
-    withoutRule: { isEvidenceFromAnswer: true },
+    withoutSafeguard: { isConfirmedFromReply: true },
     faults: [
       { kind: "slow", atMs: 1_700, forMs: 290, delayMs: 300 },
       { kind: "cut-store", atMs: 1_800, keeper: 1, forMs: LONG_MS },
@@ -231,7 +231,7 @@
   {
     // Right after its release the server starts anew and knows nothing of it.
     name: "a new run of a server is granted only on younger evidence",
-    withoutRule: { orders: HastyOrders },
+    withoutSafeguard: { schedulerClass: StaleConfirmationScheduler },
     faults: [
       { kind: "cut-store", atMs: 1_970, keeper: 1, forMs: LONG_MS },
       { kind: "cut-peers", atMs: 1_970, keeper: 1, forMs: LONG_MS },
@@ -243,7 +243,7 @@
   },
   {
     name: "a release counts only after the keepers' promise",
-    withoutRule: { mover: UnpromisedMover },
+    withoutSafeguard: { controllerClass: NoQuorumController },
     faults: [
       { kind: "cut-store", atMs: 1_970, keeper: 1, forMs: LONG_MS },
       { kind: "cut-store", atMs: 1_970, keeper: 2, forMs: LONG_MS },
@@ -256,8 +256,8 @@
   {
     // It promised, forgot, and settled by peers that had yet to promise.
     name: "a promise counts only with others of its time",
-    withoutRule: { mover: LastingMover },
-    keepers: 5,
+    withoutSafeguard: { controllerClass: AcksAcrossRestartsController },
+    voters: 5,
     faults: [
       ...[1, 2, 3, 4].map((keeper): Fault => ({
         kind: "cut-store",
@@ -278,7 +278,7 @@
   {
     // Longer leases are being rolled out, one entry VM after another.
     name: "leases and waits come from the assignment, not from settings",
-    withoutRule: { isOwnTimings: true },
+    withoutSafeguard: { isOwnTimings: true },
     leasesMs: [SETTINGS.leaseMs, 3_000, 3_000],
     faults: [
       { kind: "pause-server", atMs: 1_995, server: 0, forMs: 5_000 },
@@ -287,7 +287,7 @@
   },
   {
     name: "a change of keepers needs a majority of the earlier set too",
-    withoutRule: { mover: NewSetMover },
+    withoutSafeguard: { controllerClass: NewestVoterSetController },
     faults: [
       { kind: "cut-store", atMs: 1_970, keeper: 1, forMs: LONG_MS },
       { kind: "cut-store", atMs: 1_970, keeper: 2, forMs: LONG_MS },
@@ -301,16 +301,18 @@
 
 const SEEDS = Array.from({ length: 20 }, (_, seed) => seed);
 
-function shows(trap: Trap, seed: number, rules?: Rules): boolean {
-  return violationsOf({ ...trap, seed, rules }).length > 0;
+function isBroken(trap: Safeguard, seed: number, rules?: Overrides): boolean {
+  return violationsOf({ ...trap, seed, overrides: rules }).length > 0;
 }
 
 // Each row is a way in which two servers could come to own one key. It must
 // show without the rule, or the row proves nothing, and never with it.
-for (const trap of TRAPS) {
+for (const trap of SAFEGUARDS) {
   test(`should hold because ${trap.name}`, () => {
-    const seed = SEEDS.find((seed) => shows(trap, seed, trap.withoutRule));
+    const seed = SEEDS.find((seed) =>
+      isBroken(trap, seed, trap.withoutSafeguard)
+    );
     expect(seed).not.toEqual(undefined);
-    expect(SEEDS.filter((seed) => shows(trap, seed))).toEqual([]);
+    expect(SEEDS.filter((seed) => isBroken(trap, seed))).toEqual([]);
   });
 }
--- a/packages/decisions/src/ownership/renewers.ts
+++ b/packages/decisions/src/ownership/rendezvous_order.ts
@@ -1,9 +1,9 @@
 /** Chooses the entry VMs that renew a server, without a word between them. */
 import type * as contracts from "@guavatide/contracts";
-import type { KeyHasher } from "./key_hash.ts";
+import type { KeyHasher } from "./key_hasher.ts";
 
-/** Options of {@link rankByName}. */
-export interface RankByNameOptions {
+/** Options of {@link rendezvousOrder}. */
+export interface RendezvousOrderOptions {
   readonly hasher: KeyHasher;
 }
 
@@ -11,10 +11,10 @@
  * VMs in rendezvous order for a name: each VM computes the same order, and
  * the loss of one moves only what that one did.
  */
-export function rankByName(
+export function rendezvousOrder(
   name: string,
   vms: readonly contracts.VmId[],
-  options: RankByNameOptions,
+  options: RendezvousOrderOptions,
 ): contracts.VmId[] {
   const weights = new Map<contracts.VmId, number>();
   for (const vm of vms) {
--- a/packages/decisions/src/ownership/promise_book.ts
+++ b/packages/decisions/src/ownership/revision_ack_tracker.ts
@@ -3,28 +3,28 @@
  * no majority of keepers can confirm an older revision any more.
  */
 import type * as contracts from "@guavatide/contracts";
-import { majorityOf, NEVER_MS } from "./evidence.ts";
+import { NEVER_MS, quorumSize } from "./assignment_tracker.ts";
 
 /** What a VM told of the revision that it knows. */
-export interface KeeperPromise {
+export interface RevisionAck {
   readonly vm: contracts.VmId;
   readonly incarnation: contracts.Incarnation;
   readonly revision: number;
   /** When the question left that this answers; absent when none was asked. */
-  readonly askedAtMs?: number;
+  readonly requestedAtMs?: number;
   readonly nowMs: number;
 }
 
-interface Told {
+interface AckState {
   readonly incarnation: contracts.Incarnation;
   readonly revision: number;
   /** When this run told this revision first. */
-  readonly toldAtMs: number;
+  readonly firstAckAtMs: number;
   /** The latest question that this run answered. */
   readonly askedAtMs: number;
 }
 
-type KeeperSets = readonly (readonly contracts.Keeper[])[];
+type VoterSets = readonly (readonly contracts.Voter[])[];
 
 /**
  * Promises that one mover has seen for one service.
@@ -36,35 +36,40 @@
  * question that was sent after it, in the same run. A run that starts later
  * than that then hears of the revision from the others.
  */
-export class PromiseBook {
-  readonly #told = new Map<contracts.VmId, Told>();
+export class RevisionAckTracker {
+  readonly #told = new Map<contracts.VmId, AckState>();
   #gone: ReadonlySet<contracts.VmId> = new Set();
 
   /** A VM told that it knows a revision. */
-  note(promise: KeeperPromise): void {
+  noteAck(promise: RevisionAck): void {
     const { vm, incarnation, revision, nowMs } = promise;
     const last = this.#told.get(vm);
     const isSameRun = last?.incarnation === incarnation;
     const askedAtMs = Math.max(
-      promise.askedAtMs ?? NEVER_MS,
+      promise.requestedAtMs ?? NEVER_MS,
       isSameRun ? last.askedAtMs : NEVER_MS,
     );
     const isOld = isSameRun && revision <= last.revision;
-    const toldAtMs = isOld ? last.toldAtMs : nowMs;
+    const toldAtMs = isOld ? last.firstAckAtMs : nowMs;
     const highest = isOld ? last.revision : revision;
-    this.#told.set(vm, { incarnation, revision: highest, toldAtMs, askedAtMs });
+    this.#told.set(vm, {
+      incarnation,
+      revision: highest,
+      firstAckAtMs: toldAtMs,
+      askedAtMs,
+    });
   }
 
   /**
    * VMs that the platform has dropped from its list for so long that their
    * processes are gone for good: they can confirm nothing any more.
    */
-  noteGone(vms: ReadonlySet<contracts.VmId>): void {
+  noteRemovedVms(vms: ReadonlySet<contracts.VmId>): void {
     this.#gone = vms;
   }
 
   /** Forgets VMs that are in none of the sets. */
-  keepOnly(keeperSets: KeeperSets): void {
+  keepOnly(keeperSets: VoterSets): void {
     const keepers = new Set(keeperSets.flat().map(({ vm }) => vm));
     for (const vm of this.#told.keys()) {
       if (!keepers.has(vm)) this.#told.delete(vm);
@@ -72,12 +77,14 @@
   }
 
   /** Whether a majority of every set knows `revision` or a newer one. */
-  hasMajority(keeperSets: KeeperSets, revision: number): boolean {
-    const moments = [...this.#told.values()].map(({ toldAtMs }) => toldAtMs);
+  hasQuorum(keeperSets: VoterSets, revision: number): boolean {
+    const moments = [...this.#told.values()].map(({ firstAckAtMs: toldAtMs }) =>
+      toldAtMs
+    );
     return moments.some((momentMs) =>
       this.#isMajority(
         keeperSets,
-        (vm) => this.isPromisedAt(vm, revision, momentMs),
+        (vm) => this.isAckedAt(vm, revision, momentMs),
       )
     );
   }
@@ -86,7 +93,7 @@
    * Whether a majority has told, though not each of it was asked again since:
    * asking now may complete the promise.
    */
-  isWorthAsking(keeperSets: KeeperSets, revision: number): boolean {
+  mayReachQuorum(keeperSets: VoterSets, revision: number): boolean {
     return this.#isMajority(keeperSets, (vm) => {
       const told = this.#told.get(vm);
       return told !== undefined && told.revision >= revision;
@@ -94,23 +101,23 @@
   }
 
   /** Whether a VM had promised at a moment and still knew of it later. */
-  protected isPromisedAt(
+  protected isAckedAt(
     vm: contracts.VmId,
     revision: number,
     momentMs: number,
   ): boolean {
     const told = this.#told.get(vm);
     return told !== undefined && told.revision >= revision &&
-      told.toldAtMs <= momentMs && told.askedAtMs >= momentMs;
+      told.firstAckAtMs <= momentMs && told.askedAtMs >= momentMs;
   }
 
   #isMajority(
-    keeperSets: KeeperSets,
+    keeperSets: VoterSets,
     counts: (vm: contracts.VmId) => boolean,
   ): boolean {
     return keeperSets.every((set) => {
       const known = set.filter(({ vm }) => this.#gone.has(vm) || counts(vm));
-      return known.length >= majorityOf(set.length);
+      return known.length >= quorumSize(set.length);
     });
   }
 }
--- a/packages/decisions/src/ownership/settings.ts
+++ b/packages/decisions/src/ownership/settings.ts
@@ -8,7 +8,7 @@
   /** A server counts as lost after so long without an answer. */
   readonly detectMs: number;
   /** Keepers that renew each server. */
-  readonly renewers: number;
+  readonly renewersPerServer: number;
   /**
    * Longest time that a request may run at a server which checks no fences,
    * after the last entry VM lost the right to forward. Its slices are given on
@@ -30,7 +30,7 @@
   renewMs: 250,
   detectMs: 1000,
   clockRateMargin: 0.02,
-  renewers: 2,
+  renewersPerServer: 2,
   unfencedMoveWaitMs: 2000,
   releaseWaitMs: 5000,
 };
@@ -41,7 +41,7 @@
  * ones are rolled out, would otherwise give leases that a mover does not wait
  * out, and a key would have two owners.
  */
-export function timingsInForce(
+export function activeTimings(
   assignment: contracts.Assignment | undefined,
   settings: contracts.LeaseTimings,
 ): contracts.LeaseTimings {
@@ -64,7 +64,7 @@
 }
 
 /** How long a mover waits a silent server out, in milliseconds. */
-export function waitOutMs(timings: contracts.LeaseTimings): number {
+export function leaseExpiryWaitMs(timings: contracts.LeaseTimings): number {
   const longest = timings.evidenceMs + timings.leaseMs;
   return longest * (1 + timings.clockRateMargin);
 }
--- a/packages/decisions/src/ownership/model_world_test.ts
+++ b/packages/decisions/src/ownership/simulated_cluster_test.ts
@@ -5,23 +5,23 @@
  */
 import * as contracts from "@guavatide/contracts";
 import {
-  ASK_MS,
   type Fault,
-  KEEPERS,
-  keeperSet,
-  ModelKeeper,
-  ModelServer,
-  type Rules,
+  type Overrides,
   type Scenario,
   SeededRandom,
   SERVERS,
   SERVICE,
+  SimulatedServer,
+  SimulatedVoter,
   SkewedClock,
   SLICES,
   STEP_MS,
   vmId,
-} from "./model_parts_test.ts";
-import { ModelNetwork } from "./model_network_test.ts";
+  VOTER_POLL_MS,
+  VOTERS,
+  voterSet,
+} from "./simulated_processes_test.ts";
+import { SimulatedNetwork } from "./simulated_network_test.ts";
 import * as ownership from "./mod.ts";
 
 function firstTimings(): contracts.LeaseTimings {
@@ -31,15 +31,15 @@
 }
 
 /** Keepers, servers, the store and the messages between them. */
-export class World {
+export class SimulatedCluster {
   readonly violations: string[] = [];
   readonly #random: SeededRandom;
-  readonly #rules: Rules;
+  readonly #rules: Overrides;
   readonly #keeperCount: number;
   readonly #faults: Fault[];
-  readonly #keepers: ModelKeeper[] = [];
-  readonly #servers: ModelServer[] = [];
-  readonly #network: ModelNetwork;
+  readonly #keepers: SimulatedVoter[] = [];
+  readonly #servers: SimulatedServer[] = [];
+  readonly #network: SimulatedNetwork;
   readonly #history = new Map<number, contracts.Assignment>();
   readonly #highest = new Map<string, number>();
   #stored: contracts.Assignment;
@@ -49,9 +49,9 @@
 
   constructor(scenario: Scenario) {
     this.#random = new SeededRandom(scenario.seed);
-    this.#network = new ModelNetwork(this.#random);
-    this.#rules = scenario.rules ?? {};
-    this.#keeperCount = scenario.keepers ?? KEEPERS;
+    this.#network = new SimulatedNetwork(this.#random);
+    this.#rules = scenario.overrides ?? {};
+    this.#keeperCount = scenario.voters ?? VOTERS;
     this.#faults = [...scenario.faults].sort((a, b) => a.atMs - b.atMs);
     const clock = () =>
       new SkewedClock(
@@ -59,10 +59,10 @@
         0.992 + this.#random.next() * 0.016,
       );
     for (let index = 0; index < this.#keeperCount; index++) {
-      this.#keepers.push(new ModelKeeper(index, clock(), scenario));
+      this.#keepers.push(new SimulatedVoter(index, clock(), scenario));
     }
     for (let index = 0; index < SERVERS; index++) {
-      this.#servers.push(new ModelServer(index, clock(), this.#rules));
+      this.#servers.push(new SimulatedServer(index, clock(), this.#rules));
     }
     this.#stored = this.#firstAssignment();
     this.#history.set(1, this.#stored);
@@ -77,7 +77,7 @@
   }
 
   /** How many slices are held under a lease by the owner in the store. */
-  heldSlices(): number {
+  leasedSliceCount(): number {
     return this.#stored.slices.filter((slice) =>
       this.#servers.some((server) =>
         server.id === slice.server && server.owns(slice.fromHash, this.#nowMs)
@@ -85,7 +85,7 @@
     ).length;
   }
 
-  runTo(endMs: number): this {
+  runUntil(endMs: number): this {
     while (this.#nowMs < endMs && this.violations.length === 0) {
       while ((this.#faults[0]?.atMs ?? Infinity) <= this.#nowMs) {
         this.#induce(this.#faults.shift()!);
@@ -107,7 +107,7 @@
       writerIncarnation: "run-0" as contracts.Incarnation,
       nonce: "first",
       leaseTimings: [firstTimings()],
-      keeperSets: [keeperSet(0, this.#keeperCount)],
+      keeperSets: [voterSet(0, this.#keeperCount)],
       slices: ownership.equalSlices(
         this.#servers.map((server) => server.id),
         SLICES,
@@ -155,21 +155,21 @@
         this.#splitSide = new Set(fault.side.map(vmId));
         return;
       case "slow":
-        return this.#network.slow(untilMs, fault.delayMs);
+        return this.#network.delayMessages(untilMs, fault.delayMs);
       case "timings":
         return keeper.mover.requestTimings(keeper.settings);
       case "keepers":
-        return keeper.mover.requestKeepers(
-          keeperSet(fault.set, this.#keeperCount),
+        return keeper.mover.requestVoters(
+          voterSet(fault.set, this.#keeperCount),
         );
     }
   }
 
   /** To a keeper; a paused one gets it when it wakes, a new run never. */
-  #toKeeper(keeper: ModelKeeper, receive: (nowMs: number) => void): void {
-    const run = keeper.run;
+  #toKeeper(keeper: SimulatedVoter, receive: (nowMs: number) => void): void {
+    const run = keeper.epoch;
     const deliver = () => {
-      if (keeper.run !== run) return;
+      if (keeper.epoch !== run) return;
       if (keeper.pausedUntilMs > this.#nowMs) {
         this.#network.at(keeper.pausedUntilMs, deliver);
         return;
@@ -179,13 +179,13 @@
     this.#network.send(deliver);
   }
 
-  #tick(keeper: ModelKeeper): void {
+  #tick(keeper: SimulatedVoter): void {
     const nowMs = keeper.clock.at(this.#nowMs);
-    const isAsking = this.#nowMs >= keeper.nextAskMs ||
-      keeper.mover.needsAnswers;
+    const isAsking = this.#nowMs >= keeper.nextPollMs ||
+      keeper.mover.needsVoterReplies;
     if (isAsking) this.#askPeers(keeper, nowMs);
     if (this.#nowMs >= keeper.nextReadMs) this.#readStore(keeper, nowMs, false);
-    keeper.orders.hurry(keeper.mover.takeHurried());
+    keeper.orders.markUrgent(keeper.mover.takeUrgentServers());
     this.#sendOrders(keeper, nowMs);
     const effect = keeper.mover.tick({
       nowMs,
@@ -198,8 +198,8 @@
     if (effect?.kind === "write") this.#write(keeper, nowMs, effect);
   }
 
-  #askPeers(keeper: ModelKeeper, askedAtMs: number): void {
-    keeper.nextAskMs = this.#nowMs + ASK_MS;
+  #askPeers(keeper: SimulatedVoter, askedAtMs: number): void {
+    keeper.nextPollMs = this.#nowMs + VOTER_POLL_MS;
     const told = keeper.book.assignment;
     const teller = { vm: keeper.vm, incarnation: keeper.incarnation };
     for (const peer of this.#keepers) {
@@ -208,25 +208,25 @@
         if (told !== undefined) {
           peer.book.learn(told);
           const { revision } = told;
-          peer.mover.notePromise({ ...teller, revision, nowMs: peerMs });
+          peer.mover.noteAck({ ...teller, revision, nowMs: peerMs });
         }
-        const known = peer.book.known();
+        const known = peer.book.knownRevision();
         const { vm, incarnation } = peer;
         const newer = peer.book.assignment;
         if (this.#isCut(keeper, peer)) return;
         this.#toKeeper(keeper, (nowMs) => {
           if (newer !== undefined) keeper.book.learn(newer);
-          keeper.book.noteAnswer({
+          keeper.book.noteVoterReply({
             vm,
             known,
-            askedAtMs: this.#rules.isEvidenceFromAnswer ? nowMs : askedAtMs,
+            requestedAtMs: this.#rules.isConfirmedFromReply ? nowMs : askedAtMs,
           });
           const { revision } = known;
-          keeper.mover.notePromise({
+          keeper.mover.noteAck({
             vm,
             incarnation,
             revision,
-            askedAtMs,
+            requestedAtMs: askedAtMs,
             nowMs,
           });
         });
@@ -234,7 +234,7 @@
     }
   }
 
-  #isCut(a: ModelKeeper, b: ModelKeeper): boolean {
+  #isCut(a: SimulatedVoter, b: SimulatedVoter): boolean {
     const isSplit = this.#nowMs < this.#splitUntilMs &&
       this.#splitSide.has(a.vm) !== this.#splitSide.has(b.vm);
     if (isSplit) return true;
@@ -242,14 +242,14 @@
       this.#nowMs;
   }
 
-  #readStore(keeper: ModelKeeper, sentAtMs: number, isMover: boolean): void {
+  #readStore(keeper: SimulatedVoter, sentAtMs: number, isMover: boolean): void {
     keeper.nextReadMs = this.#nowMs + 700;
     this.#callStore(keeper, () => this.#stored, (assignment, nowMs) => {
       if (assignment !== undefined) {
         keeper.book.noteStoreRead(assignment, sentAtMs);
       }
       if (!isMover) return;
-      const read: ownership.AssignmentRead = assignment === undefined
+      const read: ownership.AssignmentReadResult = assignment === undefined
         ? { kind: "unavailable" }
         : { kind: "found", assignment, version: `${assignment.revision}` };
       keeper.mover.noteRead(read, nowMs, this.#random);
@@ -257,9 +257,9 @@
   }
 
   #write(
-    keeper: ModelKeeper,
+    keeper: SimulatedVoter,
     sentAtMs: number,
-    effect: Extract<ownership.MoverEffect, { kind: "write" }>,
+    effect: Extract<ownership.AssignmentEffect, { kind: "write" }>,
   ): void {
     const { assignment, condition } = effect;
     const put = () => {
@@ -273,10 +273,10 @@
     this.#callStore(keeper, put, (isWritten, nowMs) => {
       if (isWritten) {
         keeper.book.noteStoreRead(assignment, sentAtMs);
-        keeper.nextAskMs = this.#nowMs;
+        keeper.nextPollMs = this.#nowMs;
       }
       const kind = isWritten === undefined ? "unknown" : "conflict";
-      const write: ownership.AssignmentWrite = isWritten
+      const write: ownership.AssignmentWriteResult = isWritten
         ? { kind: "acknowledged", version: `${assignment.revision}` }
         : { kind };
       keeper.mover.noteWrite(write, nowMs, this.#random);
@@ -290,7 +290,7 @@
 
   /** Calls back once: with the answer, or undefined after a time-out. */
   #callStore<T>(
-    keeper: ModelKeeper,
+    keeper: SimulatedVoter,
     serve: () => T,
     done: (answer: T | undefined, nowMs: number) => void,
   ): void {
@@ -300,10 +300,10 @@
       isDone = true;
       done(answer, nowMs);
     };
-    const run = keeper.run;
+    const run = keeper.epoch;
     const atMs = this.#nowMs + 300;
     const giveUp = () => {
-      if (keeper.run === run) this.#toKeeper(keeper, finish(undefined));
+      if (keeper.epoch === run) this.#toKeeper(keeper, finish(undefined));
     };
     this.#network.at(atMs, giveUp);
     if (keeper.cutFromStoreUntilMs > this.#nowMs) return;
@@ -311,11 +311,13 @@
       const answer = serve();
       const isLost = this.#nowMs < this.#loseUntilMs ||
         keeper.cutFromStoreUntilMs > this.#nowMs;
-      if (!isLost && keeper.run === run) this.#toKeeper(keeper, finish(answer));
+      if (!isLost && keeper.epoch === run) {
+        this.#toKeeper(keeper, finish(answer));
+      }
     });
   }
 
-  #sendOrders(keeper: ModelKeeper, nowMs: number): void {
+  #sendOrders(keeper: SimulatedVoter, nowMs: number): void {
     const { assignment } = keeper.book;
     if (assignment === undefined) return;
     const slices = ownership.SliceMap.create(assignment.slices);
@@ -325,15 +327,15 @@
       revision: assignment.revision,
       slices: slices._unsafeUnwrap(),
       timings: keeper.timings,
-      evidenceAskedAtMs: keeper.book.evidenceAskedAtMs(nowMs),
+      confirmedAtMs: keeper.book.confirmedAtMs(nowMs),
       servers: this.#servers.map((server) => server.id),
     });
     for (const order of orders) this.#sendOrder(keeper, order, nowMs);
   }
 
   #sendOrder(
-    keeper: ModelKeeper,
-    order: contracts.OwnershipOrder,
+    keeper: SimulatedVoter,
+    order: contracts.LeaseCommand,
     sentAtMs: number,
   ): void {
     this.#checkAcknowledged(order);
@@ -342,7 +344,7 @@
       const reply = server.receive(order, this.#nowMs);
       this.#toKeeper(keeper, (nowMs) => {
         keeper.orders.noteReply(server.id, reply, { sentAtMs, nowMs });
-        keeper.mover.noteReply({ order, reply, sentAtMs, nowMs });
+        keeper.mover.noteReply({ command: order, reply, sentAtMs, nowMs });
       });
     };
     // A paused server finds in its buffers what came before a cut.
@@ -355,7 +357,7 @@
     this.#network.send(deliver);
   }
 
-  #checkAcknowledged(order: contracts.OwnershipOrder): void {
+  #checkAcknowledged(order: contracts.LeaseCommand): void {
     const acknowledged = this.#history.get(order.revision);
     for (const held of order.slices) {
       const isOwner = acknowledged?.slices.some((slice) =>
@@ -377,7 +379,7 @@
       this.violations.push(`${names} own ${slice} at ${this.#nowMs}`);
     }
     for (const keeper of this.#keepers) {
-      const name = `${keeper.vm}/${keeper.run}`;
+      const name = `${keeper.vm}/${keeper.epoch}`;
       const { revision } = keeper.book;
       if (revision < (this.#highest.get(name) ?? 0)) {
         this.violations.push(`${name} fell to ${revision}`);
--- a/packages/decisions/src/ownership/model_network_test.ts
+++ b/packages/decisions/src/ownership/simulated_network_test.ts
@@ -1,11 +1,11 @@
 /** Messages of the model world: late, twice and crossed. */
-import type { SeededRandom } from "./model_parts_test.ts";
+import type { SeededRandom } from "./simulated_processes_test.ts";
 
-const USUAL_DELAY_MS = 20;
-const DOUBLED_PART = 0.1;
+const MAX_DELAY_MS = 20;
+const DUPLICATE_PROBABILITY = 0.1;
 
 /** Messages on their way, and the true time. */
-export class ModelNetwork {
+export class SimulatedNetwork {
   readonly #random: SeededRandom;
   readonly #messages: { atMs: number; deliver: () => void }[] = [];
   #slowUntilMs = 0;
@@ -17,7 +17,7 @@
   }
 
   /** Delays messages sent until `untilMs` by up to `delayMs` more. */
-  slow(untilMs: number, delayMs: number): void {
+  delayMessages(untilMs: number, delayMs: number): void {
     this.#slowUntilMs = untilMs;
     this.#slowMs = delayMs;
   }
@@ -25,9 +25,9 @@
   /** Sends a message; some arrive twice. */
   send(deliver: () => void): void {
     const extraMs = this.nowMs < this.#slowUntilMs ? this.#slowMs : 0;
-    const copies = this.#random.next() < DOUBLED_PART ? 2 : 1;
+    const copies = this.#random.next() < DUPLICATE_PROBABILITY ? 2 : 1;
     for (let copy = 0; copy < copies; copy++) {
-      const delayMs = this.#random.next() * (USUAL_DELAY_MS + extraMs);
+      const delayMs = this.#random.next() * (MAX_DELAY_MS + extraMs);
       this.at(this.nowMs + delayMs, deliver);
     }
   }
--- a/packages/decisions/src/ownership/model_parts_test.ts
+++ b/packages/decisions/src/ownership/simulated_processes_test.ts
@@ -7,12 +7,12 @@
 
 export const SETTINGS = ownership.DEFAULT_OWNERSHIP_SETTINGS;
 export const SERVICE = "availability" as contracts.ServiceId;
-export const KEEPERS = 3;
+export const VOTERS = 3;
 export const SERVERS = 3;
 export const SLICES = 3;
 export const STEP_MS = 10;
 export const END_MS = 9_000;
-export const ASK_MS = 150;
+export const VOTER_POLL_MS = 150;
 
 export type Fault =
   | { kind: "move"; atMs: number; keeper: number; slice: number; to: number }
@@ -36,12 +36,12 @@
   | { kind: "keepers"; atMs: number; keeper: number; set: number };
 
 /** Rules that a test switches off to show that they are needed. */
-export interface Rules {
-  book?: typeof ownership.EvidenceBook;
-  orders?: typeof ownership.OrderBook;
-  mover?: typeof ownership.Mover;
+export interface Overrides {
+  trackerClass?: typeof ownership.AssignmentTracker;
+  schedulerClass?: typeof ownership.LeaseCommandScheduler;
+  controllerClass?: typeof ownership.AssignmentController;
   isLeaseFromArrival?: boolean;
-  isEvidenceFromAnswer?: boolean;
+  isConfirmedFromReply?: boolean;
   /** Each keeper acts on its own settings, whatever the assignment lists. */
   isOwnTimings?: boolean;
 }
@@ -49,9 +49,9 @@
 export interface Scenario {
   readonly seed: number;
   readonly faults: readonly Fault[];
-  readonly rules?: Rules;
+  readonly overrides?: Overrides;
   /** Keepers; 3 when left out. */
-  readonly keepers?: number;
+  readonly voters?: number;
   /** Leases in the settings of each keeper; the default when left out. */
   readonly leasesMs?: readonly number[];
 }
@@ -76,16 +76,16 @@
 }
 
 /** A server that checks fences, as its contract describes it. */
-export class ModelServer {
+export class SimulatedServer {
   readonly id: contracts.ServerId;
   readonly clock: SkewedClock;
-  readonly #rules: Rules;
+  readonly #rules: Overrides;
   #run = 1;
   #revision = 0;
-  #held: { slice: contracts.HeldSlice; leaseEndMs: number }[] = [];
+  #held: { slice: contracts.LeasedSlice; leaseEndMs: number }[] = [];
   pausedUntilMs = 0;
 
-  constructor(index: number, clock: SkewedClock, rules: Rules) {
+  constructor(index: number, clock: SkewedClock, rules: Overrides) {
     this.id = `server-${index}` as contracts.ServerId;
     this.clock = clock;
     this.#rules = rules;
@@ -105,9 +105,9 @@
   }
 
   receive(
-    order: contracts.OwnershipOrder,
+    order: contracts.LeaseCommand,
     trueMs: number,
-  ): contracts.OwnershipReply {
+  ): contracts.LeaseCommandReply {
     const nowMs = this.clock.at(trueMs);
     const isStale = order.revision < this.#revision;
     const isStamped = order.stampInstance === `run-${this.#run}`;
@@ -124,7 +124,7 @@
   }
 
   #apply(
-    order: contracts.OwnershipOrder,
+    order: contracts.LeaseCommand,
     isStamped: boolean,
     nowMs: number,
   ): void {
@@ -142,16 +142,16 @@
 }
 
 /** The decision classes of one entry VM. */
-export class ModelKeeper {
+export class SimulatedVoter {
   readonly vm: contracts.VmId;
   readonly clock: SkewedClock;
   readonly settings: ownership.OwnershipSettings;
-  readonly #rules: Rules;
-  run = 0;
-  book!: ownership.EvidenceBook;
-  orders!: ownership.OrderBook;
-  mover!: ownership.Mover;
-  nextAskMs = 0;
+  readonly #rules: Overrides;
+  epoch = 0;
+  book!: ownership.AssignmentTracker;
+  orders!: ownership.LeaseCommandScheduler;
+  mover!: ownership.AssignmentController;
+  nextPollMs = 0;
   nextReadMs = 0;
   pausedUntilMs = 0;
   cutFromPeersUntilMs = 0;
@@ -161,7 +161,7 @@
   constructor(index: number, clock: SkewedClock, scenario: Scenario) {
     this.vm = vmId(index);
     this.clock = clock;
-    this.#rules = scenario.rules ?? {};
+    this.#rules = scenario.overrides ?? {};
     const leaseMs = scenario.leasesMs?.[index] ?? SETTINGS.leaseMs;
     this.settings = { ...SETTINGS, leaseMs };
     this.restart();
@@ -173,14 +173,15 @@
   }
 
   get incarnation(): contracts.Incarnation {
-    return `run-${this.run}` as contracts.Incarnation;
+    return `run-${this.epoch}` as contracts.Incarnation;
   }
 
   restart(): void {
-    this.run++;
-    const Book = this.#rules.book ?? ownership.EvidenceBook;
-    const Orders = this.#rules.orders ?? ownership.OrderBook;
-    const Mover = this.#rules.mover ?? ownership.Mover;
+    this.epoch++;
+    const Book = this.#rules.trackerClass ?? ownership.AssignmentTracker;
+    const Orders = this.#rules.schedulerClass ??
+      ownership.LeaseCommandScheduler;
+    const Mover = this.#rules.controllerClass ?? ownership.AssignmentController;
     this.book = new Book(this.vm, SERVICE, this.settings);
     this.orders = new Orders(this.settings);
     const { vm, incarnation } = this;
@@ -194,7 +195,7 @@
 }
 
 /** Set 0 names all keepers; 1 to 3 leave one out, 4 names the first. */
-export function keeperSet(set: number, count: number): contracts.Keeper[] {
+export function voterSet(set: number, count: number): contracts.Voter[] {
   const all = Array.from({ length: count }, (_, i) => ({ vm: vmId(i) }));
   if (set === 4) return all.slice(0, 1);
   return set === 0 ? all : all.filter((_, index) => index !== set - 1);
--- a/packages/decisions/src/ownership/slice_wait.ts
+++ b/packages/decisions/src/ownership/slice_handover.ts
@@ -3,30 +3,30 @@
  * its earlier owners can no longer hold a lease.
  */
 import type * as contracts from "@guavatide/contracts";
-import { type OwnershipSettings, waitOutMs } from "./settings.ts";
+import { leaseExpiryWaitMs, type OwnershipSettings } from "./settings.ts";
 import { overlaps, rangeOfSliceId } from "./slice_map.ts";
 
 /** A server's reply to an order, with what was asked. */
-export interface AnsweredOrder {
-  readonly order: contracts.OwnershipOrder;
-  readonly reply: contracts.OwnershipReply;
+export interface AnsweredCommand {
+  readonly command: contracts.LeaseCommand;
+  readonly reply: contracts.LeaseCommandReply;
   readonly sentAtMs: number;
   readonly nowMs: number;
 }
 
 /** What the end of a wait is judged by. */
-export interface WaitFacts {
+export interface HandoverConditions {
   readonly nowMs: number;
   /** The longest timings by which a lease may have been given. */
   readonly timings: contracts.LeaseTimings;
   /** Whether the server is not known to check fences. */
   isUnfenced(server: contracts.ServerId): boolean;
   /** Whether every entry VM reported nothing in flight at the revision. */
-  isForwardingOver(server: contracts.ServerId, revision: number): boolean;
+  areRequestsDrained(server: contracts.ServerId, revision: number): boolean;
 }
 
 /** The wait for one vacating slice. */
-export class SliceWait {
+export class SliceHandover {
   /** Revision at which this mover first saw the slice vacating. */
   readonly revision: number;
   readonly #slice: contracts.Slice;
@@ -53,12 +53,12 @@
   }
 
   /** Whether a majority of every keeper set has been seen to know. */
-  get isPromised(): boolean {
+  get hasQuorum(): boolean {
     return this.#promisedAtMs !== undefined;
   }
 
   /** A majority of every keeper set knows the revision, as seen now. */
-  notePromised(nowMs: number): void {
+  noteQuorum(nowMs: number): void {
     this.#promisedAtMs ??= nowMs;
   }
 
@@ -67,8 +67,8 @@
    * the keepers' promise: a server that restarts after its release could
    * otherwise get the slice back from a keeper that does not know yet.
    */
-  noteReply(answer: AnsweredOrder): void {
-    const { order, reply } = answer;
+  noteReply(answer: AnsweredCommand): void {
+    const { command: order, reply } = answer;
     if (!this.#slice.from.includes(order.server)) return;
     if (!reply.accepted || reply.revision < this.revision) return;
     if (order.revision < this.revision) return;
@@ -77,23 +77,23 @@
       this.#busyAtMs.set(order.server, answer.nowMs);
       return;
     }
-    if (!this.isPromised || answer.sentAtMs < this.#promisedAtMs!) return;
+    if (!this.hasQuorum || answer.sentAtMs < this.#promisedAtMs!) return;
     this.#released.add(order.server);
   }
 
   /** Whether none of the earlier owners but `next` can hold a lease. */
-  isOver(next: contracts.ServerId, facts: WaitFacts): boolean {
+  mayFinish(next: contracts.ServerId, facts: HandoverConditions): boolean {
     return this.#slice.from.every((server) =>
       server === next || this.#isClear(server, facts)
     );
   }
 
-  #isClear(server: contracts.ServerId, facts: WaitFacts): boolean {
+  #isClear(server: contracts.ServerId, facts: HandoverConditions): boolean {
     if (facts.isUnfenced(server)) {
       return this.#isUnfencedClear(server, facts);
     }
     if (this.#released.has(server)) return true;
-    const endMs = this.#startMs() + waitOutMs(facts.timings);
+    const endMs = this.#startMs() + leaseExpiryWaitMs(facts.timings);
     return facts.nowMs >= endMs && !this.#isWorthWaiting(server, facts.nowMs);
   }
 
@@ -103,12 +103,12 @@
    */
   #isUnfencedClear(
     server: contracts.ServerId,
-    facts: WaitFacts,
+    facts: HandoverConditions,
   ): boolean {
     const { evidenceMs, clockRateMargin } = facts.timings;
     const endMs = this.#startMs() + evidenceMs * (1 + clockRateMargin);
     if (facts.nowMs < endMs) return false;
-    return facts.isForwardingOver(server, this.revision) ||
+    return facts.areRequestsDrained(server, this.revision) ||
       facts.nowMs >=
         endMs + this.#settings.unfencedMoveWaitMs * (1 + clockRateMargin);
   }
@@ -127,7 +127,7 @@
   }
 
   /** Requests may run under an older, wider slice: ranges are compared. */
-  #isStillRunning(reply: contracts.OwnershipReply): boolean {
+  #isStillRunning(reply: contracts.LeaseCommandReply): boolean {
     return reply.releasing.some(({ slice, inFlight }) => {
       const range = rangeOfSliceId(slice);
       const concerns = range === undefined || overlaps(range, this.#slice);
--- a/packages/decisions/src/ownership/slice_map.ts
+++ b/packages/decisions/src/ownership/slice_map.ts
@@ -130,7 +130,7 @@
     const slice = this.byId(id);
     if (slice === undefined) return err(unknownSlice(id));
     const isInside = slice.fromHash < atHash && atHash < slice.toHash;
-    if (!isInside || slice.state !== "owned") return err(notApart(id));
+    if (!isInside || slice.state !== "owned") return err(cannotChange(id));
     const parts = [{ ...slice, toHash: atHash }, {
       ...slice,
       fromHash: atHash,
@@ -155,7 +155,7 @@
     const mayJoin = first.toHash === second.fromHash &&
       first.server === second.server &&
       first.state === "owned" && second.state === "owned";
-    if (!mayJoin) return err(notApart(firstId));
+    if (!mayJoin) return err(cannotChange(firstId));
     const joined = {
       ...first,
       toHash: second.toHash,
@@ -170,7 +170,7 @@
   }
 
   /** Slices that a server owns, as an order lists them. */
-  heldBy(server: contracts.ServerId): contracts.HeldSlice[] {
+  ownedBy(server: contracts.ServerId): contracts.LeasedSlice[] {
     return this.#slices
       .filter((slice) => slice.state === "owned" && slice.server === server)
       .map((slice) => ({
@@ -219,7 +219,7 @@
   };
 }
 
-function notApart(id: contracts.SliceId): SliceMapError {
+function cannotChange(id: contracts.SliceId): SliceMapError {
   return {
     kind: "not-apart",
     message:
