--- a/packages/entry/src/gateway/server_registry.ts
+++ b/packages/entry/src/gateway/server_registry.ts
@@ -15,7 +15,7 @@
    * How long after an evacuation is learned its zone's servers may still get
    * requests for keys that they own.
    */
-  readonly evacuationUseMs: number;
+  readonly evacuationGraceMs: number;
   /** How the servers of a service bear load while cold. */
   readonly coldStartOf: (
     service: contracts.ServiceId,
@@ -29,27 +29,27 @@
  * longer than a move, shorter than the platform's limit less the delay of the
  * news.
  */
-const LEAVING_GRACE_MS = 1_200;
+const DRAINING_GRACE_MS = 1_200;
 /** Grace after the store's return for entries that lapsed while it was away. */
-const LAPSED_GRACE_MS = 2_400;
+const EXPIRED_ENTRY_GRACE_MS = 2_400;
 /** An ended run is kept this long, for control calls and to know its end. */
-const ENDED_RUN_TTL_MS = 60_000;
+const ENDED_INCARNATION_TTL_MS = 60_000;
 
-interface Known {
-  entry: contracts.ServerEntry;
+interface KnownServer {
+  entry: contracts.RegisteredServer;
   /** Since when it leaves or is gone. */
-  leavingSinceMs: number | undefined;
+  drainingSinceMs: number | undefined;
   /** When its entry was found missing. */
   missingSinceMs: number | undefined;
   coldUntilMs: number;
   /** Whether it was in use when listeners were last called by time. */
-  isInUse: boolean;
+  isUsable: boolean;
 }
 
 /** Entries by server id, with those that are leaving and gone. */
 export class ServerRegistry {
   readonly #options: ServerRegistryOptions;
-  readonly #known = new Map<contracts.ServerId, Known>();
+  readonly #known = new Map<contracts.ServerId, KnownServer>();
   readonly #listeners: (() => void)[] = [];
   readonly #unreadable = new Map<string, string>();
   /** Evacuated zones whose servers get nothing at all any more. */
@@ -75,9 +75,9 @@
    * Servers of a service that may get requests. Leaving ones, and those of
    * evacuated zones, are draining.
    */
-  servers(service: contracts.ServiceId): contracts.ServerEntry[] {
+  servers(service: contracts.ServiceId): contracts.RegisteredServer[] {
     const nowMs = this.#options.clock.nowMs();
-    const found: contracts.ServerEntry[] = [];
+    const found: contracts.RegisteredServer[] = [];
     for (const known of this.#known.values()) {
       if (known.entry.service !== service) continue;
       const useUntilMs = this.#useUntilMs(known);
@@ -90,7 +90,7 @@
   }
 
   /** Servers of a service that neither leave, nor are gone or evacuated. */
-  staying(service: contracts.ServiceId): contracts.ServerEntry[] {
+  staying(service: contracts.ServiceId): contracts.RegisteredServer[] {
     return [...this.#known.values()]
       .filter((known) =>
         known.entry.service === service &&
@@ -100,11 +100,11 @@
   }
 
   /** When its server may get no request any more; infinite while it stays. */
-  #useUntilMs({ entry, leavingSinceMs }: Known): number {
-    const { evacuations, evacuationUseMs } = this.#options;
+  #useUntilMs({ entry, drainingSinceMs: leavingSinceMs }: KnownServer): number {
+    const { evacuations, evacuationGraceMs: evacuationUseMs } = this.#options;
     const evacuatedSinceMs = evacuations.sinceMs(entry.zone);
     return Math.min(
-      (leavingSinceMs ?? Number.POSITIVE_INFINITY) + LEAVING_GRACE_MS,
+      (leavingSinceMs ?? Number.POSITIVE_INFINITY) + DRAINING_GRACE_MS,
       (evacuatedSinceMs ?? Number.POSITIVE_INFINITY) + evacuationUseMs,
     );
   }
@@ -120,7 +120,7 @@
   }
 
   /** A run of a server, also one that leaves or is gone; for control calls. */
-  entry(owner: contracts.RangeOwner): contracts.ServerEntry | undefined {
+  entry(owner: contracts.RangeOwner): contracts.RegisteredServer | undefined {
     const known = this.#known.get(owner.server);
     return known?.entry.bornMs === owner.bornMs ? known.entry : undefined;
   }
@@ -137,7 +137,7 @@
   }
 
   /** Takes over a whole list. */
-  takeList(objects: readonly contracts.StoredObject[]): void {
+  applyList(objects: readonly contracts.StoredObject[]): void {
     const listed = new Set<string>();
     for (const object of objects) {
       listed.add(this.#serverOf(object.name));
@@ -151,7 +151,7 @@
   }
 
   /** Takes over changes that were learned together. */
-  takeChanges(changes: readonly ObjectChange[]): void {
+  applyChanges(changes: readonly ObjectChange[]): void {
     for (const { name, object } of changes) {
       const known = this.#known.get(
         this.#serverOf(name) as contracts.ServerId,
@@ -167,18 +167,18 @@
     const nowMs = this.#options.clock.nowMs();
     let isChanged = false;
     for (const [server, known] of this.#known) {
-      const { missingSinceMs, leavingSinceMs } = known;
+      const { missingSinceMs, drainingSinceMs: leavingSinceMs } = known;
       const isLapsed = missingSinceMs !== undefined &&
         leavingSinceMs === undefined && this.#isStoreStable();
       if (isLapsed) {
         this.#leave(known, "missing since the store is back");
         isChanged = true;
       }
-      const wasInUse = known.isInUse;
-      known.isInUse = nowMs < this.#useUntilMs(known);
-      if (known.isInUse !== wasInUse) isChanged = true;
+      const wasInUse = known.isUsable;
+      known.isUsable = nowMs < this.#useUntilMs(known);
+      if (known.isUsable !== wasInUse) isChanged = true;
       if (leavingSinceMs === undefined) continue;
-      if (nowMs - leavingSinceMs <= ENDED_RUN_TTL_MS) continue;
+      if (nowMs - leavingSinceMs <= ENDED_INCARNATION_TTL_MS) continue;
       this.#known.delete(server);
       isChanged = true;
     }
@@ -188,7 +188,8 @@
 
   /** Tells once of each zone whose servers are of no use any more. */
   #noteDrainedZones(nowMs: number): void {
-    const { evacuations, evacuationUseMs, log } = this.#options;
+    const { evacuations, evacuationGraceMs: evacuationUseMs, log } =
+      this.#options;
     for (const zone of evacuations.zones) {
       const sinceMs = evacuations.sinceMs(zone)!;
       if (this.#drainedZones.has(zone) || nowMs - sinceMs < evacuationUseMs) {
@@ -211,7 +212,7 @@
     this.#changed();
   }
 
-  #noteCold(known: Known, leftMs: number): void {
+  #noteCold(known: KnownServer, leftMs: number): void {
     if (leftMs <= 0) return;
     const nowMs = this.#options.clock.nowMs();
     if (known.coldUntilMs < nowMs) {
@@ -224,7 +225,7 @@
 
   /** Whether a missing entry has not lapsed while the store was away. */
   #isStoreStable(): boolean {
-    return this.#options.storeCalmMs() > LAPSED_GRACE_MS;
+    return this.#options.storeCalmMs() > EXPIRED_ENTRY_GRACE_MS;
   }
 
   #take(object: contracts.StoredObject): void {
@@ -248,34 +249,34 @@
         );
       }
     }
-    const next: Known = isNew
+    const next: KnownServer = isNew
       ? {
         entry,
-        leavingSinceMs: undefined,
+        drainingSinceMs: undefined,
         missingSinceMs: undefined,
         coldUntilMs: Number.NEGATIVE_INFINITY,
-        isInUse: true,
+        isUsable: true,
       }
       : { ...known, entry, missingSinceMs: undefined };
     this.#known.set(entry.server, next);
     this.#noteCold(next, entry.warmUpLeftMs);
     if (entry.isDraining) this.#leave(next, "says that it drains");
-    else if (next.leavingSinceMs !== undefined) {
+    else if (next.drainingSinceMs !== undefined) {
       log.info("Server is back.", { server: entry.server });
-      next.leavingSinceMs = undefined;
+      next.drainingSinceMs = undefined;
     }
   }
 
   /** The entry is not there: gone, or lapsed while the store was away. */
-  #noteMissing(known: Known): void {
-    if (known.leavingSinceMs !== undefined) return;
+  #noteMissing(known: KnownServer): void {
+    if (known.drainingSinceMs !== undefined) return;
     known.missingSinceMs ??= this.#options.clock.nowMs();
     if (this.#isStoreStable()) this.#leave(known, "its entry was removed");
   }
 
-  #leave(known: Known, reason: string): void {
-    if (known.leavingSinceMs !== undefined) return;
-    known.leavingSinceMs = this.#options.clock.nowMs();
+  #leave(known: KnownServer, reason: string): void {
+    if (known.drainingSinceMs !== undefined) return;
+    known.drainingSinceMs = this.#options.clock.nowMs();
     const { server, service } = known.entry;
     this.#options.log.info("Server leaves.", { server, service, reason });
   }
--- a/packages/entry/src/gateway/server_registry_test.ts
+++ b/packages/entry/src/gateway/server_registry_test.ts
@@ -49,7 +49,7 @@
     },
     storeCalmMs: () => this.storeCalmMs,
     evacuations: this.evacuations,
-    evacuationUseMs: 2_500,
+    evacuationGraceMs: 2_500,
     coldStartOf: () => ({ warmUpMs: 3_000, requestsPerSecond: 5 }),
     clock: this.clock,
     log: SILENT,
@@ -71,7 +71,7 @@
 /** Guards against work for each of hundreds of servers that start together. */
 test("should tell its listeners once of changes that came together", () => {
   const fixture = new Fixture();
-  fixture.registry.takeChanges(["a", "b", "c"].map((server) => ({
+  fixture.registry.applyChanges(["a", "b", "c"].map((server) => ({
     name: `${PREFIX}${server}`,
     object: objectOf(server),
   })));
@@ -82,9 +82,9 @@
 /** Guards against servers taken for gone whose entry lapsed with the store away. */
 test("should keep a server whose entry lapsed until the store is calm", () => {
   const fixture = new Fixture();
-  fixture.registry.takeList([objectOf("a"), objectOf("b")]);
+  fixture.registry.applyList([objectOf("a"), objectOf("b")]);
   fixture.storeCalmMs = 0;
-  fixture.registry.takeChanges([{ name: `${PREFIX}a` }]);
+  fixture.registry.applyChanges([{ name: `${PREFIX}a` }]);
   fixture.registry.tick();
   expect(fixture.staying).toEqual(["a", "b"]);
   fixture.storeCalmMs = 3_000;
@@ -97,8 +97,8 @@
 /** Guards against new work for a zone that the operator wants empty. */
 test("should give no key to an evacuated zone's servers, and soon no request", () => {
   const fixture = new Fixture();
-  fixture.registry.takeList([objectOf("a")]);
-  fixture.evacuations.takeChanges([{
+  fixture.registry.applyList([objectOf("a")]);
+  fixture.evacuations.applyChanges([{
     name: EVACUATION,
     object: { name: EVACUATION, version: "2", value: "{}" },
   }]);
@@ -114,12 +114,12 @@
 /** Guards against full load on servers that became cold while evacuated. */
 test("should take the servers of a zone that is taken back for cold", () => {
   const fixture = new Fixture();
-  fixture.registry.takeList([objectOf("a")]);
-  fixture.evacuations.takeList([
+  fixture.registry.applyList([objectOf("a")]);
+  fixture.evacuations.applyList([
     { name: EVACUATION, version: "2", value: "{}" },
   ]);
   fixture.nowMs = 8_000;
-  fixture.evacuations.takeChanges([{ name: EVACUATION }]);
+  fixture.evacuations.applyChanges([{ name: EVACUATION }]);
   expect(fixture.staying).toEqual(["a"]);
   const server = "a" as contracts.ServerId;
   expect(fixture.registry.coldUntilMs(server)).toEqual(11_000);
@@ -128,12 +128,12 @@
 /** Guards against full load on a server that says it has become cold. */
 test("should count the time until a server is warm from its last word", () => {
   const fixture = new Fixture();
-  fixture.registry.takeList([objectOf("a")]);
+  fixture.registry.applyList([objectOf("a")]);
   const server = "a" as contracts.ServerId;
   expect(fixture.registry.coldUntilMs(server) <= fixture.nowMs).toEqual(true);
   fixture.nowMs = 1_000;
   fixture.warmUpLeftMs = 2_200;
-  fixture.registry.takeChanges([{
+  fixture.registry.applyChanges([{
     name: `${PREFIX}a`,
     object: objectOf("a"),
   }]);
@@ -143,7 +143,7 @@
 /** Guards against an entry that names a zone nobody knows. */
 test("should ignore the evacuation of an unknown zone", () => {
   const fixture = new Fixture();
-  fixture.evacuations.takeList([
+  fixture.evacuations.applyList([
     { name: "evacuations/nowhere", version: "2", value: "{}" },
   ]);
   expect(fixture.evacuations.zones).toEqual([]);
@@ -152,8 +152,8 @@
 /** Guards against work for all servers at each tick after one has left. */
 test("should tell its listeners once that a server is of no more use", () => {
   const fixture = new Fixture();
-  fixture.registry.takeList([objectOf("a"), objectOf("b")]);
-  fixture.registry.takeChanges([{ name: `${PREFIX}a` }]);
+  fixture.registry.applyList([objectOf("a"), objectOf("b")]);
+  fixture.registry.applyChanges([{ name: `${PREFIX}a` }]);
   expect(fixture.changes).toEqual(2);
   for (; fixture.nowMs < 59_000; fixture.nowMs += 200) fixture.registry.tick();
   expect(fixture.changes).toEqual(3);
--- a/packages/entry/src/gateway/service_grants.ts
+++ b/packages/entry/src/gateway/service_grants.ts
@@ -9,8 +9,12 @@
 import { GrantSender } from "./grant_sender.ts";
 import { MapPublisher } from "./map_publisher.ts";
 import { MovePlanner, type MovePlannerOptions } from "./move_planner.ts";
-import type { KeeperStatus, KeyCounts, RangeMapNews } from "./peer_messages.ts";
-import { RangeMapLearner } from "./range_map_learner.ts";
+import type {
+  KeyCounts,
+  RangeMapUpdate,
+  VoterStatus,
+} from "./peer_messages.ts";
+import { RangeMapFetcher } from "./range_map_fetcher.ts";
 import type { RangeMapStore } from "./range_map_store.ts";
 import type { ServerRegistry } from "./server_registry.ts";
 
@@ -32,17 +36,17 @@
   /** Entry VMs that are up, this one included. */
   readonly peers: () => readonly GrantPeer[];
   /** Length of grants that the service's routes need. */
-  readonly wishedHoldMs: () => number;
+  readonly desiredLeaseMs: () => number;
   /** Time since a VM's last message. */
-  readonly silentMs: (vm: contracts.VmId) => number;
+  readonly sinceLastMessageMs: (vm: contracts.VmId) => number;
   /** Asks a peer for the map as it knows it. */
-  readonly askMap: (
+  readonly fetchMap: (
     peer: contracts.VmId,
   ) => Promise<contracts.RangeMap | undefined>;
   /** Sends an update of the map to all peers. */
-  readonly publish: (news: RangeMapNews) => void;
+  readonly publish: (news: RangeMapUpdate) => void;
   /** Sends this VM's state to peers at once. */
-  readonly tellPeers: () => void;
+  readonly notifyVoters: () => void;
   /** Owners or their readiness have changed. */
   readonly onChange: () => void;
 }
@@ -60,8 +64,8 @@
 /** Ownership of one service. */
 export class ServiceGrants {
   readonly #options: ServiceGrantsOptions;
-  readonly #keepers = new grants.KeeperBook();
-  readonly #mover: grants.RangeMover;
+  readonly #keepers = new grants.VoterReports();
+  readonly #mover: grants.HandoverController;
   readonly #sender: GrantSender;
   readonly #planner: MovePlanner;
   readonly #startedAtMs: number;
@@ -73,52 +77,52 @@
   /** Fences whose owners have not confirmed their grant, as the mover says. */
   #pending = new Set<number>();
   #adoptedAtMs = Number.NEGATIVE_INFINITY;
-  readonly #ownerless = new grants.OwnerlessTimes();
+  readonly #ownerless = new grants.HandoverAges();
   #isMover = false;
-  readonly #firstMap = new grants.FirstMapWait();
-  readonly #order: grants.DutyOrder;
+  readonly #firstMap = new grants.InitialMapWait();
+  readonly #order: grants.VmRanking;
   readonly #publisher: MapPublisher;
-  readonly #learner: RangeMapLearner;
+  readonly #learner: RangeMapFetcher;
   readonly #lost = new grants.LostServers();
   /** Fences confirmed to this VM as the mover. */
   readonly #confirmed = new Set<number>();
 
   constructor(options: ServiceGrantsOptions) {
     this.#options = options;
-    this.#order = new grants.DutyOrder(options.hasher);
+    this.#order = new grants.VmRanking(options.hasher);
     this.#publisher = new MapPublisher(options);
     this.#planner = new MovePlanner(options);
     this.#startedAtMs = options.clock.nowMs();
-    this.#learner = new RangeMapLearner({
+    this.#learner = new RangeMapFetcher({
       ...options,
-      hasDuty: () => this.#hasDuty,
+      isVoterOrLeader: () => this.#hasDuty,
       knownRevision: () => this.#map?.revision ?? 0,
-      onRead: (map, askedAtMs) => {
+      onStoreMap: (map, askedAtMs) => {
         this.#keepers.noteRead(map.revision, askedAtMs);
         this.#adoptNewer(map, "store");
       },
-      onTold: (map) => this.#adoptNewer(map, "peer"),
-      onSettled: options.tellPeers,
+      onUnconfirmedMap: (map) => this.#adoptNewer(map, "peer"),
+      onFirstStoreRead: options.notifyVoters,
     });
-    this.#mover = new grants.RangeMover(
+    this.#mover = new grants.HandoverController(
       options.service,
       this.#keepers,
       options.timings,
     );
     this.#sender = new GrantSender({
       ...options,
-      entry: (owner) => options.registry.entry(owner),
-      onConfirmed: (range) => this.#confirm(range),
-      onFencedOff: () => this.#mover.forget(),
-      onEnded: (server) => {
+      findServer: (owner) => options.registry.entry(owner),
+      onAccepted: (range) => this.#confirm(range),
+      onFencedOff: () => this.#mover.requireRead(),
+      onCompleted: (server) => {
         // The mover waits to hear that no grant to the server is under way.
-        if (this.#vacating.has(server)) options.tellPeers();
+        if (this.#vacating.has(server)) options.notifyVoters();
       },
     });
   }
 
   /** Whether ownership is known. */
-  get isKnown(): boolean {
+  get isMapKnown(): boolean {
     return this.#map !== undefined;
   }
 
@@ -128,18 +132,18 @@
   }
 
   /** Whether this VM makes the moves. */
-  get isMover(): boolean {
+  get isLeader(): boolean {
     return this.#isMover;
   }
 
   /** Revision known, and whether the map was read in this run. */
-  get word(): [number, boolean] {
-    return [this.#map?.revision ?? 0, this.#learner.isSettled];
+  get mapStatus(): [number, boolean] {
+    return [this.#map?.revision ?? 0, this.#learner.hasReadMap];
   }
 
   /** Ages of this VM's grants to servers that keys are taken from. */
   get grantAgesMs(): Map<contracts.ServerId, [number, number | null]> {
-    const ages = this.#sender.agesMs();
+    const ages = this.#sender.grantAgesMs();
     for (const server of ages.keys()) {
       if (!this.#vacating.has(server)) ages.delete(server);
     }
@@ -147,21 +151,21 @@
   }
 
   /** Servers that leave this VM's grants unanswered. */
-  get silentServers(): contracts.ServerId[] {
-    return this.#sender.silentServers();
+  get unresponsiveServers(): contracts.ServerId[] {
+    return this.#sender.unresponsiveServers();
   }
 
   /**
    * The VM that makes the moves, as far as this VM can tell: a keeper, since it
    * grants what it moves; any VM while no keeper reaches the store.
    */
-  get moverVm(): contracts.VmId | undefined {
+  get leaderVm(): contracts.VmId | undefined {
     const { service, peers } = this.#options;
     const reach = peers().filter(({ hasStore }) => hasStore);
     const keepers = this.#map?.keeperSets.at(-1);
     const able = reach.filter(({ vm }) => keepers?.includes(vm) ?? true);
     const candidates = able.length > 0 ? able : reach;
-    return this.#order.of(service, candidates.map(({ vm }) => vm))[0];
+    return this.#order.rank(service, candidates.map(({ vm }) => vm))[0];
   }
 
   /** Who owns a key. */
@@ -190,32 +194,32 @@
   }
 
   /** A keeper's status. */
-  noteKeeper(
-    status: KeeperStatus,
+  noteVoterStatus(
+    status: VoterStatus,
     askedAtMs: number,
     receivedAtMs: number,
   ): void {
     const { service } = this.#options;
     const [revision, isSettled] = status.maps[service] ?? [0, false];
-    this.#keepers.noteWord({
+    this.#keepers.noteReport({
       vm: status.vm,
       revision,
-      isSettled,
-      askedAtMs,
+      hasReadMap: isSettled,
+      requestedAtMs: askedAtMs,
       receivedAtMs,
       startedAtMs: receivedAtMs - status.lifeMs,
       ...grantTimes(Object.entries(status.grantAgesMs), receivedAtMs),
     });
-    this.#lost.noteSilent(status.vm, status.silentServers);
+    this.#lost.noteUnresponsive(status.vm, status.silentServers);
   }
 
   /** A peer knows a revision of the map. */
-  noteRevision(revision: number, peer: contracts.VmId): void {
-    this.#learner.noteRevision(revision, peer);
+  notePeerRevision(revision: number, peer: contracts.VmId): void {
+    this.#learner.notePeerRevision(revision, peer);
   }
 
   /** The mover's update of the map. */
-  noteNews({ map, baseRevision, pendingFences }: RangeMapNews): void {
+  applyUpdate({ map, baseRevision, pendingFences }: RangeMapUpdate): void {
     const known = this.#map?.revision ?? 0;
     if (map.revision < known) return;
     const pending = new Set(pendingFences);
@@ -225,7 +229,7 @@
     }
     const ranges = known < baseRevision
       ? undefined
-      : grants.withChanges(this.#map?.ranges ?? [], map.ranges);
+      : grants.applyChanges(this.#map?.ranges ?? [], map.ranges);
     // The base of the update never arrived here.
     if (ranges === undefined) return this.#learner.catchUp();
     this.#pending = pending;
@@ -234,9 +238,9 @@
 
   /** The process stood still: what it knew may be old. */
   noteSuspension(): void {
-    this.#keepers.forgetEvidence();
-    this.#mover.forget();
-    this.#learner.forget();
+    this.#keepers.clearConfirmations();
+    this.#mover.requireRead();
+    this.#learner.invalidate();
   }
 
   /** Regular work: renewals, reads, moves. */
@@ -250,27 +254,27 @@
   }
 
   #noteOwnWord(nowMs: number): void {
-    this.#keepers.noteWord({
+    this.#keepers.noteReport({
       vm: this.#options.vm,
       revision: this.#map?.revision ?? 0,
-      isSettled: this.#learner.isSettled,
-      askedAtMs: nowMs,
+      hasReadMap: this.#learner.hasReadMap,
+      requestedAtMs: nowMs,
       receivedAtMs: nowMs,
       startedAtMs: this.#startedAtMs,
-      ...grantTimes(this.#sender.agesMs(), nowMs),
+      ...grantTimes(this.#sender.grantAgesMs(), nowMs),
     });
   }
 
   #followDuty(nowMs: number): void {
     const isMover = nowMs - this.#startedAtMs >= MOVER_STARTUP_GRACE_MS &&
-      this.moverVm === this.#options.vm;
+      this.leaderVm === this.#options.vm;
     if (isMover === this.#isMover) return;
     this.#isMover = isMover;
     const { service, log } = this.#options;
     log.info(isMover ? "Takes over moves." : "Hands over moves.", { service });
     if (!isMover) return;
-    this.#planner.begin(nowMs);
-    this.#mover.forget();
+    this.#planner.start(nowMs);
+    this.#mover.requireRead();
   }
 
   // Reading
@@ -290,15 +294,15 @@
   }
 
   #adopt(map: contracts.RangeMap, from: string): void {
-    const vacating = grants.vacatingServers(map.ranges);
+    const vacating = grants.releasingServers(map.ranges);
     this.#logLastGrants(map.revision, vacating);
     this.#map = map;
     this.#vacating = vacating;
-    this.#owned = grants.ownedRanges(map.ranges);
+    this.#owned = grants.rangesByOwner(map.ranges);
     this.#adoptedAtMs = this.#options.clock.nowMs();
     this.#publisher.noteMap(map);
-    this.#mover.noteNewer(map.revision);
-    this.#sender.keepOnly(map.ranges, this.#holdMs);
+    this.#mover.noteNewerRevision(map.revision);
+    this.#sender.prune(map.ranges, this.#holdMs);
     const fences = new Set(map.ranges.map(({ fence }) => fence));
     const duties = new Set<string>(map.ranges.map((it) => it.owner.server));
     for (const fence of this.#confirmed) {
@@ -323,7 +327,9 @@
     revision: number,
     vacating: ReadonlySet<contracts.ServerId>,
   ): void {
-    for (const [server, [ageMs, unansweredAgeMs]] of this.#sender.agesMs()) {
+    for (
+      const [server, [ageMs, unansweredAgeMs]] of this.#sender.grantAgesMs()
+    ) {
       if (!vacating.has(server) || this.#vacating.has(server)) continue;
       this.#options.log.info("Renewals of a server's keys end.", {
         server,
@@ -337,7 +343,7 @@
   // Renewing
 
   get #holdMs(): number {
-    return grants.holdOf(this.#map, this.#options.timings);
+    return grants.leaseDurationMs(this.#map, this.#options.timings);
   }
 
   /** Sends what is due to servers that have no grant under way. */
@@ -355,7 +361,7 @@
       if (range !== undefined) due.push(range);
     }
     if (due.length === 0) return;
-    if (!this.#hasEvidence(map)) return this.#learner.readSoon();
+    if (!this.#hasEvidence(map)) return this.#learner.requestRead();
     for (const range of due) {
       const handover = this.#mover.handover(range.fence);
       const mayLeave = () => this.#mayRenew(range);
@@ -375,17 +381,17 @@
     nowMs: number,
   ): contracts.RangeState | undefined {
     const { vm, timings } = this.#options;
-    const ownPlace = this.#order.of(server, live).indexOf(vm);
-    const due: grants.RangeDue[] = [];
+    const ownPlace = this.#order.rank(server, live).indexOf(vm);
+    const due: grants.DueRange[] = [];
     for (const range of this.#owned.get(server) ?? []) {
       const place = this.#isMover && this.#isNew(range) ? 0 : ownPlace;
       if (place < 0 || place >= RENEWERS) continue;
       if (this.#leavesToMover(range, nowMs)) continue;
-      const lastMs = this.#sender.confirmedMs(range);
+      const lastMs = this.#sender.acceptedAtMs(range);
       const intervalMs = timings.renewMs * (place + 1);
       const overdueMs = nowMs - (lastMs ?? Number.NEGATIVE_INFINITY) -
         intervalMs;
-      if (overdueMs < 0 || !this.#sender.isFree(range.owner)) continue;
+      if (overdueMs < 0 || !this.#sender.canSend(range.owner)) continue;
       due.push({ range, overdueMs });
     }
     return grants.mostOverdue(due);
@@ -393,8 +399,8 @@
 
   #hasEvidence(map: contracts.RangeMap): boolean {
     const { clock, timings } = this.#options;
-    const ageMs = clock.nowMs() - this.#keepers.evidenceAtMs(map);
-    return ageMs < timings.evidenceMs;
+    const ageMs = clock.nowMs() - this.#keepers.confirmedAtMs(map);
+    return ageMs < timings.confirmationTtlMs;
   }
 
   /** Whether the map that is known now still gives the range to its owner. */
@@ -414,7 +420,7 @@
   }
 
   #isNew(range: contracts.RangeState): boolean {
-    return this.#sender.confirmedMs(range) === undefined;
+    return this.#sender.acceptedAtMs(range) === undefined;
   }
 
   /**
@@ -437,15 +443,15 @@
 
   #move(nowMs: number): void {
     const tick = this.#moverTick(nowMs);
-    this.#publisher.repeat(this.#pending);
-    this.#mover.checkPromises(nowMs, tick.gone);
+    this.#publisher.resendIfDue(this.#pending);
+    this.#mover.checkAcknowledgements(nowMs, tick.removedVoters);
     for (const call of this.#mover.takeReleases(nowMs, tick.hasEnded)) {
       this.#release(call);
     }
     const call = this.#mover.nextCall(tick);
     if (call === undefined) return;
     this.#call(call).catch((error) => {
-      this.#mover.noteCallEnd({ kind: "unsure" }, nowMs);
+      this.#mover.noteCallResult({ kind: "unsure" }, nowMs);
       this.#options.log.error("Call of the mover failed.", {
         error: String(error),
       });
@@ -458,9 +464,9 @@
     const end = call.kind === "read"
       ? await maps.read(service)
       : await maps.write(call.map, call.condition);
-    this.#mover.noteCallEnd(end, clock.nowMs());
+    this.#mover.noteCallResult(end, clock.nowMs());
     if (end.kind === "unsure" || end.kind === "absent") return;
-    this.#learner.noteSettled();
+    this.#learner.noteMapRead();
     const { map } = end.stored;
     this.#keepers.noteRead(map.revision, askedAtMs);
     if (map.revision <= (this.#map?.revision ?? 0)) return;
@@ -489,18 +495,18 @@
   }
 
   /** The next owner's fence lets the old owner refuse older grants from then. */
-  #release({ range, old, isFencing }: grants.ReleaseCall): void {
+  #release({ range, oldOwner: old, isFencing }: grants.ReleaseCall): void {
     const { registry, control, clock, timings, log } = this.#options;
     const server = registry.entry(old);
     const { fromKey, toKey, fence } = range;
     if (server === undefined) {
-      return this.#mover.noteRelease(fence, "failed", clock.nowMs());
+      return this.#mover.noteReleaseResult(fence, "failed", clock.nowMs());
     }
-    const timeoutMs = isFencing ? timings.orderTimeoutMs : RELEASE_TIMEOUT_MS;
+    const timeoutMs = isFencing ? timings.grantTimeoutMs : RELEASE_TIMEOUT_MS;
     control.release(server, { fromKey, toKey, fence }, { timeoutMs }).then(
       (result) => {
         const end = result.isOk() ? { handover: result.value } : "failed";
-        this.#mover.noteRelease(fence, end, clock.nowMs());
+        this.#mover.noteReleaseResult(fence, end, clock.nowMs());
         // The old owner is tried until it answers, and says so once.
         if (isFencing && result.isErr()) return;
         log.info(result.isOk() ? "Range released." : "Release failed.", {
@@ -513,33 +519,35 @@
         });
       },
       (error) => {
-        this.#mover.noteRelease(fence, "failed", clock.nowMs());
+        this.#mover.noteReleaseResult(fence, "failed", clock.nowMs());
         log.error("Release failed.", { error: String(error) });
       },
     );
   }
 
-  #moverTick(nowMs: number): grants.RangeMoverTick {
-    const { registry, service, wishedHoldMs } = this.#options;
+  #moverTick(nowMs: number): grants.HandoverTick {
+    const { registry, service, desiredLeaseMs: wishedHoldMs } = this.#options;
     this.#countLost(nowMs);
     const staying = registry.staying(service);
-    const found = staying.filter(({ server }) => !this.#lost.has(server));
+    const found = staying.filter(({ server }) =>
+      !this.#lost.isQuarantined(server)
+    );
     // With all of them lost any may be back, and no other can own a key.
     const usable = new Map(
       (found.length > 0 ? found : staying)
         .map((entry) => [entry.server, entry]),
     );
     const review = this.#keeperReview(nowMs);
-    const { lifeMs } = review;
+    const { uptimeMs: lifeMs } = review;
     const isOver = this.#firstMap.isOver(usable.size, { nowMs, lifeMs });
     const mayStart = this.#map !== undefined || isOver;
     return {
       nowMs,
       usable: registry.isListed && mayStart ? usable : new Map(),
-      holdMs: wishedHoldMs(),
+      leaseMs: wishedHoldMs(),
       hasEnded: (owner) => registry.hasEnded(owner),
-      keepers: grants.wishedKeepers(review),
-      gone: grants.goneKeepers(review),
+      voters: grants.selectVoters(review),
+      removedVoters: grants.removedVoters(review),
       plan: (map) => this.#planner.plan(map, usable, nowMs),
       nonce: () => crypto.randomUUID(),
     };
@@ -547,24 +555,24 @@
 
   #countLost(nowMs: number): void {
     const { vm, log } = this.#options;
-    this.#lost.noteSilent(vm, this.#sender.silentServers());
+    this.#lost.noteUnresponsive(vm, this.#sender.unresponsiveServers());
     const keepers = this.#map?.keeperSets.at(-1) ?? [];
     const live = this.#live().filter((peer) => keepers.includes(peer));
-    const newly = this.#lost.count(
+    const newly = this.#lost.countVotes(
       nowMs,
-      (server) => this.#order.of(server, live).slice(0, RENEWERS),
+      (server) => this.#order.rank(server, live).slice(0, RENEWERS),
     );
     for (const server of newly) log.warn("Server lost.", { server });
   }
 
-  #keeperReview(nowMs: number): grants.KeeperReviewInput {
-    const { vm, silentMs } = this.#options;
+  #keeperReview(nowMs: number): grants.VoterSelectionInput {
+    const { vm, sinceLastMessageMs: silentMs } = this.#options;
     return {
       vm,
       map: this.#map,
       live: this.#keeperOrder(),
-      silentMs,
-      lifeMs: nowMs - this.#startedAtMs,
+      sinceLastMessageMs: silentMs,
+      uptimeMs: nowMs - this.#startedAtMs,
     };
   }
 
@@ -577,7 +585,7 @@
       this.#options.peers().map((peer) => [peer.vm, peer.processorCores]),
     );
     // The sort is stable: equals stay in the order of the duty.
-    return [...this.#order.of("keepers", [...cores.keys()])]
+    return [...this.#order.rank("keepers", [...cores.keys()])]
       .sort((a, b) => cores.get(b)! - cores.get(a)!);
   }
 
@@ -591,7 +599,7 @@
 function grantTimes(
   ages: Iterable<[string, [number, number | null]]>,
   nowMs: number,
-): Pick<grants.KeeperWord, "lastGrantMs" | "lastUnansweredMs"> {
+): Pick<grants.VoterReport, "lastGrantMs" | "lastUnansweredMs"> {
   const lastGrantMs = new Map<contracts.ServerId, number>();
   const lastUnansweredMs = new Map<contracts.ServerId, number>();
   for (const [name, [ageMs, unansweredAgeMs]] of ages) {
--- a/packages/entry/src/gateway/service_grants_test.ts
+++ b/packages/entry/src/gateway/service_grants_test.ts
@@ -5,7 +5,7 @@
 import * as neverthrow from "neverthrow";
 import { test } from "node:test";
 import * as timers from "node:timers/promises";
-import { entryOf, KEYED_SERVICE } from "./grant_test_support.ts";
+import { KEYED_SERVICE, serverEntryOf } from "./grant_test_support.ts";
 import type { RangeMapStore } from "./range_map_store.ts";
 import type { ServerRegistry } from "./server_registry.ts";
 import { ServiceGrants } from "./service_grants.ts";
@@ -58,7 +58,8 @@
 /** Guards against a grant that leaves on evidence which was good once. */
 test("should keep a grant back when its evidence is too old as it leaves", async () => {
   const keeper = await createKeeper();
-  const { evidenceMs, renewMs } = grants.DEFAULT_GRANT_TIMINGS;
+  const { confirmationTtlMs: evidenceMs, renewMs } =
+    grants.DEFAULT_GRANT_TIMINGS;
   await keeper.run(MOVER_AFTER_MS);
   keeper.holdAnswers();
   keeper.tick(renewMs);
@@ -95,7 +96,7 @@
     } as unknown as RangeMapStore,
     control: {
       grant: ({ server }, grant, options) => {
-        leaves.set(server, options.mayLeave!);
+        leaves.set(server, options.maySend!);
         sent.set(server, [...sent.get(server) ?? [], grant]);
         const answered = new Promise<contracts.GrantAnswer>((resolve) => {
           answers.set(server, () => resolve("granted"));
@@ -107,8 +108,8 @@
       close: () => Promise.resolve(),
     },
     registry: {
-      entry: ({ server }: contracts.RangeOwner) => entryOf(server),
-      staying: () => SERVERS.map(entryOf),
+      entry: ({ server }: contracts.RangeOwner) => serverEntryOf(server),
+      staying: () => SERVERS.map(serverEntryOf),
       hasEnded: ({ server }: contracts.RangeOwner) => ended.has(server),
       isListed: true,
     } as unknown as ServerRegistry,
@@ -117,11 +118,11 @@
       { vm: KEEPER, hasStore: isMover, processorCores: 1 },
       { vm: OTHER, hasStore: !isMover, processorCores: 1 },
     ],
-    wishedHoldMs: () => grants.DEFAULT_GRANT_TIMINGS.holdMs,
-    silentMs: () => 0,
-    askMap: () => Promise.resolve(undefined),
+    desiredLeaseMs: () => grants.DEFAULT_GRANT_TIMINGS.holdMs,
+    sinceLastMessageMs: () => 0,
+    fetchMap: () => Promise.resolve(undefined),
     publish: () => {},
-    tellPeers: () => {},
+    notifyVoters: () => {},
     onChange: () => {},
     clock: { nowMs: () => nowMs },
     log: { debug() {}, info() {}, warn() {}, error() {} },
--- a/packages/entry/src/gateway/slot_task.ts
+++ b/packages/entry/src/gateway/slot_task.ts
@@ -9,7 +9,7 @@
 import type { LifeCycle, RegularWork } from "../utils/life_cycle.ts";
 import { OncePerTurn } from "../utils/once_per_turn.ts";
 import type { PartLog } from "../utils/log.ts";
-import type { ColdStarts } from "./cold_starts.ts";
+import type { ColdStartLimits } from "./cold_start_limits.ts";
 import type { PeerGossip } from "./peer_gossip.ts";
 import * as messages from "./peer_messages.ts";
 import type { ServerRegistry } from "./server_registry.ts";
@@ -25,12 +25,12 @@
   readonly random: contracts.RandomSource;
   readonly log: PartLog;
   readonly isLeaving: () => boolean;
-  readonly coldStarts: ColdStarts;
+  readonly coldStarts: ColdStartLimits;
 }
 
 /** The queue whose requests ask for slots. */
-export interface SlotCaller {
-  place(request: admission.WaitingRequest): void;
+export interface SlotConsumer {
+  grant(request: admission.WaitingRequest): void;
   refuse(
     request: admission.WaitingRequest,
     refusal: admission.Refusal,
@@ -38,19 +38,19 @@
 }
 
 /** Interval at which lost words are made good and waits are looked through. */
-const TICK_MS = 25;
+const ACTIVE_TICK_MS = 25;
 /** The same while no request waits. */
 const IDLE_TICK_MS = 200;
 
 /** The task that speaks with the coordinators, and is one. */
 export class SlotTask {
   readonly #options: SlotTaskOptions;
-  readonly #asks: admission.SlotAsks;
+  readonly #asks: admission.SlotClient;
   readonly #coordinator: admission.SlotCoordinator;
-  readonly #order: grants.DutyOrder;
+  readonly #order: grants.VmRanking;
   /** Answers of the own coordinator, not sent yet. */
-  readonly #words = new Map<contracts.VmId, admission.SlotWord[]>();
-  readonly #callers = new Map<admission.WaitingRequest, SlotCaller>();
+  readonly #words = new Map<contracts.VmId, admission.SlotReply[]>();
+  readonly #callers = new Map<admission.WaitingRequest, SlotConsumer>();
   #work: RegularWork | undefined;
   /** What changes in one turn of the event loop leaves together. */
   readonly #flushing = new OncePerTurn(() => this.#flush());
@@ -58,18 +58,18 @@
   constructor(options: SlotTaskOptions) {
     this.#options = options;
     const { gossip, zone, random, hasher, vm } = options;
-    this.#order = new grants.DutyOrder(hasher);
-    this.#asks = new admission.SlotAsks({
+    this.#order = new grants.VmRanking(hasher);
+    this.#asks = new admission.SlotClient({
       vm,
       coordinatorOf: (server, silent) => this.#coordinatorOf(server, silent),
       onMessage: () => this.#flushing.schedule(),
-      onGiven: (request) => this.#callers.get(request)?.place(request),
+      onGranted: (request) => this.#callers.get(request)?.grant(request),
       onRefused: (request, refusal) => {
         const caller = this.#callers.get(request);
         this.#callers.delete(request);
         caller?.refuse(request, refusal);
       },
-      onSilent: (coordinator) =>
+      onUnresponsive: (coordinator) =>
         options.log.warn("Leaves out a VM that gives out slots: no answer.", {
           peer: coordinator,
         }),
@@ -77,20 +77,20 @@
     this.#coordinator = new admission.SlotCoordinator({
       zone,
       random,
-      decide: (decision) => this.#decide(decision),
-      coldStartsOf: (service) => options.coldStarts.coordinated(service),
+      onDecision: (decision) => this.#decide(decision),
+      coldStartsOf: (service) => options.coldStarts.forCoordinator(service),
     });
     options.registry.onChange(() =>
       this.#order.keepOnly(options.registry.ids())
     );
     gossip.onGuarded(
-      messages.SLOT_ASKS_METHOD,
-      messages.isSlotAsks,
+      messages.SLOT_REQUESTS_METHOD,
+      messages.isSlotRequests,
       (asks) => this.#takeAsks(asks),
     );
     gossip.onGuarded(
-      messages.SLOT_WORDS_METHOD,
-      messages.isSlotWords,
+      messages.SLOT_REPLIES_METHOD,
+      messages.isSlotReplies,
       (words) => this.#takeWords(words),
     );
   }
@@ -100,38 +100,43 @@
     this.#work = lifeCycle.every(IDLE_TICK_MS, () => {
       const nowMs = this.#options.clock.nowMs();
       this.#asks.tick(nowMs);
-      this.#coordinator.review(nowMs);
+      this.#coordinator.sweep(nowMs);
       this.#followLoad();
     });
   }
 
   #followLoad(): void {
-    const isIdle = this.#asks.isIdle && !this.#coordinator.isWaited;
-    this.#work?.setIntervalMs(isIdle ? IDLE_TICK_MS : TICK_MS);
+    const isIdle = this.#asks.isIdle && !this.#coordinator.hasPending;
+    this.#work?.setIntervalMs(isIdle ? IDLE_TICK_MS : ACTIVE_TICK_MS);
   }
 
   /** Slots for the requests of one queue. */
-  source(caller: SlotCaller): admission.SlotSource {
+  source(caller: SlotConsumer): admission.SlotSource {
     return {
-      take: (request, load, nowMs) => {
+      tryAcquire: (request, load, nowMs) => {
         this.#callers.set(request, caller);
-        const ownRequests = load.own;
-        return this.#asks.take(request, load.entry, { ownRequests, nowMs });
+        const ownRequests = load.ownInFlight;
+        return this.#asks.tryAcquire(request, load.entry, {
+          ownRequests,
+          nowMs,
+        });
       },
-      begin: (request) => {
+      markInUse: (request) => {
         this.#callers.delete(request);
-        return this.#asks.begin(request);
+        return this.#asks.markInUse(request);
       },
-      withdraw: (request) => {
+      cancel: (request) => {
         this.#callers.delete(request);
-        this.#asks.withdraw(request);
+        this.#asks.cancel(request);
       },
     };
   }
 
   /** How much longer than average each server takes, as this coordinator sees it. */
-  factors(service: contracts.ServiceId): Map<contracts.ServerId, number> {
-    return this.#coordinator.factors(service);
+  latencyFactors(
+    service: contracts.ServiceId,
+  ): Map<contracts.ServerId, number> {
+    return this.#coordinator.latencyFactors(service);
   }
 
   /**
@@ -144,13 +149,13 @@
   ): contracts.VmId | undefined {
     const { gossip, registry, vm } = this.#options;
     const zone = registry.zoneOf(server);
-    const inZone = zone === undefined ? [] : gossip.membersOf(zone);
+    const inZone = zone === undefined ? [] : gossip.liveVmsIn(zone);
     const near = inZone.filter((it) => this.#isAble(it, silent));
     const able = near.length > 0
       ? near
       : [vm, ...gossip.live.map((peer) => peer.vm)]
         .filter((it) => this.#isAble(it, silent)).sort();
-    return this.#order.of(server, able)[0];
+    return this.#order.rank(server, able)[0];
   }
 
   #isAble(
@@ -164,23 +169,23 @@
   #flush(): void {
     this.#followLoad();
     const { vm, gossip } = this.#options;
-    for (const [coordinator, message] of this.#asks.takeMessages()) {
+    for (const [coordinator, message] of this.#asks.drainMessages()) {
       const asks = this.#encodeAsks(message);
       if (coordinator === vm) this.#takeAsks(asks);
-      else gossip.send(messages.SLOT_ASKS_METHOD, asks, [coordinator]);
+      else gossip.send(messages.SLOT_REQUESTS_METHOD, asks, [coordinator]);
     }
     const answers = [...this.#words];
     this.#words.clear();
     for (const [to, words] of answers) {
-      const answer = encodeWords(vm, words);
+      const answer = encodeReplies(vm, words);
       if (to === vm) this.#takeWords(answer);
-      else gossip.send(messages.SLOT_WORDS_METHOD, answer, [to]);
+      else gossip.send(messages.SLOT_REPLIES_METHOD, answer, [to]);
     }
   }
 
   #encodeAsks(
-    { wishes, ended, held }: admission.SlotMessage,
-  ): messages.SlotAsks {
+    { requests: wishes, ended, held }: admission.CoordinatorMessage,
+  ): messages.SlotRequests {
     const { vm, clock } = this.#options;
     const nowMs = clock.nowMs();
     return {
@@ -195,13 +200,13 @@
     };
   }
 
-  #takeAsks({ vm, wishes, ended, held }: messages.SlotAsks): void {
+  #takeAsks({ vm, wishes, ended, held }: messages.SlotRequests): void {
     const nowMs = this.#options.clock.nowMs();
     for (const [id, tookMs] of ended) {
-      this.#coordinator.end(vm, id, { tookMs: tookMs ?? undefined, nowMs });
+      this.#coordinator.release(vm, id, { tookMs: tookMs ?? undefined, nowMs });
     }
     for (const [slot, targetLeftMs, answerLeftMs] of wishes) {
-      this.#coordinator.wish({
+      this.#coordinator.request({
         ...decodeSlot(slot),
         vm,
         targetMs: nowMs + targetLeftMs,
@@ -209,11 +214,11 @@
       }, nowMs);
     }
     if (held === null) return;
-    this.#coordinator.noteHeld(vm, held.map(decodeSlot), nowMs);
+    this.#coordinator.reconcileHeld(vm, held.map(decodeSlot), nowMs);
   }
 
-  #takeWords({ vm, given, queued, refused }: messages.SlotWords): void {
-    const words: admission.SlotWord[] = [
+  #takeWords({ vm, given, queued, refused }: messages.SlotReplies): void {
+    const words: admission.SlotReply[] = [
       ...given.map((id) => ({ id, kind: "given" as const })),
       ...queued.map((id) => ({ id, kind: "queued" as const })),
       ...refused.map(([id, reason, retryAfterMs, expectedWaitMs]) => ({
@@ -222,7 +227,7 @@
         refusal: { reason, retryAfterMs, expectedWaitMs },
       })),
     ];
-    this.#asks.noteWords(vm, words, this.#options.clock.nowMs());
+    this.#asks.handleReplies(vm, words, this.#options.clock.nowMs());
   }
 
   #decide({ vm, ...word }: admission.SlotDecision): void {
@@ -235,7 +240,7 @@
 
 function encodeSlot(
   { id, service, server, bornMs, slots, route }: admission.HeldSlot,
-): messages.SlotMessage {
+): messages.SlotTuple {
   const { name, priority, targetLatencyMs } = route;
   return [
     id,
@@ -251,17 +256,17 @@
 
 function decodeSlot(
   [id, service, server, bornMs, slots, name, priority, targetLatencyMs]:
-    messages.SlotMessage,
+    messages.SlotTuple,
 ): admission.HeldSlot {
   const route = { name, priority, targetLatencyMs };
   return { id, service, server, bornMs, slots, route };
 }
 
-function encodeWords(
+function encodeReplies(
   vm: contracts.VmId,
-  words: readonly admission.SlotWord[],
-): messages.SlotWords {
-  const idsOf = (wanted: admission.SlotWord["kind"]) =>
+  words: readonly admission.SlotReply[],
+): messages.SlotReplies {
+  const idsOf = (wanted: admission.SlotReply["kind"]) =>
     words.filter(({ kind }) => kind === wanted).map(({ id }) => id);
   return {
     vm,
--- a/packages/entry/src/gateway/store_health.ts
+++ b/packages/entry/src/gateway/store_health.ts
@@ -21,18 +21,18 @@
   }
 
   /** Whether the last call was answered. */
-  get isReached(): boolean {
+  get isReachable(): boolean {
     return this.#lostAtMs === undefined;
   }
 
   /** Time since a call was last not answered. */
-  get calmMs(): number {
+  get healthyMs(): number {
     const nowMs = this.#options.clock.nowMs();
     return nowMs - Math.max(this.#failedAtMs, this.#regainedAtMs);
   }
 
   /** Called when the store is reached again. */
-  onRegained(listener: () => void): void {
+  onRecovered(listener: () => void): void {
     this.#listeners.push(listener);
   }
 
--- a/packages/entry/src/gateway/store_probe.ts
+++ b/packages/entry/src/gateway/store_probe.ts
@@ -48,7 +48,7 @@
   start(lifeCycle: LifeCycle): void {
     lifeCycle.every(PROBE_MS, () => {
       if (!this.#isDue()) return;
-      this.ask().catch((error) =>
+      this.probe().catch((error) =>
         this.#options.health.noteFailure({
           kind: "unavailable",
           message: String(error),
@@ -58,7 +58,7 @@
   }
 
   /** Asks once, and returns whether the store answers. */
-  async ask(): Promise<boolean> {
+  async probe(): Promise<boolean> {
     const { store, health, name, onObject, clock } = this.#options;
     this.#isAsking = true;
     this.#askedMs = clock.nowMs();
@@ -69,7 +69,7 @@
     this.#isAsking = false;
     if (result.isErr()) {
       health.noteFailure(result.error);
-      return health.isReached;
+      return health.isReachable;
     }
     health.noteAnswer();
     onObject(result.value);
@@ -86,7 +86,7 @@
       case "standby":
         return sinceMs >= STANDBY_PROBE_MS;
       case "none":
-        return !health.isReached && sinceMs >= STANDBY_PROBE_MS;
+        return !health.isReachable && sinceMs >= STANDBY_PROBE_MS;
     }
   }
 }
--- a/packages/entry/src/gateway/spaced_task.ts
+++ b/packages/entry/src/gateway/throttled_task.ts
@@ -2,27 +2,27 @@
 import type * as contracts from "@guavatide/contracts";
 import type { PartLog } from "../utils/log.ts";
 
-/** Options of {@link SpacedTask}. */
-export interface SpacedTaskOptions {
+/** Options of {@link ThrottledTask}. */
+export interface ThrottledTaskOptions {
   readonly clock: contracts.Clock;
   readonly log: PartLog;
   /** Least time between the starts of two runs. */
-  readonly spacingMs: number;
+  readonly minIntervalMs: number;
 }
 
 /** A step that is asked for more often than it runs. */
-export class SpacedTask {
-  readonly #options: SpacedTaskOptions;
+export class ThrottledTask {
+  readonly #options: ThrottledTaskOptions;
   #isRunning = false;
   #startedAtMs = Number.NEGATIVE_INFINITY;
 
-  constructor(options: SpacedTaskOptions) {
+  constructor(options: ThrottledTaskOptions) {
     this.#options = options;
   }
 
   /** Runs a step unless one is under way or has just begun. */
   run(step: (nowMs: number) => Promise<void>): void {
-    const { clock, log, spacingMs } = this.#options;
+    const { clock, log, minIntervalMs: spacingMs } = this.#options;
     const nowMs = clock.nowMs();
     if (this.#isRunning || nowMs - this.#startedAtMs < spacingMs) return;
     this.#isRunning = true;
--- a/packages/entry/src/gateway/watch_relay.ts
+++ b/packages/entry/src/gateway/watch_relay.ts
@@ -10,7 +10,7 @@
 import type { LifeCycle } from "../utils/life_cycle.ts";
 import type { PartLog } from "../utils/log.ts";
 import type { ObjectChange } from "./object_table.ts";
-import type { PeerCalls } from "./peer_calls.ts";
+import type { PeerRpc } from "./peer_rpc.ts";
 import { encodeMessage } from "./peer_codec.ts";
 import type { GossipIdentity, PeerGossip } from "./peer_gossip.ts";
 import * as messages from "./peer_messages.ts";
@@ -20,7 +20,7 @@
 export interface WatchRelayOptions {
   readonly self: GossipIdentity;
   readonly gossip: PeerGossip;
-  readonly calls: PeerCalls;
+  readonly rpc: PeerRpc;
   readonly health: StoreHealth;
   readonly hasher: ownership.KeyHasher;
   readonly clock: contracts.Clock;
@@ -29,7 +29,7 @@
   readonly isSeed: boolean;
   readonly isLeaving: () => boolean;
   /** Finds out whether the store answers this VM. */
-  readonly tryStore: () => Promise<boolean>;
+  readonly probeStore: () => Promise<boolean>;
 }
 
 /** Changes between two positions in the store's order. */
@@ -48,13 +48,13 @@
   /** Position of the last change that this VM has heard of. */
   readonly position: number;
   /** All objects; undefined before the first list. */
-  readonly state: messages.KindState | undefined;
+  readonly snapshot: messages.KindSnapshot | undefined;
   /** Takes changes that a peer has read. */
-  takeRelayed(changes: RelayedChanges, from: contracts.VmId): void;
+  applyRelayed(changes: RelayedChanges, from: contracts.VmId): void;
   /** A peer has heard of changes up to a position. */
-  noteNews(position: number, peer: contracts.VmId): void;
+  notePeerPosition(position: number, peer: contracts.VmId): void;
   /** This VM became a reader, or is none any more. */
-  roleChanged(): void;
+  onRoleChange(): void;
 }
 
 /** Interval at which the duty is looked at. */
@@ -75,8 +75,8 @@
 /** The task that relays. */
 export class WatchRelay {
   readonly #options: WatchRelayOptions;
-  readonly #order: grants.DutyOrder;
-  readonly #duty: cells.ReaderDuty;
+  readonly #order: grants.VmRanking;
+  readonly #duty: cells.ReaderElection;
   readonly #watches = new Map<string, RelayedWatch>();
   readonly #batches = new Map<string, RelayedChanges[]>();
   #sorted: readonly contracts.VmId[] = [];
@@ -86,25 +86,25 @@
 
   constructor(options: WatchRelayOptions) {
     this.#options = options;
-    const { gossip, calls, hasher, self } = options;
-    this.#order = new grants.DutyOrder(hasher);
-    this.#duty = new cells.ReaderDuty(self.vm);
+    const { gossip, rpc: calls, hasher, self } = options;
+    this.#order = new grants.VmRanking(hasher);
+    this.#duty = new cells.ReaderElection(self.vm);
     gossip.on(
       messages.CHANGES_METHOD,
-      messages.changesSchema,
+      messages.storeChangesSchema,
       (changes) => this.#take(changes),
     );
     gossip.on(
-      messages.CHANGES_WISH_METHOD,
-      messages.changesWishSchema,
+      messages.CHANGES_REQUEST_METHOD,
+      messages.changesRequestSchema,
       (wish) => this.#answer(wish),
     );
     gossip.on(
       messages.READER_METHOD,
-      messages.readerWordSchema,
+      messages.readerStatusSchema,
       (word) => this.#takeWord(word),
     );
-    calls.on(STATE_METHOD, (prefix) => this.#watches.get(prefix)?.state);
+    calls.on(STATE_METHOD, (prefix) => this.#watches.get(prefix)?.snapshot);
   }
 
   /** Starts the regular work. */
@@ -120,10 +120,10 @@
   }
 
   /** How long the store has answered without a failure, as the readers see it. */
-  get storeCalmMs(): number {
+  get storeHealthyMs(): number {
     const { health, clock } = this.#options;
-    const ownMs = this.isReader && health.isReached ? health.calmMs : 0;
-    return Math.max(ownMs, this.#duty.storeCalmMs(clock.nowMs()));
+    const ownMs = this.isReader && health.isReachable ? health.healthyMs : 0;
+    return Math.max(ownMs, this.#duty.storeHealthyMs(clock.nowMs()));
   }
 
   /** Adds the watch of a kind. */
@@ -135,28 +135,30 @@
   publish(prefix: string, changes: RelayedChanges): void {
     this.#remember(prefix, changes);
     const message = this.#encode(prefix, changes);
-    this.#options.gossip.spread(messages.CHANGES_METHOD, message);
+    this.#options.gossip.broadcast(messages.CHANGES_METHOD, message);
   }
 
   /** Asks a peer for the changes after a position. */
-  ask(prefix: string, cursor: number, peer: contracts.VmId): void {
+  requestChanges(prefix: string, cursor: number, peer: contracts.VmId): void {
     const { gossip, self: { vm } } = this.#options;
-    gossip.send(messages.CHANGES_WISH_METHOD, { vm, prefix, cursor }, [peer]);
+    gossip.send(messages.CHANGES_REQUEST_METHOD, { vm, prefix, cursor }, [
+      peer,
+    ]);
   }
 
   /** All objects of a kind as a peer knows them; undefined without an answer. */
-  async fetchState(
+  async fetchSnapshot(
     prefix: string,
     peer: contracts.VmId | undefined,
-  ): Promise<messages.KindState | undefined> {
-    const { gossip, calls, log } = this.#options;
+  ): Promise<messages.KindSnapshot | undefined> {
+    const { gossip, rpc: calls, log } = this.#options;
     const address = gossip.live.find(({ vm }) => vm === peer) ??
-      gossip.drawPeer();
+      gossip.randomPeer();
     if (address === undefined) return undefined;
-    const state = await calls.ask(address, {
+    const state = await calls.call(address, {
       method: STATE_METHOD,
       name: prefix,
-      result: messages.kindStateSchema,
+      resultSchema: messages.kindSnapshotSchema,
     });
     const fields = { prefix, peer: address.vm };
     if (state.isErr()) {
@@ -177,7 +179,7 @@
 
   get #isHealthyReader(): boolean {
     const { health, isLeaving } = this.#options;
-    return this.isReader && health.isReached && !isLeaving();
+    return this.isReader && health.isReachable && !isLeaving();
   }
 
   // The duty
@@ -195,9 +197,9 @@
     const nowMs = clock.nowMs();
     return {
       nowMs,
-      lifeMs: nowMs - this.#startedAtMs,
-      hasStore: health.isReached,
-      order: this.#candidates(nowMs),
+      uptimeMs: nowMs - this.#startedAtMs,
+      hasStore: health.isReachable,
+      ranking: this.#candidates(nowMs),
       isSeed: isSeed || gossip.seedCount === 0,
     };
   }
@@ -208,23 +210,23 @@
     const { gossip, self } = this.#options;
     const reach = gossip.live.filter(({ hasStore }) => hasStore);
     this.#candidatesAtMs = nowMs;
-    this.#sorted = cells.readerOrder(
+    this.#sorted = cells.rankReaders(
       [self, ...reach],
-      (vms) => this.#order.of("readers", [...vms].sort()),
+      (vms) => this.#order.rank("readers", [...vms].sort()),
     );
     return this.#sorted;
   }
 
   #try(): void {
-    const { tryStore, log } = this.#options;
+    const { probeStore: tryStore, log } = this.#options;
     this.#isTrying = true;
     tryStore().then((isReached) => {
       this.#isTrying = false;
-      this.#duty.noteTried(isReached, this.#view());
+      this.#duty.noteAttempt(isReached, this.#view());
       if (this.isReader) this.#roleChanged();
     }, (error) => {
       this.#isTrying = false;
-      this.#duty.noteTried(false, this.#view());
+      this.#duty.noteAttempt(false, this.#view());
       log.error("Trying the store failed.", { error: String(error) });
     });
   }
@@ -235,10 +237,11 @@
       this.isReader ? "Reads for all VMs." : "Leaves reading to peers.",
       {
         peers: gossip.vmCount,
-        readers: this.#duty.active(clock.nowMs()).map(({ vm }) => vm).join(),
+        readers: this.#duty.activeReaders(clock.nowMs()).map(({ vm }) => vm)
+          .join(),
       },
     );
-    for (const watch of this.#watches.values()) watch.roleChanged();
+    for (const watch of this.#watches.values()) watch.onRoleChange();
     this.#tellWord();
   }
 
@@ -248,16 +251,16 @@
     const positions = Object.fromEntries(
       [...this.#watches].map(([prefix, { position }]) => [prefix, position]),
     );
-    const storeCalmMs = told(health.calmMs);
-    const word: messages.ReaderWord = { vm, storeCalmMs, positions };
-    gossip.spread(messages.READER_METHOD, word);
+    const storeCalmMs = told(health.healthyMs);
+    const word: messages.ReaderStatus = { vm, storeCalmMs, positions };
+    gossip.broadcast(messages.READER_METHOD, word);
   }
 
-  #takeWord({ vm, storeCalmMs, positions }: messages.ReaderWord): void {
+  #takeWord({ vm, storeCalmMs, positions }: messages.ReaderStatus): void {
     const heardAtMs = this.#options.clock.nowMs();
-    this.#duty.note({ vm, heardAtMs, storeCalmMs });
+    this.#duty.noteReader({ vm, receivedAtMs: heardAtMs, storeCalmMs });
     for (const [prefix, position] of Object.entries(positions)) {
-      this.#watches.get(prefix)?.noteNews(position, vm);
+      this.#watches.get(prefix)?.notePeerPosition(position, vm);
     }
   }
 
@@ -270,9 +273,9 @@
     if (batches.length > REMEMBERED_BATCHES) batches.shift();
   }
 
-  #encode(prefix: string, changes: RelayedChanges): messages.Changes {
+  #encode(prefix: string, changes: RelayedChanges): messages.StoreChanges {
     const { vm } = this.#options.self;
-    const message: messages.Changes = {
+    const message: messages.StoreChanges = {
       vm,
       prefix,
       fromCursor: changes.fromPosition,
@@ -298,7 +301,7 @@
     this.#options.gossip.send(messages.CHANGES_METHOD, message, [peer]);
   }
 
-  #take(message: messages.Changes): void {
+  #take(message: messages.StoreChanges): void {
     const { vm, prefix, fromCursor, toCursor, names } = message;
     const events = message.events?.map(([name, object]): ObjectChange =>
       object === null
@@ -314,11 +317,11 @@
     const watch = this.#watches.get(prefix);
     if (watch === undefined) return;
     if (toCursor > watch.position) this.#remember(prefix, changes);
-    watch.takeRelayed(changes, vm);
+    watch.applyRelayed(changes, vm);
   }
 
   /** Tells a peer what it missed, or that this is not remembered. */
-  #answer({ vm, prefix, cursor }: messages.ChangesWish): void {
+  #answer({ vm, prefix, cursor }: messages.ChangesRequest): void {
     const batches = this.#batches.get(prefix) ?? [];
     const missed = batches.filter(({ toPosition }) => toPosition > cursor);
     const position = this.#watches.get(prefix)?.position ?? 0;
--- a/packages/entry/src/gateway/wire_gateway.ts
+++ b/packages/entry/src/gateway/wire_gateway.ts
@@ -2,7 +2,7 @@
 import type * as contracts from "@guavatide/contracts";
 import * as grants from "@guavatide/decisions/grants/mod";
 import * as ownership from "@guavatide/decisions/ownership/mod";
-import * as linkParts from "../links/server_links.ts";
+import * as linkParts from "../links/connection_pools.ts";
 import { MeteredStore } from "../metrics/metered_store.ts";
 import {
   MonotonicClock,
@@ -11,7 +11,7 @@
 } from "../utils/clock.ts";
 import { LifeCycle } from "../utils/life_cycle.ts";
 import type { Log } from "../utils/log.ts";
-import { ColdStarts } from "./cold_starts.ts";
+import { ColdStartLimits } from "./cold_start_limits.ts";
 import { ConfigHolder } from "./config_holder.ts";
 import { Forwarder } from "./forwarder.ts";
 import { FrontListener } from "./front_listener.ts";
@@ -19,34 +19,34 @@
 import type { GatewaySettings } from "./gateway_settings.ts";
 import { GrantTask } from "./grant_task.ts";
 import { KindWatch } from "./kind_watch.ts";
-import { PeerCalls } from "./peer_calls.ts";
+import { PeerRpc } from "./peer_rpc.ts";
 import { type OwnState, PeerGossip } from "./peer_gossip.ts";
 import type { PlatformAdapter } from "./platform_adapter.ts";
 import { RangeMapStore } from "./range_map_store.ts";
-import { ReadinessDoor } from "./readiness_door.ts";
-import { RequestLog } from "./request_story.ts";
+import { ReadinessServer } from "./readiness_server.ts";
+import { RequestLog } from "./request_log.ts";
 import { ServerRegistry } from "./server_registry.ts";
 import { SlotTask } from "./slot_task.ts";
 import { StoreHealth } from "./store_health.ts";
 import { StoreProbe } from "./store_probe.ts";
 import { WatchRelay } from "./watch_relay.ts";
-import { VmDirectory } from "./vm_directory.ts";
+import { PeerDiscovery } from "./peer_discovery.ts";
 import { ZoneEvacuations } from "./zone_evacuations.ts";
 
 /** Descriptors kept for files, the store, peers and control calls. */
 const RESERVED_DESCRIPTORS = 400;
 /** Part of the rest that callers' connections may take. */
-const CALLER_DESCRIPTOR_PART = 0.7;
+const CALLER_DESCRIPTOR_RATIO = 0.7;
 /**
  * Idle connections to servers are kept so long where servers tell no limit of
  * their own.
  */
-const LINK_IDLE_MS = 8_000;
+const CONNECTION_IDLE_TIMEOUT_MS = 8_000;
 /**
  * Part of the bound on an evacuation for which owners in the zone may still get
  * requests; the rest covers late news.
  */
-const EVACUATION_USE_PART = 0.5;
+const EVACUATION_GRACE_RATIO = 0.5;
 /** Longest wait for one step of a stop after the listener has ended. */
 const CLOSE_TIMEOUT_MS = 300;
 
@@ -90,16 +90,16 @@
   const registry: ServerRegistry = new ServerRegistry({
     adapter,
     evacuations,
-    evacuationUseMs: (settings.evacuation?.boundMs ?? 0) *
-      EVACUATION_USE_PART,
+    evacuationGraceMs: (settings.evacuation?.boundMs ?? 0) *
+      EVACUATION_GRACE_RATIO,
     coldStartOf: (service) => config.service(service)?.coldStart,
-    storeCalmMs: () => relay.storeCalmMs,
+    storeCalmMs: () => relay.storeHealthyMs,
     clock,
     log: log.part("member"),
   });
   const self = {
     vm: settings.vm,
-    incarnation: drawIncarnation(),
+    incarnation: createIncarnation(),
     host: settings.host,
     port: settings.peerPort,
     zone: settings.zone,
@@ -111,16 +111,16 @@
     random,
     log: log.part("member"),
     ownHello: () => ({
-      hasStore: health.isReached,
+      hasStore: health.isReachable,
       isLeaving: lifeCycle.isStopping,
       ...grantTask.ownHello(),
     }),
     ownState: () => ownState(),
-    ownKeeperState: () => ({
+    ownVoterState: () => ({
       lifeMs: Math.ceil(clock.nowMs() - startedMs),
-      ...grantTask.ownKeeperState(),
+      ...grantTask.ownVoterState(),
     }),
-    keepers: () => grantTask.keepers(),
+    voters: () => grantTask.voters(),
     ownLoads: () => forwarder.ownState().loads,
     takeSlowdowns: () => forwarder.takeSlowdowns(),
     onSent: (method, bytes, isSameZone) => {
@@ -134,14 +134,14 @@
     store,
     health,
     name: adapter.prefixes.configObject,
-    onObject: (object) => config.take(object),
+    onObject: (object) => config.applyObject(object),
     clock,
     need: () => {
-      if (relay.isReader || grantTask.isMover) return "duty";
-      return grantTask.keepers().has(settings.vm) ? "standby" : "none";
+      if (relay.isReader || grantTask.isLeader) return "duty";
+      return grantTask.voters().has(settings.vm) ? "standby" : "none";
     },
   });
-  const calls = new PeerCalls({
+  const calls = new PeerRpc({
     host: settings.host,
     port: settings.peerPort,
     log: log.part("member"),
@@ -149,17 +149,17 @@
   const relay: WatchRelay = new WatchRelay({
     self,
     gossip,
-    calls,
+    rpc: calls,
     health,
     hasher,
     clock,
     log: log.part("store"),
     isSeed: settings.seeds.some(({ host }) => host === settings.host),
     isLeaving: () => lifeCycle.isStopping,
-    tryStore: () => probe.ask(),
+    probeStore: () => probe.probe(),
   });
   const watches = createWatches();
-  const coldStarts = new ColdStarts({
+  const coldStarts = new ColdStartLimits({
     vm: settings.vm,
     bound: settings.coldStarts,
     config,
@@ -171,12 +171,12 @@
   const grantTask: GrantTask = new GrantTask({
     self,
     timings: timingsOf(settings),
-    longestGrantMs: settings.timings.longestGrantMs,
+    maxLeaseMs: settings.timings.longestGrantMs,
     hasher,
     config,
     registry,
     gossip,
-    calls,
+    rpc: calls,
     maps: new RangeMapStore({ store, health, log: log.part("owner") }),
     control: adapter.grants,
     health,
@@ -186,7 +186,7 @@
     isCold: ({ server, service }) =>
       registry.coldUntilMs(server) > clock.nowMs() &&
       config.service(service)?.coldStart !== undefined,
-    serverFactorsOf: (service) => slots.factors(service),
+    latencyFactorsOf: (service) => slots.latencyFactors(service),
     isLeaving: () => lifeCycle.isStopping,
   });
   const slots = new SlotTask({
@@ -201,11 +201,11 @@
     isLeaving: () => lifeCycle.isStopping,
     coldStarts,
   });
-  const links = new linkParts.ServerLinks(
+  const links = new linkParts.ConnectionPools(
     {
-      ...linkParts.SERVER_LINKS_DEFAULTS,
-      decoder: adapter.answers,
-      idleTimeoutMs: LINK_IDLE_MS,
+      ...linkParts.CONNECTION_POOLS_DEFAULTS,
+      decoder: adapter.answerDecoder,
+      idleTimeoutMs: CONNECTION_IDLE_TIMEOUT_MS,
     },
     lifeCycle,
   );
@@ -219,7 +219,7 @@
     grants: grantTask,
     gossip,
     slots,
-    links,
+    connections: links,
     headers: adapter.headers,
     budget: {
       ...settings.retryBudget,
@@ -229,9 +229,9 @@
     clock,
     random,
     log: log.part("route"),
-    onStory: (story) => {
-      metrics.note(story);
-      requestLog.note(story);
+    onFinished: (story) => {
+      metrics.recordRequest(story);
+      requestLog.record(story);
     },
   });
   const startedMs = clock.nowMs();
@@ -249,24 +249,25 @@
       config: new KindWatch({
         ...common,
         prefix: adapter.prefixes.config,
-        onList: (objects) => objects.forEach((object) => config.take(object)),
+        onList: (objects) =>
+          objects.forEach((object) => config.applyObject(object)),
         onChanges: (changes) =>
           changes.forEach(({ object }) =>
-            object !== undefined && config.take(object)
+            object !== undefined && config.applyObject(object)
           ),
       }),
       servers: new KindWatch({
         ...common,
         prefix: adapter.prefixes.servers,
-        onList: (objects) => registry.takeList(objects),
-        onChanges: (changes) => registry.takeChanges(changes),
+        onList: (objects) => registry.applyList(objects),
+        onChanges: (changes) => registry.applyChanges(changes),
       }),
       // Where no zone is ever evacuated the store isn't asked for them.
       evacuations: settings.evacuation && new KindWatch({
         ...common,
         prefix: adapter.prefixes.evacuations,
-        onList: (objects) => evacuations.takeList(objects),
-        onChanges: (changes) => evacuations.takeChanges(changes),
+        onList: (objects) => evacuations.applyList(objects),
+        onChanges: (changes) => evacuations.applyChanges(changes),
       }),
     };
   }
@@ -290,7 +291,7 @@
     log: log.part("route"),
     connectionLimit: Math.floor(
       (settings.limits.descriptors - RESERVED_DESCRIPTORS) *
-        CALLER_DESCRIPTOR_PART,
+        CALLER_DESCRIPTOR_RATIO,
     ),
     graceMs: settings.timings.graceSeconds * 1000,
     forward: (request) => forwarder.forward(request),
@@ -310,7 +311,7 @@
     probe,
     calls,
     relay,
-    directory: new VmDirectory({
+    directory: new PeerDiscovery({
       self,
       store,
       health,
@@ -319,7 +320,7 @@
       clock,
       random,
       log: log.part("member"),
-      isContact: () => relay.isReader,
+      shouldRegister: () => relay.isReader,
     }),
   };
 }
@@ -338,9 +339,11 @@
     if (lifeCycle.isStopping) return "The process stops";
     if (config.active === undefined) return "No configuration yet";
     if (!registry.isListed) return "No list of servers yet";
-    return grantTask.isKnown ? undefined : "Owners of keys are not known yet";
+    return grantTask.areOwnersKnown
+      ? undefined
+      : "Owners of keys are not known yet";
   };
-  const readiness = new ReadinessDoor({
+  const readiness = new ReadinessServer({
     ...settings.readiness,
     path: adapter.readinessPath,
     log: log.part("main"),
@@ -350,8 +353,8 @@
   await parts.metrics.listen(settings, lifeCycle);
   for (const { host } of settings.seeds) gossip.addSeed(host);
   gossip.onStatus(({ vm, configCursor, serversCursor }) => {
-    watches.config.noteNews(configCursor, vm);
-    watches.servers.noteNews(serversCursor, vm);
+    watches.config.notePeerPosition(configCursor, vm);
+    watches.servers.notePeerPosition(serversCursor, vm);
   });
   await gossip.start(lifeCycle);
   await parts.calls.listen(lifeCycle);
@@ -379,7 +382,7 @@
   const mainLog = log.part("main");
   mainLog.info("Entry process stops.", { vm: settings.vm });
   const stopping = lifeCycle.stop();
-  gossip.sendToAll();
+  gossip.sendHelloToAll();
   const report = await stopping;
   for (const { name, reason } of report.failed) {
     mainLog.warn("A part did not stop cleanly.", { name, reason });
@@ -388,7 +391,7 @@
 }
 
 /** A short id, as it travels with every status. */
-function drawIncarnation(): contracts.Incarnation {
+function createIncarnation(): contracts.Incarnation {
   return crypto.randomUUID().slice(0, 8) as contracts.Incarnation;
 }
 
--- a/packages/entry/src/gateway/zone_evacuations.ts
+++ b/packages/entry/src/gateway/zone_evacuations.ts
@@ -47,7 +47,7 @@
   }
 
   /** Takes over a whole list. */
-  takeList(objects: readonly contracts.StoredObject[]): void {
+  applyList(objects: readonly contracts.StoredObject[]): void {
     const listed = new Set(objects.map(({ name }) => this.#zoneOf(name)));
     const ended = this.zones.filter((zone) => !listed.has(zone));
     for (const zone of listed) this.#begin(zone);
@@ -55,7 +55,7 @@
   }
 
   /** Takes over changes that were learned together. */
-  takeChanges(changes: readonly ObjectChange[]): void {
+  applyChanges(changes: readonly ObjectChange[]): void {
     const ended: contracts.ZoneId[] = [];
     for (const { name, object } of changes) {
       const zone = this.#zoneOf(name);
--- a/packages/entry/src/links/link_pool.ts
+++ b/packages/entry/src/links/connection_pool.ts
@@ -2,20 +2,20 @@
 import type * as contracts from "@guavatide/contracts";
 import { ServerClock } from "./server_clock.ts";
 import {
-  type LinkRequest,
-  type LinkResult,
-  ServerLink,
-  type ServerLinkOptions,
-} from "./server_link.ts";
+  type AttemptRequest,
+  type AttemptResult,
+  ServerConnection,
+  type ServerConnectionOptions,
+} from "./server_connection.ts";
 
-/** Options of {@link LinkPool}. */
-export interface LinkPoolOptions extends ServerLinkOptions {
+/** Options of {@link ConnectionPool}. */
+export interface ConnectionPoolOptions extends ServerConnectionOptions {
   /** This VM's share of the connections that the server takes. */
-  readonly linkLimit: number;
+  readonly connectionLimit: number;
   readonly clock: contracts.Clock;
 }
 
-/** Options of {@link LinkPool.send}. */
+/** Options of {@link ConnectionPool.send}. */
 export interface SendOptions {
   /** Gives up after this time, counted from the call. */
   readonly timeoutMs: number;
@@ -23,35 +23,38 @@
 }
 
 /** Connections of a pool, for metrics. */
-export interface LinkCounts {
+export interface ConnectionCounts {
   readonly idle: number;
   readonly busy: number;
 }
 
 /** A bounded set of links; the one used last is used next. */
-export class LinkPool {
-  readonly #options: LinkPoolOptions;
-  readonly #idle: ServerLink[] = [];
-  readonly #busy = new Set<ServerLink>();
+export class ConnectionPool {
+  readonly #options: ConnectionPoolOptions;
+  readonly #idle: ServerConnection[] = [];
+  readonly #busy = new Set<ServerConnection>();
   /** The server's clock, as its answers tell it. */
   readonly serverClock: ServerClock;
   #isClosed = false;
 
-  constructor(options: LinkPoolOptions) {
+  constructor(options: ConnectionPoolOptions) {
     this.#options = options;
     this.serverClock = new ServerClock(options.clock);
   }
 
-  get counts(): LinkCounts {
+  get counts(): ConnectionCounts {
     return { idle: this.#idle.length, busy: this.#busy.size };
   }
 
   /** Sends a request over a free link, or over a new one. */
-  async send(request: LinkRequest, options: SendOptions): Promise<LinkResult> {
+  async send(
+    request: AttemptRequest,
+    options: SendOptions,
+  ): Promise<AttemptResult> {
     const link = this.#take();
     if (link === undefined) {
       const message = "All connections are in use";
-      return { kind: "not-sent", isOurs: true, message };
+      return { kind: "not-sent", isLocal: true, message };
     }
     const receivedBytes = link.bytesReceived;
     const timer = setTimeout(
@@ -77,19 +80,19 @@
     this.#retireIdle();
   }
 
-  #take(): ServerLink | undefined {
+  #take(): ServerConnection | undefined {
     let link = this.#idle.pop();
     while (link !== undefined && !link.isUsable) link = this.#idle.pop();
     if (link === undefined) {
-      const isFull = this.#busy.size >= this.#options.linkLimit;
+      const isFull = this.#busy.size >= this.#options.connectionLimit;
       if (isFull || this.#isClosed) return undefined;
-      link = new ServerLink(this.#options);
+      link = new ServerConnection(this.#options);
     }
     this.#busy.add(link);
     return link;
   }
 
-  #giveBack(link: ServerLink): void {
+  #giveBack(link: ServerConnection): void {
     this.#busy.delete(link);
     if (this.#isClosed) link.retire();
     if (link.isUsable) this.#idle.push(link);
--- a/packages/entry/src/links/server_links.ts
+++ b/packages/entry/src/links/connection_pools.ts
@@ -5,11 +5,11 @@
 import { MonotonicClock } from "../utils/clock.ts";
 import type { LifeCycle } from "../utils/life_cycle.ts";
 import type { AnswerDecoder } from "./answer_decoder.ts";
-import { type LinkCounts, LinkPool } from "./link_pool.ts";
-import { OwnAnswerDecoder } from "./own_answer_decoder.ts";
+import { type ConnectionCounts, ConnectionPool } from "./connection_pool.ts";
+import { NativeAnswerDecoder } from "./native_answer_decoder.ts";
 
-/** Options of {@link ServerLinks}. */
-export interface ServerLinksOptions {
+/** Options of {@link ConnectionPools}. */
+export interface ConnectionPoolsOptions {
   readonly connectTimeoutMs: number;
   readonly idleTimeoutMs: number;
   readonly answerLimitBytes: number;
@@ -18,31 +18,31 @@
   readonly controlTimeoutMs: number;
 }
 
-/** Defaults of {@link ServerLinksOptions}. */
-export const SERVER_LINKS_DEFAULTS: ServerLinksOptions = {
+/** Defaults of {@link ConnectionPoolsOptions}. */
+export const CONNECTION_POOLS_DEFAULTS: ConnectionPoolsOptions = {
   connectTimeoutMs: 500,
   // Below the idle limit of common servers: a connection closed just as a
   // request leaves makes that request's fate unknown.
   idleTimeoutMs: 4000,
   answerLimitBytes: 8 * 1024 * 1024,
-  decoder: new OwnAnswerDecoder(),
+  decoder: new NativeAnswerDecoder(),
   controlTimeoutMs: 500,
 };
 
-interface Place {
+interface ServerPool {
   readonly host: string;
   readonly port: number;
-  readonly pool: LinkPool;
+  readonly pool: ConnectionPool;
 }
 
 /** Pools by server; a server that changes its address gets a new one. */
-export class ServerLinks {
-  readonly #options: ServerLinksOptions;
-  readonly #places = new Map<contracts.ServerId, Place>();
+export class ConnectionPools {
+  readonly #options: ConnectionPoolsOptions;
+  readonly #places = new Map<contracts.ServerId, ServerPool>();
   readonly #control: undici.Agent;
   readonly #clock = new MonotonicClock();
 
-  constructor(options: ServerLinksOptions, lifeCycle: LifeCycle) {
+  constructor(options: ConnectionPoolsOptions, lifeCycle: LifeCycle) {
     this.#options = options;
     this.#control = new undici.Agent({
       connections: 1,
@@ -62,25 +62,25 @@
   pool(
     address: Pick<ServerAddress, "server" | "host" | "port">,
     linkLimit: number,
-  ): LinkPool {
+  ): ConnectionPool {
     const found = this.#places.get(address.server);
     const isSame = found?.host === address.host && found.port === address.port;
     if (found !== undefined && isSame) return found.pool;
     found?.pool.close();
     const { host, port } = address;
-    const pool = new LinkPool({
+    const pool = new ConnectionPool({
       ...this.#options,
       clock: this.#clock,
       host,
       port,
-      linkLimit,
+      connectionLimit: linkLimit,
     });
     this.#places.set(address.server, { host, port, pool });
     return pool;
   }
 
   /** Connections to each server; a busy one has a request in flight. */
-  counts(): ReadonlyMap<contracts.ServerId, LinkCounts> {
+  counts(): ReadonlyMap<contracts.ServerId, ConnectionCounts> {
     return new Map(
       [...this.#places].map(([server, { pool }]) => [server, pool.counts]),
     );
--- a/packages/entry/src/links/header_list.ts
+++ b/packages/entry/src/links/header_list.ts
@@ -5,7 +5,7 @@
 import * as contracts from "@guavatide/contracts";
 
 /** Headers that concern one connection only and are never passed on. */
-const CONNECTION_HEADERS = new Set([
+const HOP_BY_HOP_HEADERS = new Set([
   "connection",
   "content-length",
   "date",
@@ -22,7 +22,7 @@
 ]);
 
 /** Headers of this system; each side sets its own. */
-const OWN_HEADERS: ReadonlySet<string> = new Set([
+const INTERNAL_HEADERS: ReadonlySet<string> = new Set([
   contracts.REQUEST_ID_HEADER,
   contracts.DEADLINE_HEADER,
   // A server that checks no fences would read a caller's own stamp in place of
@@ -55,20 +55,20 @@
 
 /** Headers of a caller's request that go on to the server. */
 export function requestHeaders(headers: readonly string[]): string[] {
-  return passOn(headers);
+  return forwardableHeaders(headers);
 }
 
 /** Headers of a server's answer that go on to the caller. */
 export function answerHeaders(headers: readonly string[]): string[] {
-  return passOn(headers);
+  return forwardableHeaders(headers);
 }
 
-function passOn(headers: readonly string[]): string[] {
+function forwardableHeaders(headers: readonly string[]): string[] {
   const listed = connectionTokens(headers);
   const passed: string[] = [];
   for (let index = 0; index + 1 < headers.length; index += 2) {
     const name = headers[index]!.toLowerCase();
-    if (OWN_HEADERS.has(name) || CONNECTION_HEADERS.has(name)) continue;
+    if (INTERNAL_HEADERS.has(name) || HOP_BY_HOP_HEADERS.has(name)) continue;
     if (listed?.includes(name)) continue;
     passed.push(headers[index]!, headers[index + 1]!);
   }
--- a/packages/entry/src/links/own_answer_decoder.ts
+++ b/packages/entry/src/links/native_answer_decoder.ts
@@ -9,7 +9,7 @@
 import { answerHeaders, readHeader } from "./header_list.ts";
 
 /** Decodes responses under `/serve/`. */
-export class OwnAnswerDecoder implements AnswerDecoder {
+export class NativeAnswerDecoder implements AnswerDecoder {
   decode(requestId: contracts.RequestId, raw: RawAnswer): DecodedAnswer {
     const echoed = readHeader(raw.headers, names.REQUEST_ID_HEADER);
     if (echoed !== requestId) {
--- a/packages/entry/src/links/server_clock.ts
+++ b/packages/entry/src/links/server_clock.ts
@@ -24,7 +24,7 @@
   }
 
   /** Takes the stamp of an answer, `<instance>/<milliseconds>`. */
-  note(text: string | undefined): void {
+  recordStamp(text: string | undefined): void {
     const [instance, milliseconds] = text?.split("/") ?? [];
     const serverMs = Number(milliseconds);
     if (!instance || !Number.isFinite(serverMs)) return;
@@ -36,7 +36,7 @@
    * A deadline on the server's clock in the same form; undefined without a
    * stamp. It is early by the time that the stamp's answer was on its way.
    */
-  deadlineText(deadlineMs: number): string | undefined {
+  formatDeadline(deadlineMs: number): string | undefined {
     const stamp = this.#stamp;
     if (stamp === undefined) return undefined;
     const ageMs = this.#clock.nowMs() - stamp.receivedAtMs;
--- a/packages/entry/src/links/server_link.ts
+++ b/packages/entry/src/links/server_connection.ts
@@ -12,7 +12,7 @@
 import { readHeader } from "./header_list.ts";
 
 /** One attempt of a request, as it goes over a link. */
-export interface LinkRequest {
+export interface AttemptRequest {
   readonly id: contracts.RequestId;
   readonly method: string;
   readonly path: string;
@@ -20,19 +20,19 @@
   readonly headers: readonly string[];
   readonly body: Uint8Array | undefined;
   /** Called right before the bytes leave; false keeps them here. */
-  mayLeave(): boolean;
+  maySend(): boolean;
   /** The server's clock, sent with its answer. */
-  noteStamp(text: string | undefined): void;
+  onServerStamp(text: string | undefined): void;
 }
 
 /** How an attempt ended. Only the first two leave the link usable. */
-export type LinkResult =
+export type AttemptResult =
   | Exclude<DecodedAnswer, { readonly kind: "bad" }> & AnswerReport
   /** No byte left. */
   | {
     readonly kind: "not-sent";
     /** True when it was kept here; says nothing about the server then. */
-    readonly isOurs: boolean;
+    readonly isLocal: boolean;
     readonly message: string;
   }
   /** Bytes left and no whole answer came. */
@@ -42,8 +42,8 @@
     readonly message: string;
   };
 
-/** Options of {@link ServerLink}. */
-export interface ServerLinkOptions {
+/** Options of {@link ServerConnection}. */
+export interface ServerConnectionOptions {
   readonly host: string;
   readonly port: number;
   readonly connectTimeoutMs: number;
@@ -54,24 +54,24 @@
 }
 
 /** A request whose end is awaited. */
-interface Pending {
-  readonly request: LinkRequest;
-  readonly settle: (result: LinkResult) => void;
-  hasLeft: boolean;
-  wasKept: boolean;
+interface PendingRequest {
+  readonly request: AttemptRequest;
+  readonly settle: (result: AttemptResult) => void;
+  isSent: boolean;
+  wasWithheld: boolean;
   abort: ((reason: Error) => void) | undefined;
 }
 
 /** A connection that serves one request after another until one goes wrong. */
-export class ServerLink {
+export class ServerConnection {
   readonly #client: undici.Client;
-  readonly #options: ServerLinkOptions;
+  readonly #options: ServerConnectionOptions;
   #socket: net.Socket | undefined;
-  #pending: Pending | undefined;
+  #pending: PendingRequest | undefined;
   #isUsable = true;
   #wasBroken = false;
 
-  constructor(options: ServerLinkOptions) {
+  constructor(options: ServerConnectionOptions) {
     this.#options = options;
     const connect = buildResettingConnector({
       timeout: options.connectTimeoutMs,
@@ -107,12 +107,12 @@
   }
 
   /** Sends a request and waits for its end. One at a time. */
-  send(request: LinkRequest): Promise<LinkResult> {
+  send(request: AttemptRequest): Promise<AttemptResult> {
     return new Promise((resolve) => {
-      const pending: Pending = {
+      const pending: PendingRequest = {
         request,
-        hasLeft: false,
-        wasKept: false,
+        isSent: false,
+        wasWithheld: false,
         abort: undefined,
         settle: (result) => {
           if (this.#pending !== pending) return;
@@ -131,7 +131,7 @@
   abandon(reason: contracts.UnknownReason, message: string): void {
     const pending = this.#pending;
     if (pending === undefined) return;
-    pending.settle(endWithoutAnswer(pending, reason, message));
+    pending.settle(resultWithoutAnswer(pending, reason, message));
     pending.abort?.(new Error(message));
   }
 
@@ -153,7 +153,7 @@
     });
   }
 
-  #dispatch(pending: Pending): void {
+  #dispatch(pending: PendingRequest): void {
     const { request } = pending;
     let answer: AnswerReader | undefined;
     this.#client.dispatch({
@@ -164,12 +164,12 @@
     }, {
       onRequestStart: (controller) => {
         pending.abort = (reason) => controller.abort(reason);
-        if (this.#pending !== pending || !request.mayLeave()) {
-          pending.wasKept = true;
+        if (this.#pending !== pending || !request.maySend()) {
+          pending.wasWithheld = true;
           controller.abort(new Error("The request may not leave any more"));
           return;
         }
-        pending.hasLeft = true;
+        pending.isSent = true;
       },
       onResponseStart: (controller, status) => {
         const raw = (controller as HeaderSource).rawHeaders ?? [];
@@ -192,7 +192,7 @@
         ),
       onResponseError: (_controller, error) => {
         pending.settle(
-          endWithoutAnswer(pending, "connection-lost", error.message),
+          resultWithoutAnswer(pending, "connection-lost", error.message),
         );
       },
     });
@@ -209,19 +209,19 @@
     .toString("latin1");
 }
 
-function endWithoutAnswer(
-  pending: Pending,
+function resultWithoutAnswer(
+  pending: PendingRequest,
   reason: contracts.UnknownReason,
   message: string,
-): LinkResult {
-  const isOurs = pending.wasKept;
-  if (!pending.hasLeft) return { kind: "not-sent", isOurs, message };
+): AttemptResult {
+  const isOurs = pending.wasWithheld;
+  if (!pending.isSent) return { kind: "not-sent", isLocal: isOurs, message };
   return { kind: "unknown", reason, message };
 }
 
 /** Options of {@link AnswerReader}. */
 interface AnswerReaderOptions {
-  readonly request: LinkRequest;
+  readonly request: AttemptRequest;
   readonly limitBytes: number;
   readonly decoder: AnswerDecoder;
 }
@@ -251,7 +251,7 @@
     return this.#sizeBytes <= this.#options.limitBytes;
   }
 
-  finish(): LinkResult {
+  finish(): AttemptResult {
     const { request, decoder } = this.#options;
     const decoded = decoder.decode(request.id, {
       method: request.method,
@@ -262,11 +262,11 @@
         : Buffer.concat(this.#chunks),
     });
     if (decoded.kind === "bad") return badAnswer(decoded.message);
-    request.noteStamp(readHeader(this.#headers, names.STAMP_HEADER));
+    request.onServerStamp(readHeader(this.#headers, names.STAMP_HEADER));
     return decoded;
   }
 }
 
-function badAnswer(message: string): LinkResult {
+function badAnswer(message: string): AttemptResult {
   return { kind: "unknown", reason: "bad-answer", message };
 }
--- a/packages/entry/src/links/server_link_test.ts
+++ b/packages/entry/src/links/server_connection_test.ts
@@ -3,7 +3,7 @@
 import * as net from "node:net";
 import { test } from "node:test";
 import type { AnswerDecoder } from "./answer_decoder.ts";
-import { type LinkResult, ServerLink } from "./server_link.ts";
+import { type AttemptResult, ServerConnection } from "./server_connection.ts";
 
 /** Takes every response that came whole for the request's answer. */
 const ACCEPT_ALL: AnswerDecoder = {
@@ -17,14 +17,14 @@
 /** Sends one request to a server that behaves as told. */
 async function sendTo(
   behave: (socket: net.Socket) => void,
-): Promise<LinkResult> {
+): Promise<AttemptResult> {
   const server = net.createServer((socket) => {
     socket.on("error", () => {});
     socket.once("data", () => behave(socket));
   });
   await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
   const { port } = server.address() as net.AddressInfo;
-  const link = new ServerLink({
+  const link = new ServerConnection({
     host: "127.0.0.1",
     port,
     connectTimeoutMs: 1_000,
@@ -38,8 +38,8 @@
     path: "/",
     headers: [],
     body: undefined,
-    mayLeave: () => true,
-    noteStamp: () => {},
+    maySend: () => true,
+    onServerStamp: () => {},
   });
   link.retire();
   server.close();
--- a/packages/entry/src/metrics/request_metrics_of.ts
+++ b/packages/entry/src/metrics/create_request_metrics.ts
@@ -3,7 +3,7 @@
 import type { Metrics } from "./metrics.ts";
 
 /** Request metrics that count into OpenTelemetry. */
-export function requestMetricsOf(
+export function createRequestMetrics(
   metrics: Metrics,
 ): Omit<RequestMetrics, "keyedWork"> {
   return {
--- a/packages/entry/src/metrics/latency_tally.ts
+++ b/packages/entry/src/metrics/latency_buckets.ts
@@ -24,12 +24,12 @@
 ];
 
 /** Counts and sums by bucket; keeps the histogram's counts and sum exact. */
-export class LatencyTally {
+export class LatencyBuckets {
   readonly #counts = new Array<number>(LATENCY_BOUNDS_MS.length + 1).fill(0);
   readonly #sumsMs = new Array<number>(LATENCY_BOUNDS_MS.length + 1).fill(0);
 
   /** Counts one latency. */
-  note(tookMs: number): void {
+  record(tookMs: number): void {
     let bucket = 0;
     while (tookMs > (LATENCY_BOUNDS_MS[bucket] ?? Infinity)) bucket++;
     this.#counts[bucket]!++;
--- a/packages/entry/src/metrics/counted_moves.ts
+++ b/packages/entry/src/metrics/metered_moves.ts
@@ -3,7 +3,7 @@
  * how long each slice was without an owner.
  */
 import type * as contracts from "@guavatide/contracts";
-import type { MoveStep } from "@guavatide/decisions/ownership/mod";
+import type { SliceChange } from "@guavatide/decisions/ownership/mod";
 import type {
   AssignmentSteps,
   MoveRecorder,
@@ -11,7 +11,7 @@
 import type { Metrics } from "./metrics.ts";
 
 /** A record of moves that is counted. */
-export class CountedMoves implements MoveRecorder {
+export class MeteredMoves implements MoveRecorder {
   readonly #record: MoveRecorder;
   readonly #metrics: Metrics;
   readonly #vacatedAtMs = new Map<string, number>();
@@ -26,7 +26,7 @@
     for (const step of moved.steps) this.#count(moved.service, step);
   }
 
-  #count(service: contracts.ServiceId, step: MoveStep): void {
+  #count(service: contracts.ServiceId, step: SliceChange): void {
     this.#metrics.sliceMoves.add(1, { service, step: step.step });
     const name = `${service}/${step.slice}`;
     if (step.step === "vacate") {
--- a/packages/entry/src/metrics/metrics.ts
+++ b/packages/entry/src/metrics/metrics.ts
@@ -6,7 +6,7 @@
 import * as prometheus from "@opentelemetry/exporter-prometheus";
 import * as sdk from "@opentelemetry/sdk-metrics";
 import type * as http from "node:http";
-import { LATENCY_BOUNDS_MS } from "./latency_tally.ts";
+import { LATENCY_BOUNDS_MS } from "./latency_buckets.ts";
 
 /** All instruments of one process. */
 export class Metrics {
@@ -50,7 +50,7 @@
   }
 
   /** Adds a value that is read at each scrape. */
-  observe(
+  registerGauge(
     name: string,
     description: string,
     read: (result: api.ObservableResult) => void,
--- a/packages/entry/src/metrics/metrics_door.ts
+++ b/packages/entry/src/metrics/metrics_server.ts
@@ -10,8 +10,8 @@
 
 const REQUEST_TIMEOUT_MS = 2_000;
 
-/** Options of {@link MetricsDoor}. */
-export interface MetricsDoorOptions {
+/** Options of {@link MetricsServer}. */
+export interface MetricsServerOptions {
   /** IP number to listen on. */
   readonly host: string;
   readonly port: number;
@@ -22,10 +22,10 @@
 }
 
 /** Listens for scrapes and probes. */
-export class MetricsDoor {
-  readonly #options: MetricsDoorOptions;
+export class MetricsServer {
+  readonly #options: MetricsServerOptions;
 
-  constructor(options: MetricsDoorOptions) {
+  constructor(options: MetricsServerOptions) {
     this.#options = options;
   }
 
--- a/packages/entry/src/metrics/observe_state.ts
+++ b/packages/entry/src/metrics/state_gauges.ts
@@ -2,29 +2,32 @@
 import type * as contracts from "@guavatide/contracts";
 import type * as decisions from "@guavatide/decisions";
 import type { ConfigTask } from "../configuration/mod.ts";
-import type { ServerLinks } from "../links/server_links.ts";
+import type { ConnectionPools } from "../links/connection_pools.ts";
 import type { LoadTask } from "../loads/load_task.ts";
 import type { OwnershipTask } from "../ownership/mod.ts";
 import type { Metrics } from "./metrics.ts";
 
 /** Parts whose state is shown. */
-export interface ObservedParts {
+export interface StateSources {
   readonly config: ConfigTask;
   readonly owners: OwnershipTask;
   readonly membership: decisions.Membership;
   readonly loads: LoadTask;
-  readonly links: ServerLinks;
+  readonly connections: ConnectionPools;
 }
 
 /** Registers the gauges. */
-export function observeState(metrics: Metrics, parts: ObservedParts): void {
-  const { config, owners, membership, loads, links } = parts;
-  metrics.observe(
+export function registerStateGauges(
+  metrics: Metrics,
+  parts: StateSources,
+): void {
+  const { config, owners, membership, loads, connections: links } = parts;
+  metrics.registerGauge(
     "guavatide_config_revision",
     "Revision of the configuration in force",
     (result) => result.observe(config.revision),
   );
-  metrics.observe(
+  metrics.registerGauge(
     "guavatide_config_confirmed_age_ms",
     "Time since the store last confirmed the revision in force",
     (result) => {
@@ -33,7 +36,7 @@
       }
     },
   );
-  metrics.observe(
+  metrics.registerGauge(
     "guavatide_entry_vms",
     "Other entry VMs by state",
     (result) => {
@@ -42,7 +45,7 @@
       }
     },
   );
-  metrics.observe(
+  metrics.registerGauge(
     "guavatide_slices",
     "Slices of each keyed service by state and owner",
     (result) => {
@@ -56,7 +59,7 @@
       }
     },
   );
-  metrics.observe(
+  metrics.registerGauge(
     "guavatide_evidence_age_ms",
     "Age of the evidence by which leases are renewed",
     (result) => {
@@ -66,7 +69,7 @@
       }
     },
   );
-  metrics.observe(
+  metrics.registerGauge(
     "guavatide_imbalance",
     "Largest load of a server over the mean, at the holder of control duty",
     (result) => {
@@ -78,7 +81,7 @@
       }
     },
   );
-  metrics.observe(
+  metrics.registerGauge(
     "guavatide_links",
     "Connections to each server; a busy one takes a slot of the server",
     (result) => {
@@ -88,7 +91,7 @@
       }
     },
   );
-  metrics.observe(
+  metrics.registerGauge(
     "guavatide_duties_held",
     "Services whose moves this VM plans",
     (result) => result.observe(owners.heldDuties().length),
--- a/packages/entry/src/ownership/assignment_controller_task.ts
+++ b/packages/entry/src/ownership/assignment_controller_task.ts
@@ -26,7 +26,7 @@
 
 /** Makes the planner balance by the width of slices alone. */
 export const NO_LOAD_SOURCE: LoadSource = {
-  estimate: (slices) => placement.unknownLoad(slices.length),
+  estimate: (slices) => placement.emptyLoadEstimate(slices.length),
   speeds: () => new Map(),
 };
 
@@ -51,7 +51,7 @@
   readonly #context: ServiceContext;
   readonly #options: AssignmentControllerTaskOptions;
   readonly #log: PartLog;
-  readonly #controller: ownership.Mover;
+  readonly #controller: ownership.AssignmentController;
   readonly #voterReview: VoterReview;
   #planner: placement.Planner | undefined;
   #plannerWeights = "";
@@ -75,7 +75,10 @@
     this.#log = context.log.part("place");
     this.#voterReview = new VoterReview(context);
     const { service, peers, timings } = context;
-    this.#controller = new ownership.Mover({ service, ...peers.self }, timings);
+    this.#controller = new ownership.AssignmentController({
+      service,
+      ...peers.self,
+    }, timings);
     options.leaseCommands.onReply((reply) => this.#controller.noteReply(reply));
   }
 
@@ -93,9 +96,9 @@
     const { revision } = known;
     const report = { vm, incarnation, revision, nowMs };
     this.#voterReview.noteHasReadStore(vm, known.settled);
-    this.#controller.notePromise({ ...report, askedAtMs: requestedAtMs });
+    this.#controller.noteAck({ ...report, requestedAtMs: requestedAtMs });
     const busyServers = known.busyServers ?? [];
-    this.#controller.noteForwards({ ...report, busyServers });
+    this.#controller.noteUnfencedRequests({ ...report, busyServers });
   }
 
   /** Must be called often. Does nothing unless this VM is the leader. */
@@ -103,7 +106,7 @@
     if (isLeader !== this.#isLeader) this.#setLeader(isLeader, nowMs);
     if (!isLeader) return;
     const { peers, known, random } = this.#context;
-    this.#controller.noteNewer(known.revision);
+    this.#controller.noteNewerRevision(known.revision);
     const own = known.knownRevision();
     const busyServers = this.#options.busyServers();
     this.notePeer(peers.self, { ...own, busyServers }, Infinity);
@@ -128,7 +131,7 @@
     this.#leaderSinceMs = nowMs;
     this.#planner = undefined;
     this.#plannerWeights = "";
-    this.#controller.forget();
+    this.#controller.reset();
     this.#options.leaseCommands.setTargetAll(isLeader);
   }
 
@@ -144,7 +147,7 @@
   }
 
   async #write(
-    effect: Extract<ownership.MoverEffect, { kind: "write" }>,
+    effect: Extract<ownership.AssignmentEffect, { kind: "write" }>,
   ): Promise<void> {
     const { assignments, known, clock, random } = this.#context;
     const { assignment, condition } = effect;
@@ -174,7 +177,7 @@
 
   /** Only replies requested after a quorum acknowledged complete the quorum. */
   #pollVoters(): void {
-    if (this.#isPollingVoters || !this.#controller.needsAnswers) return;
+    if (this.#isPollingVoters || !this.#controller.needsVoterReplies) return;
     this.#isPollingVoters = true;
     const { peers, service } = this.#context;
     const voterSets = this.#controller.assignment?.keeperSets ?? [];
@@ -197,7 +200,7 @@
 
   #markUrgentCommands(): void {
     const { leaseCommands } = this.#options;
-    leaseCommands.markUrgent(this.#controller.takeHurried());
+    leaseCommands.markUrgent(this.#controller.takeUrgentServers());
     // Polled until the last request of the slice has finished.
     leaseCommands.markUrgent(this.#controller.vacatingServers());
   }
@@ -207,11 +210,11 @@
     this.#votersReviewedAtMs = nowMs;
     const review = this.#voterReview.review(nowMs);
     this.#voterCount = review.voters.length;
-    this.#controller.noteGone(review.removed, nowMs);
+    this.#controller.noteRemovedVms(review.removed, nowMs);
     this.#controller.keepMembers(this.#context.peers.all());
     this.#controller.requestTimings(this.#context.timings);
     if (review.voters.length === 0) return;
-    this.#controller.requestKeepers(review.voters);
+    this.#controller.requestVoters(review.voters);
   }
 
   #plan(nowMs: number): void {
@@ -228,7 +231,7 @@
     if (nowMs < this.#failuresCheckedAtMs + FAILURE_PLAN_INTERVAL_MS) return;
     this.#failuresCheckedAtMs = nowMs;
     if (!this.#needsFailurePlan(assignment)) return;
-    this.#request(planner.planLosses(this.#planInput(assignment, nowMs)));
+    this.#request(planner.planEvacuations(this.#planInput(assignment, nowMs)));
   }
 
   /**
@@ -239,7 +242,7 @@
     const live = new Set(this.#context.peers.live());
     return keeperSets.every((voterSet) => {
       const count = voterSet.filter(({ vm }) => live.has(vm)).length;
-      return count >= ownership.majorityOf(voterSet.length);
+      return count >= ownership.quorumSize(voterSet.length);
     });
   }
 
@@ -288,7 +291,7 @@
     if (responding.length === 0 || (!isComplete && mayWait)) return;
     const servers = responding.map(({ server }) => server).sort();
     const count = planner.initialSliceCount(servers.length);
-    this.#controller.requestFirst(
+    this.#controller.requestInitial(
       ownership.equalSlices(servers, count, { fence: 1 }),
     );
     this.#log.info("initial assignment planned", {
@@ -309,7 +312,7 @@
     this.#votersReviewedAtMs = Number.NEGATIVE_INFINITY;
     this.#reviewVoters(nowMs);
     const listed = this.#context.peers.listed()?.size ?? Infinity;
-    return this.#voterCount >= Math.min(listed, ownership.KEEPER_LIMIT);
+    return this.#voterCount >= Math.min(listed, ownership.MAX_VOTERS);
   }
 
   #planInput(
@@ -357,8 +360,8 @@
   }
 
   #logChanges(
-    effect: Extract<ownership.MoverEffect, { kind: "write" }>,
-    write: ownership.AssignmentWrite,
+    effect: Extract<ownership.AssignmentEffect, { kind: "write" }>,
+    write: ownership.AssignmentWriteResult,
   ): void {
     const { service, revision } = effect.assignment;
     const isWritten = write.kind === "acknowledged";
@@ -369,7 +372,7 @@
         outcome: write.kind,
       });
     }
-    const steps = isWritten ? effect.steps : [];
+    const steps = isWritten ? effect.changes : [];
     this.#context.moveRecorder.noteSteps({ service, revision, steps });
     for (const step of steps) {
       this.#log.info(`slice ${CHANGE_TEXTS[step.step]}`, {
--- a/packages/entry/src/ownership/assignment_store.ts
+++ b/packages/entry/src/ownership/assignment_store.ts
@@ -4,13 +4,13 @@
 
 /** Result of a read. A confirmation by the store counts from `sentAtMs`. */
 export interface TimedRead {
-  readonly read: ownership.AssignmentRead;
+  readonly read: ownership.AssignmentReadResult;
   readonly sentAtMs: number;
 }
 
 /** Result of a write. A confirmation by the store counts from `sentAtMs`. */
 export interface TimedWrite {
-  readonly write: ownership.AssignmentWrite;
+  readonly write: ownership.AssignmentWriteResult;
   readonly sentAtMs: number;
 }
 
--- a/packages/entry/src/ownership/fake_servers_test.ts
+++ b/packages/entry/src/ownership/fake_servers_test.ts
@@ -14,8 +14,8 @@
   requestsInFlight = 0;
   commandCount = 0;
   #revision = 0;
-  #slices: readonly contracts.HeldSlice[] = [];
-  #releasing: contracts.OwnershipReply["releasing"] = [];
+  #slices: readonly contracts.LeasedSlice[] = [];
+  #releasing: contracts.LeaseCommandReply["releasing"] = [];
   #leaseExpiresMs = 0;
 
   constructor(name: string, service: contracts.ServiceId) {
@@ -30,14 +30,14 @@
   }
 
   /** Slices whose lease has not expired. */
-  get leasedSlices(): readonly contracts.HeldSlice[] {
+  get leasedSlices(): readonly contracts.LeasedSlice[] {
     return performance.now() < this.#leaseExpiresMs ? this.#slices : [];
   }
 
-  order(
-    command: contracts.OwnershipOrder,
+  sendLeaseCommand(
+    command: contracts.LeaseCommand,
   ): neverthrow.ResultAsync<
-    contracts.OwnershipReply,
+    contracts.LeaseCommandReply,
     contracts.ServerCallError
   > {
     this.commandCount++;
@@ -70,7 +70,7 @@
 
   async close(): Promise<void> {}
 
-  #apply(command: contracts.OwnershipOrder, isAccepted: boolean): void {
+  #apply(command: contracts.LeaseCommand, isAccepted: boolean): void {
     this.#revision = command.revision;
     const names = new Set(command.slices.map(({ slice }) => slice));
     const dropped = this.#slices.filter(({ slice }) => !names.has(slice));
--- a/packages/entry/src/ownership/known_assignment.ts
+++ b/packages/entry/src/ownership/known_assignment.ts
@@ -17,7 +17,7 @@
 /** The newest known assignment of a service. Its revision never falls. */
 export class KnownAssignment {
   readonly service: contracts.ServiceId;
-  readonly #tracker: ownership.EvidenceBook;
+  readonly #tracker: ownership.AssignmentTracker;
   readonly #log: PartLog;
   readonly #listeners = new Set<() => void>();
   #slices: ownership.SliceMap | undefined;
@@ -26,7 +26,7 @@
   constructor(options: KnownAssignmentOptions) {
     this.service = options.service;
     this.#log = options.log;
-    this.#tracker = new ownership.EvidenceBook(
+    this.#tracker = new ownership.AssignmentTracker(
       options.vm,
       options.service,
       options.settings,
@@ -53,7 +53,7 @@
 
   /** Whether this process has read the store since it started. */
   get hasReadStore(): boolean {
-    return this.#tracker.settled;
+    return this.#tracker.mayVote;
   }
 
   /** The newest voter set. */
@@ -62,7 +62,7 @@
   }
 
   knownRevision(): contracts.KnownRevision {
-    return this.#tracker.known();
+    return this.#tracker.knownRevision();
   }
 
   /** Applies an assignment received from a peer if it is newer. */
@@ -84,21 +84,21 @@
     this.#tracker.noteStoreAbsent();
   }
 
-  noteVoterReply(reply: ownership.KeeperAnswer): void {
-    this.#tracker.noteAnswer(reply);
+  noteVoterReply(reply: ownership.VoterReply): void {
+    this.#tracker.noteVoterReply(reply);
   }
 
   dropConfirmations(): void {
-    this.#tracker.dropEvidence();
+    this.#tracker.dropConfirmations();
   }
 
   /** When the request behind the newest confirmation was sent. */
   confirmedAtMs(nowMs: number): number {
-    return this.#tracker.evidenceAskedAtMs(nowMs);
+    return this.#tracker.confirmedAtMs(nowMs);
   }
 
   isConfirmed(nowMs: number): boolean {
-    return this.#tracker.isGood(nowMs);
+    return this.#tracker.isConfirmed(nowMs);
   }
 
   /** Calls the listener after each change. Returns a function to unsubscribe. */
--- a/packages/entry/src/ownership/leader_election_task.ts
+++ b/packages/entry/src/ownership/leader_election_task.ts
@@ -7,7 +7,7 @@
 export class LeaderElectionTask {
   readonly #context: ServiceContext;
   readonly #log: PartLog;
-  readonly #leaderLease: ownership.DutyLease;
+  readonly #leaderLease: ownership.LeaderLease;
   readonly #recordName: string;
   #wasLeader = false;
 
@@ -15,8 +15,8 @@
     this.#context = context;
     this.#log = context.log.part("duty");
     this.#recordName = `duty/${context.service}`;
-    this.#leaderLease = new ownership.DutyLease(context.peers.self, {
-      ...ownership.DEFAULT_DUTY_SETTINGS,
+    this.#leaderLease = new ownership.LeaderLease(context.peers.self, {
+      ...ownership.DEFAULT_LEADER_LEASE_SETTINGS,
       leaseMs: context.timings.dutyLeaseMs,
       renewMs: context.timings.dutyRenewMs,
     });
@@ -24,7 +24,7 @@
 
   /** Whether this VM is the leader now. */
   get isLeader(): boolean {
-    return this.#leaderLease.holds(this.#context.clock.nowMs());
+    return this.#leaderLease.isLeader(this.#context.clock.nowMs());
   }
 
   tick(nowMs: number): void {
@@ -41,14 +41,14 @@
 
   /** Resigns, so that the next leader need not wait for the lease to expire. */
   async stop(): Promise<void> {
-    const effect = this.#leaderLease.release(this.#context.clock.nowMs());
+    const effect = this.#leaderLease.resign(this.#context.clock.nowMs());
     if (effect?.kind === "write") await this.#putRecord(effect);
   }
 
   /** Position in the takeover order, which differs from service to service. */
   #rank(): number {
     const { peers, hasher, service } = this.#context;
-    const order = ownership.rankByName(service, peers.live(), { hasher });
+    const order = ownership.rendezvousOrder(service, peers.live(), { hasher });
     return Math.max(0, order.indexOf(peers.self.vm));
   }
 
@@ -59,7 +59,7 @@
     });
     const recordRead = result.match(
       ({ value, version }) => parseLeaderRecord(value, version),
-      (error): ownership.DutyRead => ({
+      (error): ownership.LeaderRecordRead => ({
         kind: error.kind === "not-found" ? "absent" : "unavailable",
       }),
     );
@@ -67,12 +67,15 @@
   }
 
   async #write(
-    effect: Extract<ownership.DutyEffect, { kind: "write" }>,
+    effect: Extract<ownership.LeaderLeaseEffect, { kind: "write" }>,
   ): Promise<void> {
     const result = await this.#putRecord(effect);
     const recordWrite = result.match(
-      (version): ownership.DutyWrite => ({ kind: "acknowledged", version }),
-      (error): ownership.DutyWrite => ({
+      (version): ownership.LeaderRecordWrite => ({
+        kind: "acknowledged",
+        version,
+      }),
+      (error): ownership.LeaderRecordWrite => ({
         kind: error.kind === "conflict" ? "conflict" : "unavailable",
       }),
     );
@@ -80,7 +83,7 @@
     this.#leaderLease.noteWrite(recordWrite, clock.nowMs(), random);
   }
 
-  #putRecord(effect: Extract<ownership.DutyEffect, { kind: "write" }>) {
+  #putRecord(effect: Extract<ownership.LeaderLeaseEffect, { kind: "write" }>) {
     const { store, timings } = this.#context;
     return store.put(this.#recordName, JSON.stringify(effect.record), {
       timeoutMs: timings.storeTimeoutMs,
@@ -89,18 +92,21 @@
   }
 
   #logChange(nowMs: number): void {
-    const isLeader = this.#leaderLease.holds(nowMs);
+    const isLeader = this.#leaderLease.isLeader(nowMs);
     if (isLeader === this.#wasLeader) return;
     this.#wasLeader = isLeader;
     const { service } = this.#context;
     const sentence = isLeader ? "leader lease acquired" : "leader lease ended";
-    this.#log.info(sentence, { service, holder: this.#leaderLease.holder });
+    this.#log.info(sentence, { service, holder: this.#leaderLease.leader });
   }
 }
 
-function parseLeaderRecord(value: string, version: string): ownership.DutyRead {
+function parseLeaderRecord(
+  value: string,
+  version: string,
+): ownership.LeaderRecordRead {
   try {
-    const record = ownership.dutyRecordSchema.parse(JSON.parse(value));
+    const record = ownership.leaderRecordSchema.parse(JSON.parse(value));
     return { kind: "found", record, version };
   } catch {
     return { kind: "unavailable" };
--- a/packages/entry/src/ownership/lease_command_task.ts
+++ b/packages/entry/src/ownership/lease_command_task.ts
@@ -38,8 +38,8 @@
 export class LeaseCommandTask {
   readonly #context: ServiceContext;
   readonly #log: PartLog;
-  readonly #scheduler: ownership.OrderBook;
-  readonly #detector: ownership.LossDetector;
+  readonly #scheduler: ownership.LeaseCommandScheduler;
+  readonly #detector: ownership.FailureDetector;
   readonly #endpoints = new Map<contracts.ServerId, ServerEndpoint>();
   readonly #lost = new Set<contracts.ServerId>();
   readonly #unlistedSinceMs = new Map<contracts.ServerId, number>();
@@ -51,13 +51,13 @@
   #haveEndpointsChanged = true;
   #failuresCheckedAtMs = Number.NEGATIVE_INFINITY;
   #targetsAll = false;
-  #onReply: (reply: ownership.AnsweredOrder) => void = () => {};
+  #onReply: (reply: ownership.AnsweredCommand) => void = () => {};
 
   constructor(context: ServiceContext) {
     this.#context = context;
     this.#log = context.log.part("owner");
-    this.#scheduler = new ownership.OrderBook(context.timings);
-    this.#detector = new ownership.LossDetector(context.timings);
+    this.#scheduler = new ownership.LeaseCommandScheduler(context.timings);
+    this.#detector = new ownership.FailureDetector(context.timings);
   }
 
   /** Whether this VM renews the leases of any server. */
@@ -66,7 +66,7 @@
   }
 
   /** Calls back with each lease command that was replied to. */
-  onReply(callback: (reply: ownership.AnsweredOrder) => void): void {
+  onReply(callback: (reply: ownership.AnsweredCommand) => void): void {
     this.#onReply = callback;
   }
 
@@ -77,11 +77,11 @@
   }
 
   markUrgent(servers: Iterable<contracts.ServerId>): void {
-    this.#scheduler.hurry(servers);
+    this.#scheduler.markUrgent(servers);
   }
 
-  status(server: contracts.ServerId): ownership.ServerFacts | undefined {
-    return this.#scheduler.facts(server);
+  status(server: contracts.ServerId): ownership.ServerStatus | undefined {
+    return this.#scheduler.status(server);
   }
 
   /** Servers that may be sent lease commands, listed or still responding. */
@@ -97,7 +97,7 @@
   unresponsiveServers(
     nowMs: number,
   ): NonNullable<contracts.KnownRevision["silent"]> {
-    return [...this.#detector.silentServers(nowMs)]
+    return [...this.#detector.unresponsiveServers(nowMs)]
       .map(([server, silentMs]) => ({ server, silentMs }));
   }
 
@@ -124,7 +124,7 @@
       revision: Math.max(1, known.revision),
       slices: known.slices,
       timings: known.timings,
-      evidenceAskedAtMs: known.confirmedAtMs(nowMs),
+      confirmedAtMs: known.confirmedAtMs(nowMs),
       servers: this.#targets,
     });
     for (const command of commands) void this.#send(command, nowMs);
@@ -138,14 +138,14 @@
   }
 
   async #send(
-    command: contracts.OwnershipOrder,
+    command: contracts.LeaseCommand,
     sentAtMs: number,
   ): Promise<void> {
     const { server } = command;
     const endpoint = this.#endpoints.get(server);
     if (endpoint === undefined) return this.#scheduler.noteFailure(server);
-    this.#detector.noteAttempt(server, sentAtMs);
-    const result = await endpoint.control.order(command, {
+    this.#detector.noteRequest(server, sentAtMs);
+    const result = await endpoint.control.sendLeaseCommand(command, {
       timeoutMs: COMMAND_TIMEOUT_MS,
     });
     if (result.isErr()) {
@@ -159,15 +159,15 @@
   }
 
   #noteReply(
-    command: contracts.OwnershipOrder,
-    reply: contracts.OwnershipReply,
+    command: contracts.LeaseCommand,
+    reply: contracts.LeaseCommandReply,
     sentAtMs: number,
   ): void {
     const { clock, servers } = this.#context;
     const nowMs = clock.nowMs();
     const { server } = command;
-    const previous = this.#scheduler.facts(server);
-    this.#detector.noteContact(server, nowMs);
+    const previous = this.#scheduler.status(server);
+    this.#detector.noteReply(server, nowMs);
     this.#scheduler.noteReply(server, reply, { sentAtMs, nowMs });
     if (previous?.instance !== reply.instance) {
       this.#log.info("new server instance responded", {
@@ -178,7 +178,7 @@
     }
     if (reply.draining) servers.noteDraining(server);
     else if (previous?.draining === true) servers.noteNotDraining(server);
-    this.#onReply({ order: command, reply, sentAtMs, nowMs });
+    this.#onReply({ command: command, reply, sentAtMs, nowMs });
   }
 
   /**
@@ -263,8 +263,8 @@
     vms: readonly contracts.VmId[],
   ): Renewers {
     const { peers, hasher, timings } = this.#context;
-    const renewers = ownership.rankByName(server, vms, { hasher })
-      .slice(0, timings.renewers);
+    const renewers = ownership.rendezvousOrder(server, vms, { hasher })
+      .slice(0, timings.renewersPerServer);
     const others = renewers.filter((vm) => vm !== peers.self.vm);
     return { includesSelf: others.length < renewers.length, others };
   }
@@ -294,7 +294,7 @@
       const otherRenewers = this.#renewers.get(server)?.others ?? [];
       const isLost = this.#detector.isLost(server, { nowMs, otherRenewers });
       if (isLost) this.#noteLost(server);
-      else if (this.#detector.hasContact(server, nowMs)) {
+      else if (this.#detector.isResponsive(server, nowMs)) {
         this.#noteRecovered(server);
       }
     }
--- a/packages/entry/src/ownership/membership_peer_view.ts
+++ b/packages/entry/src/ownership/membership_peer_view.ts
@@ -101,7 +101,7 @@
     const requestedAtMs = clock.nowMs();
     const reply = await peers.link(vm)?.call(method, {
       params,
-      schema: contracts.knownReceiptSchema,
+      schema: contracts.knownRevisionReplySchema,
       timeoutMs,
     });
     return reply?.isOk() ? { ...reply.value, requestedAtMs } : undefined;
--- a/packages/entry/src/ownership/ownership_task.ts
+++ b/packages/entry/src/ownership/ownership_task.ts
@@ -121,15 +121,17 @@
   }
 
   /** Applies an assignment that a peer pushed. Returns the known revision. */
-  acceptAssignment(assignment: contracts.Assignment): contracts.KnownReceipt {
+  acceptAssignment(
+    assignment: contracts.Assignment,
+  ): contracts.KnownRevisionReply {
     this.#services.get(assignment.service)?.known.learn(assignment);
     return this.answerKnownRevision(assignment);
   }
 
   /** Returns the known revision of a service to a peer. */
   answerKnownRevision(
-    { service }: contracts.KnownQuestion,
-  ): contracts.KnownReceipt {
+    { service }: contracts.KnownRevisionRequest,
+  ): contracts.KnownRevisionReply {
     const known = this.#services.get(service)?.knownRevision() ??
       { service, revision: 0, settled: false };
     return { ...this.#options.peers.self, known };
@@ -169,7 +171,7 @@
       ownership.known.noteVoterReply({
         vm: reply.vm,
         known,
-        askedAtMs: requestedAtMs,
+        requestedAtMs: requestedAtMs,
       });
       ownership.notePeer(reply, known, requestedAtMs);
     }
--- a/packages/entry/src/ownership/service_context.ts
+++ b/packages/entry/src/ownership/service_context.ts
@@ -7,7 +7,7 @@
 import type { KnownAssignment } from "./known_assignment.ts";
 
 /** A peer's reply with the time at which the request was sent. */
-export interface TimedReply extends contracts.KnownReceipt {
+export interface TimedReply extends contracts.KnownRevisionReply {
   readonly requestedAtMs: number;
 }
 
@@ -57,7 +57,7 @@
 export interface AssignmentSteps {
   readonly service: contracts.ServiceId;
   readonly revision: number;
-  readonly steps: readonly ownership.MoveStep[];
+  readonly steps: readonly ownership.SliceChange[];
 }
 
 /** Records changes of assignments. */
--- a/packages/entry/src/ownership/voter_review.ts
+++ b/packages/entry/src/ownership/voter_review.ts
@@ -6,7 +6,7 @@
 /** Result of a review. */
 export interface VoterReviewResult {
   /** Desired voter set. Empty while no VM is eligible. */
-  readonly voters: contracts.Keeper[];
+  readonly voters: contracts.Voter[];
   /** Voters unlisted by the platform and not alive for `vmGoneGraceMs`. */
   readonly removed: ReadonlySet<contracts.VmId>;
 }
@@ -32,11 +32,11 @@
     const removed = this.#removedVms(nowMs);
     const eligible = peers.live().filter((vm) => this.#storeReaders.has(vm));
     const current = known.voters;
-    const voters = ownership.chooseKeepers({
+    const voters = ownership.chooseVoters({
       service,
-      present: current,
-      able: eligible,
-      gone: removed,
+      current: current,
+      eligible: eligible,
+      removed: removed,
       hasher,
     });
     return { voters, removed };
--- a/packages/entry/src/platform/http_backend_control.ts
+++ b/packages/entry/src/platform/http_backend_control.ts
@@ -22,10 +22,10 @@
     return this.#channel.close();
   }
 
-  order(
-    order: contracts.OwnershipOrder,
+  sendLeaseCommand(
+    order: contracts.LeaseCommand,
     options: contracts.CallOptions,
-  ): ResultAsync<contracts.OwnershipReply, contracts.ServerCallError> {
+  ): ResultAsync<contracts.LeaseCommandReply, contracts.ServerCallError> {
     const call = {
       method: "POST",
       path: "/control/ownership",
@@ -34,7 +34,7 @@
     } as const;
     return this.#channel.call(call, options)
       .mapErr(toServerError)
-      .andThen((answer) => parse(answer, contracts.ownershipReplySchema));
+      .andThen((answer) => parse(answer, contracts.leaseCommandReplySchema));
   }
 
   load(
--- a/packages/entry/src/requests/server_watch.ts
+++ b/packages/entry/src/requests/server_monitor.ts
@@ -8,14 +8,14 @@
 import type { PartLog } from "../utils/log.ts";
 import type { Slot } from "./slot_allocator.ts";
 
-/** Options of {@link ServerWatch}, given by whoever makes the allocator. */
-export interface ServerWatchOptions {
+/** Options of {@link ServerMonitor}, given by whoever makes the allocator. */
+export interface ServerMonitorOptions {
   readonly service: contracts.Service;
   readonly servers: ServerView;
   readonly clock: contracts.Clock;
   readonly log: PartLog;
   /** Requests given to one server beyond its slots. */
-  readonly extraRequests: number;
+  readonly extraRequestsPerServer: number;
   /** Whether a server that fails or falls silent may be put out of use. */
   readonly mayEject: boolean;
   /** Requests for which this VM has connections to one server. */
@@ -27,20 +27,20 @@
 }
 
 /** Load and health of the servers of one service. */
-export class ServerWatch {
-  readonly #options: ServerWatchOptions;
-  readonly #board: routing.ServerBoard;
+export class ServerMonitor {
+  readonly #options: ServerMonitorOptions;
+  readonly #board: routing.ServerTracker;
   /** Called when a server may take a request that could not before. */
   readonly #onOpen: () => void;
   #service: contracts.Service;
   #wakeUp: NodeJS.Timeout | undefined;
 
-  constructor(options: ServerWatchOptions, onOpen: () => void) {
+  constructor(options: ServerMonitorOptions, onOpen: () => void) {
     this.#options = options;
     this.#onOpen = onOpen;
     this.#service = options.service;
     const nowMs = options.clock.nowMs();
-    this.#board = new routing.ServerBoard(this.#boardOptions(), nowMs);
+    this.#board = new routing.ServerTracker(this.#boardOptions(), nowMs);
   }
 
   configure(service: contracts.Service): void {
@@ -49,7 +49,7 @@
   }
 
   /** Servers that take new work. */
-  live(): ServerAddress[] {
+  liveServers(): ServerAddress[] {
     return this.#known().filter((address) => address.state === "live");
   }
 
@@ -65,22 +65,22 @@
   }
 
   /** Counts a request that is given to a server. */
-  take(
+  acquireSlot(
     address: ServerAddress,
     ownership?: Slot["ownership"],
   ): Slot {
     const sentMs = this.#options.clock.nowMs();
-    this.#board.noteSent(address.server, sentMs);
+    this.#board.recordSent(address.server, sentMs);
     return { address, sentMs, ownership };
   }
 
   /** The attempt of a slot has ended. */
-  release(slot: Slot, end: routing.AttemptEnd): void {
+  releaseSlot(slot: Slot, end: routing.AttemptOutcome): void {
     const nowMs = this.#options.clock.nowMs();
     const { server } = slot.address;
     this.#tell(
       server,
-      this.#board.noteEnd(server, slot.sentMs, { end, nowMs }),
+      this.#board.recordOutcome(server, slot.sentMs, { end, nowMs }),
     );
   }
 
@@ -91,7 +91,7 @@
     const ids = known.map((address) => address.server);
     this.#board.configure(this.#boardOptions());
     this.#board.keepOnly(new Set(ids), nowMs);
-    for (const server of this.#board.ejectSilent(nowMs)) {
+    for (const server of this.#board.ejectUnresponsive(nowMs)) {
       this.#tell(server, "ejected");
     }
     for (const address of known) {
@@ -112,12 +112,12 @@
     this.#options.probe(address).then((isAnswered) => {
       const nowMs = this.#options.clock.nowMs();
       const { server } = address;
-      this.#tell(server, this.#board.noteProbe(server, isAnswered, nowMs));
+      this.#tell(server, this.#board.recordProbe(server, isAnswered, nowMs));
       this.#onOpen();
     });
   }
 
-  #tell(server: contracts.ServerId, event: routing.BoardEvent): void {
+  #tell(server: contracts.ServerId, event: routing.EjectionEvent): void {
     if (event === undefined) return;
     const service = this.#service.name;
     this.#options.log.info(`Server is ${event}.`, { service, server });
@@ -128,11 +128,11 @@
     return this.#options.servers.servers(this.#service.name);
   }
 
-  #boardOptions(): routing.ServerBoardOptions {
+  #boardOptions(): routing.ServerTrackerOptions {
     const { slotsPerServer } = this.#service;
-    const wanted = slotsPerServer + this.#options.extraRequests;
+    const wanted = slotsPerServer + this.#options.extraRequestsPerServer;
     const localLimit = Math.min(wanted, this.#options.linkLimit());
     const { mayEject } = this.#options;
-    return { slotsPerServer, localLimit, mayEject };
+    return { slotsPerServer, maxLocalInFlight: localLimit, mayEject };
   }
 }
--- a/packages/entry/src/vms/create_peer_rpc.ts
+++ b/packages/entry/src/vms/create_peer_rpc.ts
@@ -1,13 +1,13 @@
 /** Gives the request path access to the other entry VMs. */
 import type * as decisions from "@guavatide/decisions";
 import type * as contracts from "@guavatide/contracts";
-import type { PeerCalls } from "../requests/peer_calls.ts";
+import type { PeerRpc } from "../requests/peer_rpc.ts";
 import type { PeerServer } from "./peer_server.ts";
 import type { PeerTask } from "./peer_task.ts";
 
 /** Options of {@link createPeerRpc}. */
 export interface CreatePeerRpcOptions {
-  readonly self: PeerCalls["self"];
+  readonly self: PeerRpc["self"];
   readonly peerServer: PeerServer;
   readonly membership: decisions.Membership;
   readonly clock: contracts.Clock;
@@ -17,7 +17,7 @@
 export function createPeerRpc(
   task: PeerTask,
   options: CreatePeerRpcOptions,
-): PeerCalls {
+): PeerRpc {
   const { self, peerServer, membership, clock } = options;
   // Cached, because every request reads it and it changes only a few times a
   // day.
--- a/packages/entry/src/vms/peer_task.ts
+++ b/packages/entry/src/vms/peer_task.ts
@@ -81,8 +81,9 @@
     );
     options.peerServer.register(
       "member",
-      contractsValues.memberQuestionSchema,
-      ({ about }) => options.membership.answerHelper(about, this.#nowMs()),
+      contractsValues.memberStatusRequestSchema,
+      ({ about }) =>
+        options.membership.answerIndirectProbe(about, this.#nowMs()),
     );
   }
 
@@ -116,16 +117,16 @@
 
   /** Passes the platform's list of VMs to membership. */
   noteVmList(vms: readonly contracts.ListedVm[]): void {
-    this.#emit(this.#options.membership.noteList(vms, this.#nowMs()));
+    this.#emit(this.#options.membership.noteVmList(vms, this.#nowMs()));
   }
 
   /** Sends a round of heartbeats now, for example after a new revision. */
   async sendHeartbeats(): Promise<void> {
-    const effects = this.#options.membership.beat(this.#nowMs());
+    const effects = this.#options.membership.heartbeat(this.#nowMs());
     this.#emit(effects.events);
     await Promise.all([
       ...effects.targets.map((vm) => this.#sendHeartbeat(vm)),
-      ...effects.questions.map((probe) => this.#probeIndirectly(probe)),
+      ...effects.indirectProbes.map((probe) => this.#probeIndirectly(probe)),
     ]);
   }
 
@@ -163,16 +164,16 @@
     );
   }
 
-  async #probeIndirectly(probe: decisions.HelperQuestion): Promise<void> {
+  async #probeIndirectly(probe: decisions.IndirectProbe): Promise<void> {
     const sentAtMs = this.#nowMs();
     const result = await this.link(probe.to)?.call("member", {
       params: { about: probe.about },
-      schema: contractsValues.memberAnswerSchema,
+      schema: contractsValues.memberStatusReplySchema,
       timeoutMs: this.#options.heartbeatTimeoutMs,
     });
     if (result === undefined || result.isErr()) return;
     const times = { askedAtMs: sentAtMs, nowMs: this.#nowMs() };
-    this.#emit(this.#options.membership.noteHelper(result.value, times));
+    this.#emit(this.#options.membership.noteIndirectReply(result.value, times));
   }
 
   #noteReply(
@@ -187,7 +188,7 @@
         nowMs,
       }),
     );
-    this.#emit(membership.noteNews(reply.news, nowMs));
+    this.#emit(membership.noteUpdates(reply.news, nowMs));
     for (const each of this.#participants) each.noteReply?.(reply, sentAtMs);
   }
 
@@ -202,14 +203,14 @@
   #answer(heartbeat: contracts.PeerHeartbeat): contracts.PeerHeartbeatReply {
     const { membership } = this.#options;
     const nowMs = this.#nowMs();
-    this.#emit(membership.noteHeard(heartbeat, nowMs));
-    this.#emit(membership.noteNews(heartbeat.news, nowMs));
+    this.#emit(membership.noteHeartbeat(heartbeat, nowMs));
+    this.#emit(membership.noteUpdates(heartbeat.news, nowMs));
     const draft: HeartbeatReplyDraft = {
       vm: this.#options.self.vm,
       incarnation: this.#options.self.incarnation,
       known: [],
       configRevision: 0,
-      news: membership.takeNews(),
+      news: membership.takeUpdates(),
       newer: [],
     };
     for (const each of this.#participants) each.answer?.(heartbeat, draft);
@@ -222,7 +223,7 @@
       leaving: this.#isLeaving,
       known: [],
       configRevision: 0,
-      news: this.#options.membership.takeNews(),
+      news: this.#options.membership.takeUpdates(),
     };
     for (const each of this.#participants) each.fill?.(draft);
     return draft;
--- a/packages/entry/src/wire.ts
+++ b/packages/entry/src/wire.ts
@@ -9,14 +9,14 @@
 import * as neverthrow from "neverthrow";
 import * as administration from "./administration/mod.ts";
 import * as configuration from "./configuration/mod.ts";
-import * as linkParts from "./links/server_links.ts";
+import * as linkParts from "./links/connection_pools.ts";
 import { LoadTask } from "./loads/load_task.ts";
-import { CountedMoves } from "./metrics/counted_moves.ts";
-import { observeState } from "./metrics/observe_state.ts";
+import { MeteredMoves } from "./metrics/metered_moves.ts";
+import { registerStateGauges } from "./metrics/state_gauges.ts";
 import * as metricsParts from "./metrics/metrics.ts";
 import { MeteredStore } from "./metrics/metered_store.ts";
-import { MetricsDoor } from "./metrics/metrics_door.ts";
-import { requestMetricsOf } from "./metrics/request_metrics_of.ts";
+import { MetricsServer } from "./metrics/metrics_server.ts";
+import { createRequestMetrics } from "./metrics/create_request_metrics.ts";
 import * as ownershipTasks from "./ownership/mod.ts";
 import * as platform from "./platform/mod.ts";
 import * as requests from "./requests/mod.ts";
@@ -90,8 +90,8 @@
     hasher,
     moves,
   });
-  const serverLinks = new linkParts.ServerLinks(
-    linkParts.SERVER_LINKS_DEFAULTS,
+  const serverLinks = new linkParts.ConnectionPools(
+    linkParts.CONNECTION_POOLS_DEFAULTS,
     lifeCycle,
   );
   const listener = createRequests(base, {
@@ -102,11 +102,11 @@
     owners,
     loads,
   });
-  observeState(metrics, {
+  registerStateGauges(metrics, {
     config,
     owners,
     loads,
-    links: serverLinks,
+    connections: serverLinks,
     membership: vms.membership,
   });
 
@@ -219,7 +219,7 @@
     ...decisions.DEFAULT_MEMBERSHIP,
     vm: settings.vm,
     random,
-    beatMs: timings.heartbeatMs,
+    heartbeatIntervalMs: timings.heartbeatMs,
   });
   const door = new PeerServer({
     host,
@@ -239,7 +239,7 @@
     clock,
     log: log.part("member"),
   });
-  base.directory.onList((vms) => peers.noteVmList(vms));
+  base.directory.onVmList((vms) => peers.noteVmList(vms));
   return { membership, door, peers, peerPort };
 }
 
@@ -257,7 +257,7 @@
       clock,
       ...vms,
     }),
-    watcherSelector: await decisions.createWatcherChoice(),
+    watcherSelector: await decisions.createWatcherSelector(),
     clock,
     random,
     log: base.log.part("config"),
@@ -294,8 +294,8 @@
     clock,
     timeoutMs: settings.timings.evidenceMs,
   });
-  directory.onList((vms) => peerView.noteVmList(vms));
-  const loads = new LoadTask({ self, peers, door, clock });
+  directory.onVmList((vms) => peerView.noteVmList(vms));
+  const loads = new LoadTask({ self, peers, peerServer: door, clock });
   const owners = new ownershipTasks.OwnershipTask({
     timings: ownershipTimingsOf(settings),
     clock,
@@ -305,13 +305,13 @@
     store: base.store,
     config: parts.config,
     servers: directory,
-    moveRecorder: new CountedMoves(parts.moves, base.metrics),
+    moveRecorder: new MeteredMoves(parts.moves, base.metrics),
     peers: peerView,
     connect: (address) =>
       new platform.HttpBackendControl(`http://${address.host}:${address.port}`),
-    load: (service) => loads.source(service),
+    load: (service) => loads.loadSource(service),
   });
-  loads.follow(owners);
+  loads.setOwnershipSource(owners);
   peers.addParticipant(owners);
   peers.addParticipant(loads);
   door.register(
@@ -321,14 +321,14 @@
   );
   door.register(
     ownershipTasks.KNOWN_REVISION_METHOD,
-    contractsValues.knownQuestionSchema,
+    contractsValues.knownRevisionRequestSchema,
     (question) => owners.answerKnownRevision(question),
   );
   return { owners, loads };
 }
 
 interface RequestParts extends Vms, Ownership {
-  readonly serverLinks: linkParts.ServerLinks;
+  readonly serverLinks: linkParts.ConnectionPools;
   readonly config: configuration.ConfigTask;
   readonly hasher: ownership.KeyHasher;
 }
@@ -349,7 +349,7 @@
     config: parts.config,
     servers: base.directory,
     owners: parts.owners,
-    links: parts.serverLinks,
+    connectionPools: parts.serverLinks,
     hashKey: (key) => hasher.hash(key),
     entryVmCount: () => peerCalls.members().length,
     clock,
@@ -357,11 +357,11 @@
     log: base.log,
     lifeCycle,
     metrics: {
-      ...requestMetricsOf(base.metrics),
-      keyedWork: (work) => loads.record(work),
+      ...createRequestMetrics(base.metrics),
+      keyedWork: (work) => loads.recordRequest(work),
     },
-    longestTimeoutMs: requests.REQUEST_DEFAULTS.longestTimeoutMs,
-    unfencedRunMs: settings.timings.unfencedMoveWaitMs,
+    maxTimeoutMs: requests.REQUEST_DEFAULTS.maxTimeoutMs,
+    unfencedTimeoutMs: settings.timings.unfencedMoveWaitMs,
     peers: peerCalls,
   });
   return new requests.CallerListener({
@@ -373,8 +373,8 @@
   });
 }
 
-function createMetricsDoor(base: Base): MetricsDoor {
-  return new MetricsDoor({
+function createMetricsDoor(base: Base): MetricsServer {
+  return new MetricsServer({
     host: base.settings.host,
     port: base.settings.ports.metrics,
     metrics: base.metrics,
--- a/packages/standins/src/backend_server/backend_app.ts
+++ b/packages/standins/src/backend_server/backend_app.ts
@@ -132,7 +132,7 @@
   }
 
   async #order(context: BackendContext): Promise<Response> {
-    const parsed = contracts.ownershipOrderSchema.safeParse(
+    const parsed = contracts.leaseCommandSchema.safeParse(
       await context.req.json(),
     );
     if (!parsed.success) return context.text(parsed.error.message, 400);
@@ -140,7 +140,7 @@
       parsed.data.service === this.#settings.service;
     if (!isMine) return context.text("order for another server", 421);
     const answer = this.#ownership.order(parsed.data, this.#clock.nowMs());
-    const reply: contracts.OwnershipReply = {
+    const reply: contracts.LeaseCommandReply = {
       ...answer,
       draining: this.#queue.isDraining,
     };
--- a/packages/standins/src/backend_server/ownership_state.ts
+++ b/packages/standins/src/backend_server/ownership_state.ts
@@ -4,9 +4,9 @@
  * server's monotonic time.
  */
 import type {
-  HeldSlice,
-  OwnershipOrder,
-  OwnershipReply,
+  LeaseCommand,
+  LeaseCommandReply,
+  LeasedSlice,
   SliceId,
 } from "@guavatide/contracts";
 
@@ -18,7 +18,7 @@
 }
 
 /** The part of a reply that ownership decides. */
-export type OwnershipAnswer = Omit<OwnershipReply, "draining">;
+export type OwnershipAnswer = Omit<LeaseCommandReply, "draining">;
 
 interface Hold {
   readonly fence: number;
@@ -45,7 +45,7 @@
   }
 
   /** Applies an order and answers it. */
-  order(order: OwnershipOrder, nowMs: number): OwnershipAnswer {
+  order(order: LeaseCommand, nowMs: number): OwnershipAnswer {
     if (order.revision < this.#revision) return this.#answer(false, nowMs);
     this.#revision = order.revision;
     this.#letGo(order.slices);
@@ -102,7 +102,7 @@
    * Undefined when the order can't give a lease: no stamp, a stamp of another
    * run, a stamp from the future or one whose lease has ended on its way.
    */
-  #leaseEndOf(order: OwnershipOrder, nowMs: number): number | undefined {
+  #leaseEndOf(order: LeaseCommand, nowMs: number): number | undefined {
     if (order.stampMs === undefined) return undefined;
     if (order.stampInstance !== this.#options.instance) return undefined;
     if (order.stampMs > nowMs) return undefined;
@@ -111,7 +111,7 @@
   }
 
   /** Letting go is always safe, so it needs no stamp. */
-  #letGo(listed: readonly HeldSlice[]): void {
+  #letGo(listed: readonly LeasedSlice[]): void {
     const fences = new Map(listed.map((held) => [held.slice, held.fence]));
     for (const [slice, hold] of [...this.#holds]) {
       if (fences.get(slice) === hold.fence) continue;
@@ -121,7 +121,7 @@
   }
 
   /** An older stamp never shortens the lease that a newer one gave. */
-  #hold(listed: HeldSlice, leaseEndMs: number): void {
+  #hold(listed: LeasedSlice, leaseEndMs: number): void {
     const present = this.#holds.get(listed.slice);
     if (present === undefined) {
       this.#holds.set(listed.slice, { fence: listed.fence, leaseEndMs });
--- a/packages/standins/src/backend_server/ownership_state_test.ts
+++ b/packages/standins/src/backend_server/ownership_state_test.ts
@@ -1,6 +1,6 @@
 import type {
-  HeldSlice,
-  OwnershipOrder,
+  LeaseCommand,
+  LeasedSlice,
   ServerId,
   ServiceId,
   SliceId,
@@ -12,15 +12,15 @@
 const SLICE_A = "0-80000000" as SliceId;
 const SLICE_B = "80000000-100000000" as SliceId;
 
-function held(slice: SliceId, fence: number): HeldSlice {
+function held(slice: SliceId, fence: number): LeasedSlice {
   return { slice, fence, fromHash: 0, toHash: 1 };
 }
 
 function order(
   revision: number,
-  slices: HeldSlice[],
+  slices: LeasedSlice[],
   options: { stampMs?: number; stampInstance?: string } = {},
-): OwnershipOrder {
+): LeaseCommand {
   return {
     service: "availability" as ServiceId,
     server: "s1" as ServerId,
@@ -35,7 +35,7 @@
 
 interface Case {
   readonly name: string;
-  readonly orders: readonly { atMs: number; order: OwnershipOrder }[];
+  readonly orders: readonly { atMs: number; order: LeaseCommand }[];
   readonly lastAccepted: boolean;
   /** Whether a request for slice A at fence 1 may run at this time. */
   readonly mayRun: readonly { atMs: number; expected: boolean }[];
--- a/packages/standins/src/bench/bench_entry_main.ts
+++ b/packages/standins/src/bench/bench_entry_main.ts
@@ -8,7 +8,7 @@
   ServerAddress,
   ServerView,
 } from "guavatide/contracts/views";
-import * as links from "guavatide/links/server_links";
+import * as links from "guavatide/links/connection_pools";
 import * as requests from "guavatide/requests/mod";
 import { MonotonicClock, SystemRandom } from "guavatide/utils/clock";
 import { LifeCycle } from "guavatide/utils/life_cycle";
@@ -52,8 +52,8 @@
       config: this.#config(),
       servers: this.#servers(),
       owners: NO_OWNERS,
-      links: new links.ServerLinks(
-        links.SERVER_LINKS_DEFAULTS,
+      connectionPools: new links.ConnectionPools(
+        links.CONNECTION_POOLS_DEFAULTS,
         this.#lifeCycle,
       ),
       hashKey,
@@ -63,8 +63,8 @@
       log: createLog({ format: "text", level: "warn" }),
       lifeCycle: this.#lifeCycle,
       metrics: this.#metrics(),
-      longestTimeoutMs: requests.REQUEST_DEFAULTS.longestTimeoutMs,
-      unfencedRunMs: 2_000,
+      maxTimeoutMs: requests.REQUEST_DEFAULTS.maxTimeoutMs,
+      unfencedTimeoutMs: 2_000,
       peers: this.#peers,
     });
     const listener = new requests.CallerListener({
--- a/packages/standins/src/bench/bench_peers.ts
+++ b/packages/standins/src/bench/bench_peers.ts
@@ -1,6 +1,6 @@
 /** Links between the bench's entry processes, with the brief's delay. */
 import type * as contracts from "@guavatide/contracts";
-import type { PeerCallOptions, PeerCalls } from "guavatide/requests/peer_calls";
+import type { PeerCallOptions, PeerRpc } from "guavatide/requests/peer_rpc";
 import type { PeerServer } from "guavatide/vms/peer_server";
 import { PeerClient } from "guavatide/vms/peer_client";
 import * as crypto from "node:crypto";
@@ -9,8 +9,8 @@
 import type { EntryArgument, EntrySetup } from "./bench_messages.ts";
 
 /** The shipped peer links to fixed peers. */
-export class BenchPeers implements PeerCalls {
-  readonly self: PeerCalls["self"];
+export class BenchPeers implements PeerRpc {
+  readonly self: PeerRpc["self"];
   readonly #argument: EntryArgument;
   readonly #door: PeerServer;
   readonly #links = new Map<contracts.VmId, PeerClient>();
--- a/packages/standins/src/contract_tests/backend_control_cases.ts
+++ b/packages/standins/src/contract_tests/backend_control_cases.ts
@@ -4,8 +4,8 @@
  */
 import type {
   BackendControl,
-  OwnershipOrder,
-  OwnershipReply,
+  LeaseCommand,
+  LeaseCommandReply,
   ServerId,
   ServiceId,
   SliceId,
@@ -28,7 +28,7 @@
 const LEASE_MS = 60_000;
 
 /** An order for the whole hash space, without a stamp. */
-export function firstOrder(revision: number): OwnershipOrder {
+export function firstOrder(revision: number): LeaseCommand {
   return {
     service: "availability" as ServiceId,
     server: "s1" as ServerId,
@@ -45,9 +45,9 @@
 
 /** The same order with the stamp of an earlier reply. */
 export function stamped(
-  order: OwnershipOrder,
-  reply: OwnershipReply,
-): OwnershipOrder {
+  order: LeaseCommand,
+  reply: LeaseCommandReply,
+): LeaseCommand {
   return { ...order, stampMs: reply.stampMs, stampInstance: reply.instance };
 }
 
@@ -56,16 +56,19 @@
   {
     name: "should accept an order only with its own stamp",
     async run({ control }) {
-      const first = valueOf(await control.order(firstOrder(1), CALL));
+      const first = valueOf(
+        await control.sendLeaseCommand(firstOrder(1), CALL),
+      );
       expect(first.accepted).toEqual(false);
       const order = stamped(firstOrder(1), first);
-      const second = valueOf(await control.order(order, CALL));
+      const second = valueOf(await control.sendLeaseCommand(order, CALL));
       expect(second.accepted).toEqual(true);
       expect(second.revision).toEqual(1);
       const foreign = { ...order, stampInstance: "another-run" };
-      expect(valueOf(await control.order(foreign, CALL)).accepted).toEqual(
-        false,
-      );
+      expect(valueOf(await control.sendLeaseCommand(foreign, CALL)).accepted)
+        .toEqual(
+          false,
+        );
     },
   },
   {
@@ -73,9 +76,11 @@
     async run({ control }) {
       // A keeper was paused with an order in hand and sends it on waking,
       // when another has already moved the keys.
-      const first = valueOf(await control.order(firstOrder(5), CALL));
+      const first = valueOf(
+        await control.sendLeaseCommand(firstOrder(5), CALL),
+      );
       const stale = stamped(firstOrder(4), first);
-      const answer = valueOf(await control.order(stale, CALL));
+      const answer = valueOf(await control.sendLeaseCommand(stale, CALL));
       expect(answer.accepted).toEqual(false);
       expect(answer.revision).toEqual(5);
     },
@@ -86,14 +91,16 @@
       // An address was given to a new server while a keeper still used it for
       // the old one.
       const order = { ...firstOrder(1), server: "s2" as ServerId };
-      expectKind(await control.order(order, CALL), "bad-answer");
+      expectKind(await control.sendLeaseCommand(order, CALL), "bad-answer");
     },
   },
   {
     name: "should say that it drains",
     async run({ control, drain }) {
       await drain();
-      const reply = valueOf(await control.order(firstOrder(1), CALL));
+      const reply = valueOf(
+        await control.sendLeaseCommand(firstOrder(1), CALL),
+      );
       expect(reply.draining).toEqual(true);
       expect(valueOf(await control.load(CALL)).draining).toEqual(true);
     },
@@ -110,7 +117,10 @@
     name: "should end a call that hangs by its deadline and recover",
     async run({ control, setFaults }) {
       await setFaults({ controlHangs: true });
-      expectKind(await control.order(firstOrder(1), SHORT_CALL), "timeout");
+      expectKind(
+        await control.sendLeaseCommand(firstOrder(1), SHORT_CALL),
+        "timeout",
+      );
       expectKind(await control.load(SHORT_CALL), "timeout");
       await setFaults({ controlHangs: false });
       expect((await control.load(CALL)).isOk()).toEqual(true);
--- a/packages/standins/src/contract_tests/backend_work_cases.ts
+++ b/packages/standins/src/contract_tests/backend_work_cases.ts
@@ -46,9 +46,11 @@
 
 async function own(fixture: WorkFixture): Promise<void> {
   const { control } = fixture;
-  const reply = valueOf(await control.order(firstOrder(1), CALL));
+  const reply = valueOf(await control.sendLeaseCommand(firstOrder(1), CALL));
   const order = stamped(firstOrder(1), reply);
-  expect(valueOf(await control.order(order, CALL)).accepted).toEqual(true);
+  expect(valueOf(await control.sendLeaseCommand(order, CALL)).accepted).toEqual(
+    true,
+  );
 }
 
 function headersOf(
@@ -108,8 +110,8 @@
   for (let attempt = 1;; attempt++) {
     const requestId = `short-${attempt}`;
     const first = { ...firstOrder(1), leaseMs: SHORT_LEASE_MS };
-    const reply = valueOf(await fixture.control.order(first, CALL));
-    await fixture.control.order(stamped(first, reply), CALL);
+    const reply = valueOf(await fixture.control.sendLeaseCommand(first, CALL));
+    await fixture.control.sendLeaseCommand(stamped(first, reply), CALL);
     const running = fixture.work({ headers: headersOf(requestId) });
     const refused = running.then(() => true);
     const started = untilInFlight(fixture, 1).then(() => false);
@@ -195,7 +197,9 @@
         headers: headersOf("behind"),
       });
       const taken = { ...firstOrder(2), slices: [] };
-      const reply = valueOf(await fixture.control.order(taken, CALL));
+      const reply = valueOf(
+        await fixture.control.sendLeaseCommand(taken, CALL),
+      );
       expect(reply.releasing).toEqual([{ slice: SLICE, inFlight: 1 }]);
       await fixture.setFaults({ holdRuns: false });
       expect((await running).status).toEqual(200);
@@ -225,7 +229,9 @@
       // The server was frozen with the request in its buffers. Time left
       // would count anew from waking; the moment on its own clock does not.
       await own(fixture);
-      const reply = valueOf(await fixture.control.order(firstOrder(1), CALL));
+      const reply = valueOf(
+        await fixture.control.sendLeaseCommand(firstOrder(1), CALL),
+      );
       const moments = [
         { requestId: "late", stamp: `${reply.instance}/${reply.stampMs - 1}` },
         { requestId: "other-run", stamp: `earlier-run/${Infinity}` },
--- a/packages/standins/src/measure/placement/planner_cost.ts
+++ b/packages/standins/src/measure/placement/planner_cost.ts
@@ -117,7 +117,7 @@
     const load = this.#load();
     this.#servers[0] = { ...this.#servers[0]!, state: "lost" };
     const startMs = performance.now();
-    this.#planner.planLosses(this.#input(nowMs, load));
+    this.#planner.planEvacuations(this.#input(nowMs, load));
     return performance.now() - startMs;
   }
 
--- a/packages/standins/src/measure/placement/trial.ts
+++ b/packages/standins/src/measure/placement/trial.ts
@@ -49,7 +49,8 @@
   const settings = ownership.DEFAULT_OWNERSHIP_SETTINGS;
   return {
     detectMs: settings.detectMs + settings.renewMs,
-    lossWaitMs: ownership.waitOutMs(settings) + 2 * STORE_WRITE_MS + ORDER_MS,
+    lossWaitMs: ownership.leaseExpiryWaitMs(settings) + 2 * STORE_WRITE_MS +
+      ORDER_MS,
     plannedGapMs: 2 * ORDER_MS + STORE_WRITE_MS + workMs,
     renewMs: settings.renewMs,
   };
--- a/packages/standins/src/measure/placement/ways.ts
+++ b/packages/standins/src/measure/placement/ways.ts
@@ -103,7 +103,7 @@
   readonly name: string;
   readonly #options: PlannerWayOptions;
   readonly #planner: placement.Planner;
-  readonly #book = new placement.LoadBook(10 * REPORT_EVERY_MS);
+  readonly #book = new placement.LoadAggregator(10 * REPORT_EVERY_MS);
   readonly #trackers: placement.LoadTracker[];
   #slices: contracts.Slice[] = [];
   #sliceOfKey: contracts.Slice[] = [];
@@ -142,7 +142,7 @@
 
   recordWork(server: number, workMs: number): void {
     for (const tracker of this.#trackers) {
-      tracker.recordWork(nameOf(server), workMs);
+      tracker.recordServiceTime(nameOf(server), workMs);
     }
   }
 
@@ -168,11 +168,11 @@
     this.#nextReportMs = nowMs + REPORT_EVERY_MS;
     const known = new Set(servers.map(({ index }) => nameOf(index)));
     this.#trackers.forEach((tracker, index) => {
-      tracker.keepServers(known);
+      tracker.keepOnly(known);
       const vm = `vm-${index}` as contracts.VmId;
       const incarnation = `vm-${index}-1` as contracts.Incarnation;
       const sender = { vm, incarnation, service: SERVICE };
-      this.#book.note(tracker.report(sender, nowMs), nowMs);
+      this.#book.record(tracker.report(sender, nowMs), nowMs);
     });
   }
 
@@ -189,7 +189,7 @@
     const startMs = performance.now();
     const plan = isDue
       ? this.#planner.plan(input)
-      : this.#planner.planLosses(input);
+      : this.#planner.planEvacuations(input);
     this.#planTimesMs.push(performance.now() - startMs);
     if (isDue) this.#nextPlanMs = nowMs + PLAN_EVERY_MS;
     return plan.changes;
--- a/packages/standins/src/proofs/given_up_request_test.ts
+++ b/packages/standins/src/proofs/given_up_request_test.ts
@@ -1,6 +1,6 @@
 import type * as contracts from "@guavatide/contracts";
 import { expect } from "earl";
-import { ServerLink } from "guavatide/links/server_link";
+import { ServerConnection } from "guavatide/links/server_connection";
 import * as net from "node:net";
 import { test } from "node:test";
 import * as timers from "node:timers/promises";
@@ -19,7 +19,7 @@
   await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
   const { port } = server.address() as net.AddressInfo;
   const relay = new RelayedLink({ host: "127.0.0.1", port });
-  const link = new ServerLink({
+  const link = new ServerConnection({
     host: "127.0.0.1",
     port: await relay.listen(0),
     connectTimeoutMs: 1_000,
@@ -35,8 +35,8 @@
       path: "/",
       headers: [],
       body: undefined,
-      mayLeave: () => true,
-      noteStamp: () => {},
+      maySend: () => true,
+      onServerStamp: () => {},
     });
     await timers.setTimeout(ARRIVAL_MS);
     link.abandon("timeout-after-send", "No answer before the deadline");
--- a/packages/standins/src/proofs/proof_cluster.ts
+++ b/packages/standins/src/proofs/proof_cluster.ts
@@ -4,7 +4,7 @@
  * waits for conditions with a deadline.
  */
 import * as contracts from "@guavatide/contracts";
-import { dutyRecordSchema } from "@guavatide/decisions/ownership/duty";
+import { leaderRecordSchema } from "@guavatide/decisions/ownership/leader_lease";
 import * as fs from "node:fs";
 import * as os from "node:os";
 import * as path from "node:path";
@@ -148,7 +148,7 @@
 
   /** The entry VM that holds control duty by the store's word. */
   async dutyHolder(): Promise<string> {
-    const [record] = await this.storedObjects(dutyRecordSchema);
+    const [record] = await this.storedObjects(leaderRecordSchema);
     if (record === undefined) throw new Error("Nobody holds control duty yet");
     return record.holder;
   }
--- a/packages/standins/src/proofs/time_to_serve.ts
+++ b/packages/standins/src/proofs/time_to_serve.ts
@@ -4,7 +4,7 @@
  * until a caller has the first answer.
  */
 import type * as contracts from "@guavatide/contracts";
-import { KeyHasher } from "@guavatide/decisions/ownership/key_hash";
+import { KeyHasher } from "@guavatide/decisions/ownership/key_hasher";
 import {
   AssignmentObserver,
   type SeenRevision,
