--- a/packages/entry/src/configuration/mod.ts
+++ b/packages/entry/src/configuration/mod.ts
@@ -1,8 +1,8 @@
-/** Storage and delivery of the configuration. */
+/** Storage, publication and delivery of the configuration. */
 export * from "./config_reader.ts";
 export * from "./config_task.ts";
 export * from "./current_config.ts";
-export * from "./drafts.ts";
+export * from "./draft_store.ts";
 export * from "./peer_config_source.ts";
 export * from "./peer_task_config_source.ts";
 export * from "./publisher.ts";
--- a/packages/entry/src/loads/load_task.ts
+++ b/packages/entry/src/loads/load_task.ts
@@ -5,11 +5,11 @@
  */
 import * as contracts from "@guavatide/contracts";
 import * as placement from "@guavatide/decisions/placement/mod";
-import type { LoadSource } from "../ownership/move_task.ts";
+import type { LoadSource } from "../ownership/assignment_controller_task.ts";
 import type { KeyedRequestSample } from "../requests/request_metrics.ts";
 import type { LifeCycle } from "../utils/life_cycle.ts";
-import type { PeerDoor } from "../vms/peer_door.ts";
-import type { PeerLink } from "../vms/peer_link.ts";
+import type { PeerServer } from "../vms/peer_server.ts";
+import type { PeerClient } from "../vms/peer_client.ts";
 import type { HeartbeatParticipant } from "../vms/peer_task.ts";
 
 /** Method by which a VM reports the load of a service to its leader. */
@@ -20,8 +20,8 @@
 /** Time after its last report at which the load of a VM stops counting. */
 const REPORT_TTL_MS = 10_000;
 
-/** Part of {@link PeerLink} that is used to send reports. */
-export type PeerCaller = Pick<PeerLink, "call">;
+/** Part of {@link PeerClient} that is used to send reports. */
+export type PeerCaller = Pick<PeerClient, "call">;
 
 /** Options of {@link LoadTask}. */
 export interface LoadTaskOptions {
@@ -30,7 +30,7 @@
     readonly incarnation: contracts.Incarnation;
   };
   readonly peers: { link(vm: contracts.VmId): PeerCaller | undefined };
-  readonly peerServer: Pick<PeerDoor, "register">;
+  readonly peerServer: Pick<PeerServer, "register">;
   readonly clock: contracts.Clock;
 }
 
--- a/packages/entry/src/wire.ts
+++ b/packages/entry/src/wire.ts
@@ -26,8 +26,8 @@
 import { MonotonicClock, SystemRandom } from "./utils/clock.ts";
 import { LifeCycle } from "./utils/life_cycle.ts";
 import * as logParts from "./utils/log.ts";
-import { peerCallsOf } from "./vms/peer_calls_of.ts";
-import { PeerDoor } from "./vms/peer_door.ts";
+import { createPeerRpc } from "./vms/create_peer_rpc.ts";
+import { PeerServer } from "./vms/peer_server.ts";
 import { PeerTask } from "./vms/peer_task.ts";
 import { ServerDirectory } from "./zones/server_directory.ts";
 
@@ -207,7 +207,7 @@
 /** Other entry VMs, as this process knows and calls them. */
 interface Vms {
   readonly membership: decisions.Membership;
-  readonly door: PeerDoor;
+  readonly door: PeerServer;
   readonly peers: PeerTask;
   readonly peerPort: number;
 }
@@ -221,7 +221,7 @@
     random,
     heartbeatIntervalMs: timings.heartbeatMs,
   });
-  const door = new PeerDoor({
+  const door = new PeerServer({
     host,
     port: settings.ports.peers,
     secret,
@@ -234,12 +234,12 @@
     tls: tls.peers,
     heartbeatMs: timings.heartbeatMs,
     heartbeatTimeoutMs: timings.heartbeatMs * HEARTBEAT_TIMEOUT_BEATS,
-    door,
+    peerServer: door,
     membership,
     clock,
     log: log.part("member"),
   });
-  base.directory.onVmList((vms) => peers.noteList(vms));
+  base.directory.onVmList((vms) => peers.noteVmList(vms));
   return { membership, door, peers, peerPort };
 }
 
@@ -257,13 +257,13 @@
       clock,
       ...vms,
     }),
-    choice: await decisions.createWatcherSelector(),
+    watcherSelector: await decisions.createWatcherSelector(),
     clock,
     random,
     log: base.log.part("config"),
     watchWaitMs: timings.watchWaitMs,
-    compareMs: timings.configCompareMs,
-    settleMs: timings.configSettleMs,
+    compareIntervalMs: timings.configCompareMs,
+    peerDiscoveryMs: timings.configSettleMs,
     storeTimeoutMs: settings.platform.storeTimeoutMs,
     peerTimeoutMs: settings.platform.storeTimeoutMs,
   });
@@ -294,7 +294,7 @@
     clock,
     timeoutMs: settings.timings.evidenceMs,
   });
-  directory.onVmList((vms) => peerView.noteList(vms));
+  directory.onVmList((vms) => peerView.noteVmList(vms));
   const loads = new LoadTask({ self, peers, peerServer: door, clock });
   const owners = new ownershipTasks.OwnershipTask({
     timings: ownershipTimingsOf(settings),
@@ -305,24 +305,24 @@
     store: base.store,
     config: parts.config,
     servers: directory,
-    moveRecord: new MeteredMoves(parts.moves, base.metrics),
+    moveRecorder: new MeteredMoves(parts.moves, base.metrics),
     peers: peerView,
     connect: (address) =>
       new platform.HttpBackendControl(`http://${address.host}:${address.port}`),
     load: (service) => loads.loadSource(service),
   });
   loads.setOwnershipSource(owners);
-  peers.join(owners);
-  peers.join(loads);
+  peers.addParticipant(owners);
+  peers.addParticipant(loads);
   door.register(
     ownershipTasks.ASSIGNMENT_METHOD,
     contractsValues.assignmentSchema,
-    (assignment) => owners.takePushed(assignment),
+    (assignment) => owners.acceptAssignment(assignment),
   );
   door.register(
-    ownershipTasks.KNOWN_METHOD,
+    ownershipTasks.KNOWN_REVISION_METHOD,
     contractsValues.knownRevisionRequestSchema,
-    (question) => owners.answerKnown(question),
+    (question) => owners.answerKnownRevision(question),
   );
   return { owners, loads };
 }
@@ -339,7 +339,12 @@
 ): requests.CallerListener {
   const { settings, self, clock, lifeCycle } = base;
   const { membership, door, hasher, loads } = parts;
-  const peerCalls = peerCallsOf(parts.peers, { self, door, membership, clock });
+  const peerCalls = createPeerRpc(parts.peers, {
+    self,
+    peerServer: door,
+    membership,
+    clock,
+  });
   const router = new requests.RequestRouter({
     config: parts.config,
     servers: base.directory,
