--- a/packages/entry/src/administration/access.ts
+++ b/packages/entry/src/administration/access.ts
@@ -1,4 +1,4 @@
-/** Who may do what at the administration API. */
+/** Authentication and authorization of operators at the administration API. */
 import type * as contracts from "@guavatide/contracts";
 import * as crypto from "node:crypto";
 import type {
@@ -6,7 +6,7 @@
   AdministrationToken,
 } from "../settings/mod.ts";
 
-/** An operator as told by the bearer token. */
+/** An authenticated operator with the rights of its bearer token. */
 export class Operator {
   readonly name: string;
   readonly #partners: AdministrationToken["partners"];
@@ -18,50 +18,52 @@
     this.#rights = new Set(token.rights);
   }
 
-  has(right: AdministrationRight): boolean {
+  hasRight(right: AdministrationRight): boolean {
     return this.#rights.has(right);
   }
 
-  /** Whether the operator acts for all partners. */
-  get actsForAll(): boolean {
+  /** Whether the token covers all partners. */
+  get canAccessAllPartners(): boolean {
     return this.#partners === "*";
   }
 
-  /** Whether the operator acts for this partner. */
-  actsFor(partner: contracts.PartnerId): boolean {
+  /** Whether the token covers this partner. */
+  canAccessPartner(partner: contracts.PartnerId): boolean {
     return this.#partners === "*" || this.#partners.includes(partner);
   }
 
   /**
-   * Whether the object lies within the operator's partners. A cost share
-   * belongs to every partner that bears a part; a place to all of them, so
-   * only an operator for all partners may change it.
+   * Whether the operator may create, replace or delete the object. A cost
+   * share may be changed for any partner that bears a part of it. A place is
+   * shared by all partners, so only a token for all partners may change it.
    */
   mayChange(object: contracts.ConfigObject): boolean {
-    if (this.actsForAll) return true;
+    if (this.canAccessAllPartners) return true;
     switch (object.kind) {
       case "place":
         return false;
       case "partner":
-        return this.actsFor(object.name);
+        return this.canAccessPartner(object.name);
       case "service":
-        return this.actsFor(object.partner);
+        return this.canAccessPartner(object.partner);
       case "cost-share":
-        return object.shares.some((share) => this.actsFor(share.partner));
+        return object.shares.some((share) =>
+          this.canAccessPartner(share.partner)
+        );
     }
   }
 }
 
-interface KnownToken {
+interface HashedToken {
   readonly digest: Buffer;
   readonly operator: Operator;
 }
 
-const BEARER = "Bearer ";
+const BEARER_PREFIX = "Bearer ";
 
-/** Tells operators by their bearer tokens. */
-export class Access {
-  readonly #tokens: readonly KnownToken[];
+/** Authenticates operators by their bearer tokens. */
+export class OperatorAuthenticator {
+  readonly #tokens: readonly HashedToken[];
 
   constructor(tokens: readonly AdministrationToken[]) {
     this.#tokens = tokens.map((token) => ({
@@ -71,12 +73,15 @@
   }
 
   /**
-   * The operator of an `Authorization` header, if any. Every known digest is
-   * compared in constant time and none ends the search, so that the time of a
-   * refusal tells neither how near a guess came nor how many tokens there are.
+   * Returns the operator that an `Authorization` header identifies, or
+   * undefined when its token is unknown. Compares the token's digest with every
+   * configured digest in constant time and doesn't stop at a match, so response
+   * times reveal neither how close a guess was nor how many tokens exist.
    */
-  operatorOf(header: string | undefined): Operator | undefined {
-    const token = header?.startsWith(BEARER) ? header.slice(BEARER.length) : "";
+  authenticate(header: string | undefined): Operator | undefined {
+    const token = header?.startsWith(BEARER_PREFIX)
+      ? header.slice(BEARER_PREFIX.length)
+      : "";
     const digest = crypto.createHash("sha256").update(token).digest();
     let found: Operator | undefined;
     for (const known of this.#tokens) {
--- a/packages/entry/src/administration/administration_door.ts
+++ b/packages/entry/src/administration/administration_door.ts
@@ -1,7 +1,7 @@
 /**
- * The administration API's door: listens, tells operators by their tokens and
- * passes on to the routes. Nothing of a request but its headers is read before
- * the token is known.
+ * HTTP server of the administration API: authenticates and authorizes operators
+ * and dispatches to the routes. Reads only a request's headers until its token
+ * has been accepted.
  */
 import * as nodeServer from "@hono/node-server";
 import * as hono from "hono";
@@ -15,21 +15,21 @@
 } from "../settings/mod.ts";
 import * as httpServer from "../utils/http_server.ts";
 import type { LifeCycle } from "../utils/life_cycle.ts";
-import { Access } from "./access.ts";
-import type { ApiContext, ApiEnv, ApiParts } from "./api_context.ts";
-import { answerError } from "./api_error.ts";
+import { OperatorAuthenticator } from "./access.ts";
+import type { ApiContext, ApiDependencies, ApiEnv } from "./api_context.ts";
+import { errorResponse } from "./api_error.ts";
 import { createDrainRoutes } from "./drain_routes.ts";
 import { createObjectRoutes } from "./object_routes.ts";
 import { createPublishRoutes } from "./publish_routes.ts";
 import { createStateRoutes } from "./state_routes.ts";
 
-/** Options of {@link AdministrationDoor}. */
-export interface AdministrationDoorOptions {
-  readonly parts: ApiParts;
+/** Options of {@link AdminServer}. */
+export interface AdminServerOptions {
+  readonly dependencies: ApiDependencies;
   readonly tokens: readonly AdministrationToken[];
-  /** IP number to listen on. */
+  /** IP address to listen on. */
   readonly host: string;
-  /** 0 takes any free port. */
+  /** 0 selects any free port. */
   readonly port: number;
   readonly limits: Pick<
     Settings["limits"],
@@ -44,29 +44,32 @@
   readonly certificate?: httpServer.ServerTls;
 }
 
-/** Requests handled at once; operators are few, and the store is shared. */
-const REQUESTS_IN_FLIGHT = 64;
+/**
+ * Limit of concurrent requests: there are few operators, and the store is
+ * shared.
+ */
+const MAX_REQUESTS_IN_FLIGHT = 64;
 const STOP_TIMEOUT_MS = 5000;
-const CHECK_INTERVAL_MS = 500;
+const CONNECTION_CHECK_INTERVAL_MS = 500;
 
-/** Listens for operators. */
-export class AdministrationDoor {
-  readonly #options: AdministrationDoorOptions;
-  readonly #access: Access;
+/** HTTP server of the administration API. */
+export class AdminServer {
+  readonly #options: AdminServerOptions;
+  readonly #authenticator: OperatorAuthenticator;
   #inFlight = 0;
 
-  constructor(options: AdministrationDoorOptions) {
+  constructor(options: AdminServerOptions) {
     this.#options = options;
-    this.#access = new Access(options.tokens);
+    this.#authenticator = new OperatorAuthenticator(options.tokens);
   }
 
-  /** Starts listening and returns the port. Errors: the address is taken. */
+  /** Starts listening and returns the port. Rejects when the address is in use. */
   async listen(lifeCycle: LifeCycle): Promise<number> {
     const server = this.#createServer();
     server.maxConnections = this.#options.limits.connections;
-    server.on("clientError", answerBrokenRequest);
+    server.on("clientError", answerParserError);
     lifeCycle.onStop({
-      name: "administration door",
+      name: "administration server",
       timeoutMs: STOP_TIMEOUT_MS,
       run: () => closeServer(server),
     });
@@ -80,63 +83,65 @@
       headersTimeout: limits.headerTimeoutMs,
       requestTimeout: limits.requestTimeoutMs,
       keepAliveTimeout: limits.keepAliveMs,
-      connectionsCheckingInterval: CHECK_INTERVAL_MS,
+      connectionsCheckingInterval: CONNECTION_CHECK_INTERVAL_MS,
     };
     const { fetch } = this.createApp();
     return httpServer.createHttpServer(options, certificate)
       .on("request", nodeServer.getRequestListener(fetch));
   }
 
-  /** The routes behind their checks, without a socket. */
+  /** Creates the routes with all middleware, without a socket. */
   createApp(): hono.Hono<ApiEnv> {
-    const { parts, limits } = this.#options;
+    const { dependencies: deps, limits } = this.#options;
     const app = new hono.Hono<ApiEnv>();
     app.use((context, next) => this.#admit(context, next));
     app.use(bodyLimit.bodyLimit({
       maxSize: limits.bodyBytes,
       onError: (context) => {
-        const message = `The body is over ${limits.bodyBytes} bytes: send less`;
-        return answerError(context, { kind: "too-large", message });
+        const message =
+          `The body is larger than ${limits.bodyBytes} bytes: send less`;
+        return errorResponse(context, { kind: "too-large", message });
       },
     }));
-    app.use((context, next) => this.#checkRight(context, next));
-    app.route("/v1/objects", createObjectRoutes(parts));
-    app.route("/v1/drains", createDrainRoutes(parts));
-    app.route("/v1", createPublishRoutes(parts));
-    app.route("/v1", createStateRoutes(parts));
+    app.use((context, next) => this.#authorize(context, next));
+    app.route("/v1/objects", createObjectRoutes(deps));
+    app.route("/v1/drains", createDrainRoutes(deps));
+    app.route("/v1", createPublishRoutes(deps));
+    app.route("/v1", createStateRoutes(deps));
     app.notFound((context) => {
       const message = "No such path: see docs/operators/administration.md";
-      return answerError(context, { kind: "not-found", message });
+      return errorResponse(context, { kind: "not-found", message });
     });
     app.onError((error, context) => {
-      parts.log.error("request failed", { reason: String(error) });
-      const message = "The request failed inside: see this VM's log";
-      return answerError(context, { kind: "internal", message });
+      deps.log.error("request failed", { reason: String(error) });
+      const message = "Internal error: see this VM's log";
+      return errorResponse(context, { kind: "internal", message });
     });
     return app;
   }
 
   /**
-   * Lets a request in when its token is known. Every other request gets the
-   * same answer, whatever its path, method or token, so that a wrong token
-   * learns nothing, not even which paths there are.
+   * Admits a request with a known token while fewer than
+   * {@link MAX_REQUESTS_IN_FLIGHT} are in flight. Without a known token the
+   * response is the same for every path, method and token, so it reveals
+   * nothing, not even which paths exist.
    */
   async #admit(
     context: ApiContext,
     next: hono.Next,
   ): Promise<Response | void> {
-    const operator = this.#access.operatorOf(
+    const operator = this.#authenticator.authenticate(
       context.req.header("authorization"),
     );
     if (operator === undefined) {
-      this.#options.parts.log.warn("unknown token refused");
+      this.#options.dependencies.log.warn("request refused: unknown token");
       const message = "Send a known token as Authorization: Bearer";
       context.header("www-authenticate", "Bearer");
-      return answerError(context, { kind: "unauthorized", message });
+      return errorResponse(context, { kind: "unauthorized", message });
     }
-    if (this.#inFlight >= REQUESTS_IN_FLIGHT) {
-      const message = "Too many requests at once: come back later";
-      return answerError(context, { kind: "overloaded", message });
+    if (this.#inFlight >= MAX_REQUESTS_IN_FLIGHT) {
+      const message = "Too many concurrent requests: retry later";
+      return errorResponse(context, { kind: "overloaded", message });
     }
     context.set("operator", operator);
     this.#inFlight++;
@@ -147,45 +152,45 @@
     }
   }
 
-  /** Refuses what the operator's token has no right for. */
-  async #checkRight(
+  /** Refuses a request for which the operator's token lacks the right. */
+  async #authorize(
     context: ApiContext,
     next: hono.Next,
   ): Promise<Response | void> {
     const { method, path } = context.req;
-    const right = rightFor(method, path);
+    const right = requiredRight(method, path);
     const operator = context.get("operator");
-    if (operator.has(right)) return await next();
-    this.#options.parts.log.warn("right refused", {
+    if (operator.hasRight(right)) return await next();
+    this.#options.dependencies.log.warn("request refused: missing right", {
       operator: operator.name,
       right,
       path,
     });
     const message = `Your token lacks the right "${right}": ask for it`;
-    return answerError(context, { kind: "forbidden", message });
+    return errorResponse(context, { kind: "forbidden", message });
   }
 }
 
-/** The right that a request needs. */
-function rightFor(method: string, path: string): AdministrationRight {
+/** Returns the right that a request requires. */
+function requiredRight(method: string, path: string): AdministrationRight {
   if (method === "GET" || method === "HEAD") return "read";
   if (path.startsWith("/v1/drains")) return "drain";
   return path === "/v1/publish" ? "publish" : "edit";
 }
 
-/** Status of each error that Node's parser reports, besides 400. */
-const BROKEN_REQUEST_STATUS: Readonly<Record<string, string>> = {
+/** Status by error code of Node's HTTP parser; all other codes get 400. */
+const PARSER_ERROR_STATUS: Readonly<Record<string, string>> = {
   ERR_HTTP_REQUEST_TIMEOUT: "408 Request Timeout",
   HPE_HEADER_OVERFLOW: "431 Request Header Fields Too Large",
 };
 
-function answerBrokenRequest(error: Error, socket: net.Socket): void {
+function answerParserError(error: Error, socket: net.Socket): void {
   const { code } = error as NodeJS.ErrnoException;
   if (code === "ECONNRESET" || !socket.writable) {
     socket.destroy();
     return;
   }
-  const status = BROKEN_REQUEST_STATUS[code ?? ""] ?? "400 Bad Request";
+  const status = PARSER_ERROR_STATUS[code ?? ""] ?? "400 Bad Request";
   socket.end(`HTTP/1.1 ${status}\r\nconnection: close\r\n\r\n`);
 }
 
--- a/packages/entry/src/administration/api_context.ts
+++ b/packages/entry/src/administration/api_context.ts
@@ -1,4 +1,4 @@
-/** What the routes of the administration API share. */
+/** Types and audit helpers that the routes of the administration API share. */
 import type * as contracts from "@guavatide/contracts";
 import type * as hono from "hono";
 import * as crypto from "node:crypto";
@@ -9,24 +9,24 @@
 import type { AuditLine, MoveLine } from "./journal_lines.ts";
 import type { StoreJournal } from "./store_journal.ts";
 
-/** Variables that the door sets for each request. */
+/** Variables that the server sets for each request. */
 export interface ApiEnv {
   Variables: { readonly operator: Operator };
 }
 
-/** A request with its operator known. */
+/** Context of an authenticated request. */
 export type ApiContext = hono.Context<ApiEnv>;
 
-/** Ownership as operators look at it. */
-export interface OwnershipReport {
-  /** The newest assignment known here. */
+/** Read access to the assignments of keyed services. */
+export interface OwnershipView {
+  /** Newest assignment that this VM knows; undefined when it knows none. */
   assignment(service: contracts.ServiceId): contracts.Assignment | undefined;
-  /** Hash of a key, as the request path takes it. */
-  hashOf(key: string): number;
+  /** Hashes a key as the request path does. */
+  hashKey(key: string): number;
 }
 
-/** The parts behind the API. */
-export interface ApiParts {
+/** Components that the routes call. */
+export interface ApiDependencies {
   readonly vm: contracts.VmId;
   readonly log: PartLog;
   readonly drafts: configuration.DraftStore;
@@ -34,40 +34,40 @@
   readonly config: configuration.ConfigTask;
   readonly servers: ServerView;
   readonly owners: OwnerView;
-  readonly ownership: OwnershipReport;
+  readonly ownership: OwnershipView;
   readonly audit: StoreJournal<AuditLine>;
   readonly moves: StoreJournal<MoveLine>;
 }
 
-/** What an audit line says besides who and when. */
+/** Fields of an audit line besides operator, time and VM. */
 export type AuditedChange = Pick<
   AuditLine,
   "action" | "object" | "result" | "detail"
 >;
 
-/** Writes the audit line of a change to the log and the journal. */
-export function noteChange(
-  parts: ApiParts,
+/** Records a change, or a refused attempt, in the log and the audit journal. */
+export function auditChange(
+  deps: ApiDependencies,
   context: ApiContext,
   change: AuditedChange,
 ): void {
   const operator = context.get("operator").name;
-  parts.log.info(`${change.action} ${change.result}`, {
+  deps.log.info(`${change.action} ${change.result}`, {
     operator,
     object: change.object,
     detail: change.detail,
   });
-  parts.audit.note({
+  deps.audit.append({
     ...change,
     id: crypto.randomUUID(),
     at: new Date().toISOString(),
-    vm: parts.vm,
+    vm: deps.vm,
     operator,
   });
 }
 
-/** How the failure of a change stands in its audit line. */
-export function resultOfError(error: { readonly kind: string }) {
+/** Maps the error of a change to the `result` and `detail` of its audit line. */
+export function auditResultOfError(error: { readonly kind: string }) {
   const result = error.kind === "unknown" ? "unknown" : "refused";
   return { result, detail: error.kind } as const;
 }
--- a/packages/entry/src/administration/api_error.ts
+++ b/packages/entry/src/administration/api_error.ts
@@ -1,18 +1,18 @@
-/** Errors of the administration API: one shape, one status for each kind. */
+/** Error responses of the administration API, with one HTTP status per kind. */
 import type * as hono from "hono";
 import type * as httpStatus from "hono/utils/http-status";
 
-/** Any typed error of the parts behind the API. */
+/** Any typed error that a component behind the API returns. */
 export interface ApiError {
   readonly kind: string;
-  /** What was seen and what to do. */
+  /** Cause and remedy, for the operator. */
   readonly message: string;
 }
 
-/** Seconds after which an operator may ask again when the store is away. */
+/** Value of `retry-after` while the store is unavailable or the API overloaded. */
 const RETRY_AFTER_SECONDS = 2;
 
-const STATUS_OF_KIND: Readonly<
+const STATUS_BY_KIND: Readonly<
   Record<string, httpStatus.ContentfulStatusCode>
 > = {
   "bad-request": 400,
@@ -30,23 +30,23 @@
   "unreadable": 500,
   "unavailable": 503,
   "overloaded": 503,
-  // The change may have taken effect: unlike 503, not a reason to repeat it.
+  // The change may have taken effect, so unlike 503 it must not be retried blindly.
   "unknown": 504,
 };
 
-/** Answers with an error, with its own fields besides kind and message. */
-export function answerError(
+/** Builds the response for an error, with all fields of the error in its body. */
+export function errorResponse(
   context: hono.Context,
   error: ApiError,
 ): Response {
-  const status = STATUS_OF_KIND[error.kind] ?? 500;
+  const status = STATUS_BY_KIND[error.kind] ?? 500;
   if (status === 503) {
     context.header("retry-after", String(RETRY_AFTER_SECONDS));
   }
   return context.json({ error }, status);
 }
 
-/** A request that the API does not understand. */
+/** Creates the error for a malformed request; status 400. */
 export function badRequest(message: string): ApiError {
   return { kind: "bad-request", message };
 }
--- a/packages/entry/src/administration/drain_routes.ts
+++ b/packages/entry/src/administration/drain_routes.ts
@@ -1,79 +1,81 @@
-/** Draining servers and returning them to service: `/v1/drains`. */
+/** Routes under `/v1/drains`: drain backend servers and return them to service. */
 import type * as contracts from "@guavatide/contracts";
 import * as hono from "hono";
 import * as neverthrow from "neverthrow";
 import * as z from "zod";
 import * as api from "./api_context.ts";
-import { answerError, type ApiError, badRequest } from "./api_error.ts";
-import { highestRevision } from "./publish_routes.ts";
+import { type ApiError, badRequest, errorResponse } from "./api_error.ts";
+import { highestKnownRevision } from "./publish_routes.ts";
 
 const drainBodySchema = z.strictObject({
   reason: z.string().max(200).default(""),
 });
 
-/** Routes under `/v1/drains`. */
-export function createDrainRoutes(parts: api.ApiParts): hono.Hono<api.ApiEnv> {
+/** Creates the routes under `/v1/drains`. */
+export function createDrainRoutes(
+  deps: api.ApiDependencies,
+): hono.Hono<api.ApiEnv> {
   const app = new hono.Hono<api.ApiEnv>();
-  app.get("/", (context) => context.json({ drains: parts.config.drains() }));
+  app.get("/", (context) => context.json({ drains: deps.config.drains() }));
   app.put("/:server", async (context) => {
-    const reason = await readReason(context);
-    if (reason.isErr()) return answerError(context, reason.error);
-    return await setDrain(parts, context, reason.value);
+    const reason = await parseReason(context);
+    if (reason.isErr()) return errorResponse(context, reason.error);
+    return await setDrain(deps, context, reason.value);
   });
-  app.delete("/:server", (context) => setDrain(parts, context, undefined));
+  app.delete("/:server", (context) => setDrain(deps, context, undefined));
   return app;
 }
 
-/** Drains when a reason is given; returns to service otherwise. */
+/** Drains the server; without a reason returns it to service. */
 async function setDrain(
-  parts: api.ApiParts,
+  deps: api.ApiDependencies,
   context: api.ApiContext,
   reason: string | undefined,
 ): Promise<Response> {
   const server = context.req.param("server") as contracts.ServerId;
   const isDrained = reason !== undefined;
-  const allowed = mayDrain(parts, context, server);
-  const written = allowed.isErr()
+  const allowed = checkDrainAllowed(deps, context, server);
+  const published = allowed.isErr()
     ? neverthrow.err(allowed.error)
-    : await parts.publisher.setDrain({
+    : await deps.publisher.setDrain({
       operator: context.get("operator").name,
       server,
       isDrained,
       reason: reason ?? "",
-      knownRevision: highestRevision(parts),
+      knownRevision: highestKnownRevision(deps),
     });
-  if (written.isOk()) parts.config.notePublished(written.value);
-  api.noteChange(parts, context, {
+  if (published.isOk()) deps.config.notePublished(published.value);
+  api.auditChange(deps, context, {
     action: isDrained ? "drain" : "return",
     object: `server/${server}`,
-    ...written.match(
+    ...published.match(
       (config) => ({ result: "done" as const, detail: `${config.revision}` }),
-      api.resultOfError,
+      api.auditResultOfError,
     ),
   });
-  return written.match(
+  return published.match(
     ({ revision, drains }) => context.json({ revision, drains: drains ?? [] }),
-    (error) => answerError(context, error),
+    (error) => errorResponse(context, error),
   );
 }
 
-function mayDrain(
-  parts: api.ApiParts,
+function checkDrainAllowed(
+  deps: api.ApiDependencies,
   context: api.ApiContext,
   server: contracts.ServerId,
 ): neverthrow.Result<void, ApiError> {
   const operator = context.get("operator");
-  const address = parts.servers.server(server);
+  const address = deps.servers.server(server);
   const isKnown = address !== undefined ||
-    parts.config.drains().some((drain) => drain.server === server);
+    deps.config.drains().some((drain) => drain.server === server);
   if (!isKnown) {
     const message = `No server "${server}" is on the VM list: see /v1/servers`;
     return neverthrow.err({ kind: "not-found", message });
   }
-  const service = address && parts.config.service(address.service);
+  const service = address && deps.config.service(address.service);
   const isAllowed = service === undefined
     // A server without a known service belongs to no single partner.
-    ? operator.actsForAll
+    ? operator.canAccessAllPartners
     : operator.mayChange(service);
   if (isAllowed) return neverthrow.ok(undefined);
   const message = `Your token has no rights for server "${server}": ask an ` +
@@ -81,7 +83,7 @@
   return neverthrow.err({ kind: "forbidden", message });
 }
 
-async function readReason(
+async function parseReason(
   context: api.ApiContext,
 ): Promise<neverthrow.Result<string, ApiError>> {
   const text = await context.req.text();
--- a/packages/entry/src/administration/mod.ts
+++ b/packages/entry/src/administration/mod.ts
@@ -1,4 +1,4 @@
-/** The administration API and its journals. */
+/** The administration API with its audit and move journals. */
 export * from "./access.ts";
 export * from "./administration.ts";
 export * from "./administration_door.ts";
--- a/packages/entry/src/administration/move_journal.ts
+++ b/packages/entry/src/administration/move_journal.ts
@@ -1,4 +1,4 @@
-/** Keeps the steps of moves and their reasons, for operators to look up. */
+/** Journal of slice moves and their reasons, which operators can query. */
 import type * as contracts from "@guavatide/contracts";
 import * as crypto from "node:crypto";
 import type { MovedSteps } from "../ownership/service_context.ts";
@@ -15,7 +15,7 @@
   "prefix" | "schema"
 >;
 
-/** Journal of moves; the task that moves slices notes each update's steps. */
+/** Journal to which the ownership tasks append the steps of each assignment update. */
 export class MoveJournal extends StoreJournal<MoveLine> {
   readonly #vm: contracts.VmId;
 
@@ -24,10 +24,10 @@
     this.#vm = options.vm;
   }
 
-  /** Takes note of an update that the store has acknowledged. */
+  /** Appends the steps of an update that the store has acknowledged. */
   noteSteps({ service, revision, steps }: MovedSteps): void {
     for (const step of steps) {
-      this.note({
+      this.append({
         ...step,
         id: crypto.randomUUID(),
         at: new Date().toISOString(),
--- a/packages/entry/src/administration/publish_routes.ts
+++ b/packages/entry/src/administration/publish_routes.ts
@@ -1,90 +1,90 @@
-/** Checking, comparing and publishing the whole set. */
+/** Routes that check, diff and publish the drafts as one configuration. */
 import type * as decisions from "@guavatide/decisions";
 import * as hono from "hono";
 import type { Operator } from "./access.ts";
 import * as api from "./api_context.ts";
-import { answerError } from "./api_error.ts";
+import { errorResponse } from "./api_error.ts";
 
-/** Routes `/v1/check`, `/v1/diff`, `/v1/publish` and `/v1/history`. */
+/** Creates the routes `/v1/check`, `/v1/diff`, `/v1/publish` and `/v1/history`. */
 export function createPublishRoutes(
-  parts: api.ApiParts,
+  deps: api.ApiDependencies,
 ): hono.Hono<api.ApiEnv> {
   const app = new hono.Hono<api.ApiEnv>();
-  app.get("/check", (context) => check(parts, context));
-  app.get("/diff", (context) => diff(parts, context));
-  app.post("/publish", (context) => publish(parts, context));
+  app.get("/check", (context) => check(deps, context));
+  app.get("/diff", (context) => diff(deps, context));
+  app.post("/publish", (context) => publish(deps, context));
   app.get("/history", async (context) => {
-    const history = await parts.publisher.history();
+    const history = await deps.publisher.history();
     return history.match(
       (entries) => context.json({ history: [...entries].reverse() }),
-      (error) => answerError(context, error),
+      (error) => errorResponse(context, error),
     );
   });
   return app;
 }
 
 async function check(
-  parts: api.ApiParts,
+  deps: api.ApiDependencies,
   context: api.ApiContext,
 ): Promise<Response> {
-  const plan = await parts.publisher.plan();
+  const plan = await deps.publisher.plan();
   return plan.match(
     ({ findings, tag, currentRevision }) =>
       context.json({ findings, tag, currentRevision }),
-    (error) => answerError(context, error),
+    (error) => errorResponse(context, error),
   );
 }
 
 async function diff(
-  parts: api.ApiParts,
+  deps: api.ApiDependencies,
   context: api.ApiContext,
 ): Promise<Response> {
-  const plan = await parts.publisher.plan();
+  const plan = await deps.publisher.plan();
   return plan.match(
     ({ changes, findings, tag, currentRevision }) =>
       context.json({ changes, findings, tag, currentRevision }),
-    (error) => answerError(context, error),
+    (error) => errorResponse(context, error),
   );
 }
 
 async function publish(
-  parts: api.ApiParts,
+  deps: api.ApiDependencies,
   context: api.ApiContext,
 ): Promise<Response> {
   const tag = /^"(.+)"$/.exec(context.req.header("if-match") ?? "")?.[1];
   if (tag === undefined) {
     const message = "Send If-Match with the tag of the diff you have checked";
-    return answerError(context, { kind: "precondition-required", message });
+    return errorResponse(context, { kind: "precondition-required", message });
   }
   const operator = context.get("operator");
-  const published = await parts.publisher.publish({
+  const published = await deps.publisher.publish({
     operator: operator.name,
     tag,
-    knownRevision: highestRevision(parts),
-    forbidden: (changes) => forbiddenAmong(changes, operator),
+    knownRevision: highestKnownRevision(deps),
+    forbidden: (changes) => forbiddenObjects(changes, operator),
   });
-  if (published.isOk()) parts.config.notePublished(published.value);
-  api.noteChange(parts, context, {
+  if (published.isOk()) deps.config.notePublished(published.value);
+  api.auditChange(deps, context, {
     action: "publish",
     object: "",
     ...published.match(
       (config) => ({ result: "done" as const, detail: `${config.revision}` }),
-      api.resultOfError,
+      api.auditResultOfError,
     ),
   });
   return published.match(
     ({ revision, publishedAt, publishedBy }) =>
       context.json({ revision, publishedAt, publishedBy }),
-    (error) => answerError(context, error),
+    (error) => errorResponse(context, error),
   );
 }
 
-/** Highest revision in force at any entry VM heard of. */
-export function highestRevision(parts: api.ApiParts): number {
-  return Math.max(...parts.config.revisions().map((each) => each.revision));
+/** Returns the highest configuration revision in force at any known entry VM. */
+export function highestKnownRevision(deps: api.ApiDependencies): number {
+  return Math.max(...deps.config.revisions().map((each) => each.revision));
 }
 
-function forbiddenAmong(
+function forbiddenObjects(
   changes: readonly decisions.ObjectChange[],
   operator: Operator,
 ): string[] {
--- a/packages/entry/src/administration/state_routes.ts
+++ b/packages/entry/src/administration/state_routes.ts
@@ -1,64 +1,76 @@
-/** What is in force and who owns what, as this entry VM knows it. */
+/** Read-only routes: configuration, VMs, servers, owners and journals. */
 import * as contracts from "@guavatide/contracts";
 import * as hono from "hono";
 import * as api from "./api_context.ts";
-import { answerError, badRequest } from "./api_error.ts";
+import { badRequest, errorResponse } from "./api_error.ts";
 
-const DEFAULT_LINES = 100;
-const MOST_LINES = 2000;
+const DEFAULT_LINE_LIMIT = 100;
+const MAX_LINE_LIMIT = 2000;
 
-/** Routes `/v1/config`, `/v1/vms`, `/v1/servers`, owners, moves, audit. */
-export function createStateRoutes(parts: api.ApiParts): hono.Hono<api.ApiEnv> {
+/**
+ * Creates the routes `/v1/config`, `/v1/vms`, `/v1/servers`, `/v1/owners`,
+ * `/v1/moves` and `/v1/audit`. All but the journals answer from this VM's
+ * memory.
+ */
+export function createStateRoutes(
+  deps: api.ApiDependencies,
+): hono.Hono<api.ApiEnv> {
   const app = new hono.Hono<api.ApiEnv>();
-  app.get("/config", (context) => context.json(parts.config.config ?? null));
-  app.get("/vms", (context) => vms(parts, context));
-  app.get("/servers", (context) => servers(parts, context));
-  app.get("/owners/:service", (context) => owners(parts, context));
-  app.get("/moves", (context) => lines(context, parts.moves));
-  app.get("/audit", (context) => lines(context, parts.audit));
+  app.get("/config", (context) => context.json(deps.config.config ?? null));
+  app.get("/vms", (context) => listVms(deps, context));
+  app.get("/servers", (context) => listServers(deps, context));
+  app.get("/owners/:service", (context) => getOwners(deps, context));
+  app.get("/moves", (context) => readLines(context, deps.moves));
+  app.get("/audit", (context) => readLines(context, deps.audit));
   return app;
 }
 
-function vms(parts: api.ApiParts, context: api.ApiContext): Response {
-  const { config } = parts;
+function listVms(deps: api.ApiDependencies, context: api.ApiContext): Response {
+  const { config } = deps;
   const confirmedAgeMs = config.confirmedAgeMs === undefined
     ? null
     : Math.round(config.confirmedAgeMs);
   return context.json({
-    vm: parts.vm,
+    vm: deps.vm,
     isWatcher: config.isWatcher,
     confirmedAgeMs,
     vms: config.revisions(),
   });
 }
 
-function servers(parts: api.ApiParts, context: api.ApiContext): Response {
+function listServers(
+  deps: api.ApiDependencies,
+  context: api.ApiContext,
+): Response {
   const drains = new Map(
-    parts.config.drains().map((drain) => [drain.server, drain]),
+    deps.config.drains().map((drain) => [drain.server, drain]),
   );
-  const found = parts.config.services()
-    .flatMap((service) => parts.servers.servers(service.name))
+  const found = deps.config.services()
+    .flatMap((service) => deps.servers.servers(service.name))
     .map((server) => ({ ...server, drain: drains.get(server.server) ?? null }));
   return context.json({ servers: found });
 }
 
-function owners(parts: api.ApiParts, context: api.ApiContext): Response {
+function getOwners(
+  deps: api.ApiDependencies,
+  context: api.ApiContext,
+): Response {
   const service = context.req.param("service") as contracts.ServiceId;
   const key = context.req.query("key");
-  if (parts.config.service(service) === undefined) {
+  if (deps.config.service(service) === undefined) {
     const message = `Service "${service}" is not in force: publish it first`;
-    return answerError(context, { kind: "not-found", message });
+    return errorResponse(context, { kind: "not-found", message });
   }
   if (key !== undefined) {
-    const keyHash = parts.ownership.hashOf(key);
-    const owner = parts.owners.lookup(service, keyHash);
+    const keyHash = deps.ownership.hashKey(key);
+    const owner = deps.owners.lookup(service, keyHash);
     return context.json({ service, key, keyHash, owner });
   }
-  const assignment = parts.ownership.assignment(service);
+  const assignment = deps.ownership.assignment(service);
   if (assignment === undefined) {
     const message = `No assignment of "${service}" is known here: the ` +
       "service is not keyed, or its servers have not been seen yet";
-    return answerError(context, { kind: "not-found", message });
+    return errorResponse(context, { kind: "not-found", message });
   }
   const { revision, slices } = assignment;
   return context.json({
@@ -71,23 +83,23 @@
   });
 }
 
-/** The part of a journal that these routes read. */
+/** Read access to either journal. */
 interface ReadableJournal {
   read(
     limit: number,
-  ): ReturnType<api.ApiParts["audit" | "moves"]["read"]>;
+  ): ReturnType<api.ApiDependencies["audit" | "moves"]["read"]>;
 }
 
-async function lines(
+async function readLines(
   context: api.ApiContext,
   journal: ReadableJournal,
 ): Promise<Response> {
-  const limit = Number(context.req.query("limit") ?? DEFAULT_LINES);
-  if (!Number.isInteger(limit) || limit < 1 || limit > MOST_LINES) {
-    const message = `limit: use a whole number from 1 to ${MOST_LINES}`;
-    return answerError(context, badRequest(message));
+  const limit = Number(context.req.query("limit") ?? DEFAULT_LINE_LIMIT);
+  if (!Number.isInteger(limit) || limit < 1 || limit > MAX_LINE_LIMIT) {
+    const message = `limit: use a whole number from 1 to ${MAX_LINE_LIMIT}`;
+    return errorResponse(context, badRequest(message));
   }
   const read = await journal.read(limit);
-  if (read.isErr()) return answerError(context, read.error);
+  if (read.isErr()) return errorResponse(context, read.error);
   return context.json({ lines: read.value });
 }
--- a/packages/entry/src/administration/store_journal.ts
+++ b/packages/entry/src/administration/store_journal.ts
@@ -1,7 +1,8 @@
 /**
- * A bounded journal in the platform's store. Entry VMs are replaced at any
- * time, under new names, so a journal object for each VM would pile up without
- * end: a fixed number of slots is shared by all instead.
+ * A journal of limited size in the platform's store. Entry VMs are replaced at
+ * any time, under new names, so one object per VM would grow without limit.
+ * Instead all VMs share a fixed number of objects (slots); each VM hashes its
+ * name to one of them.
  */
 import type * as contracts from "@guavatide/contracts";
 import * as neverthrow from "neverthrow";
@@ -11,9 +12,9 @@
 import type { LifeCycle } from "../utils/life_cycle.ts";
 import type { PartLog } from "../utils/log.ts";
 
-/** What every line has. */
+/** Fields that every line has. */
 export interface JournalLine {
-  /** Drawn anew for each line. */
+  /** Unique id of the line. */
   readonly id: string;
   /** Wall-clock time, ISO 8601. */
   readonly at: string;
@@ -25,64 +26,72 @@
   readonly store: contracts.PlatformStore;
   readonly clock: contracts.Clock;
   readonly log: PartLog;
-  /** Start of the names of all slots, such as `audit/`. */
+  /** Prefix of the slots' object names, such as `audit/`. */
   readonly prefix: string;
   readonly schema: z.ZodType<Line>;
-  /** Lines kept in each slot. */
-  readonly lines: number;
-  /** Longest time a line waits before it is written. */
-  readonly flushMs: number;
-  /** Time for one call to the store. */
+  /** Lines kept in each slot; the oldest are dropped. */
+  readonly linesPerSlot: number;
+  /** Interval between writes of pending lines. */
+  readonly flushIntervalMs: number;
+  /** Timeout of one store call. */
   readonly callTimeoutMs: number;
 }
 
-const SLOTS = 16;
+const SLOT_COUNT = 16;
 const STOP_TIMEOUT_MS = 1500;
-const WRITE_ATTEMPTS = 3;
+const MAX_WRITE_ATTEMPTS = 3;
 
-/** Collects lines and writes them to the store in batches. */
+/** Buffers lines and writes them to one slot of the store in batches. */
 export class StoreJournal<Line extends JournalLine> {
   readonly #options: StoreJournalOptions<Line>;
   readonly #slot: string;
-  #waiting: Line[] = [];
+  #pending: Line[] = [];
   #isFlushing = false;
 
   constructor(options: StoreJournalOptions<Line>) {
     this.#options = options;
     const digest = crypto.createHash("sha256").update(options.vm).digest();
-    this.#slot = `${options.prefix}${digest[0]! % SLOTS}`;
+    this.#slot = `${options.prefix}${digest[0]! % SLOT_COUNT}`;
   }
 
-  /** Writes waiting lines until the process stops, and then the rest. */
+  /** Flushes at an interval, and once more when the process stops. */
   start(lifeCycle: LifeCycle): void {
     lifeCycle.onStop({
       name: `journal ${this.#options.prefix}`,
       timeoutMs: STOP_TIMEOUT_MS,
       run: () => this.flush(),
     });
-    lifeCycle.every(this.#options.flushMs, () => void this.flush());
+    lifeCycle.every(this.#options.flushIntervalMs, () => void this.flush());
   }
 
-  /** Adds a line. While the store is away the oldest waiting lines give way. */
-  note(line: Line): void {
-    this.#waiting.push(line);
-    this.#waiting = this.#waiting.slice(-this.#options.lines);
+  /**
+   * Adds a line to the next batch. When more than `linesPerSlot` are pending,
+   * as while the store is unavailable, drops the oldest.
+   */
+  append(line: Line): void {
+    this.#pending.push(line);
+    this.#pending = this.#pending.slice(-this.#options.linesPerSlot);
   }
 
-  /** Writes what waits; what could not be written waits on. */
+  /** Writes the pending lines; keeps them for the next flush when that fails. */
   async flush(): Promise<void> {
-    if (this.#isFlushing || this.#waiting.length === 0) return;
+    if (this.#isFlushing || this.#pending.length === 0) return;
     this.#isFlushing = true;
-    const batch = this.#waiting;
-    this.#waiting = [];
+    const batch = this.#pending;
+    this.#pending = [];
     const isWritten = await this.#write(batch);
     if (!isWritten) {
-      this.#waiting = [...batch, ...this.#waiting].slice(-this.#options.lines);
+      this.#pending = [...batch, ...this.#pending].slice(
+        -this.#options.linesPerSlot,
+      );
     }
     this.#isFlushing = false;
   }
 
-  /** The newest lines of all slots, newest first. */
+  /**
+   * Returns the newest `limit` lines of all slots and of the pending batch,
+   * newest first. Fails when the store can't be listed.
+   */
   async read(
     limit: number,
   ): Promise<neverthrow.Result<Line[], contracts.StoreError>> {
@@ -91,25 +100,27 @@
     });
     return listed.map(({ objects }) => {
       const stored = objects.flatMap((each) => this.#parse(each.value));
-      return [...stored, ...this.#waiting]
+      return [...stored, ...this.#pending]
         .sort((a, b) => a.at < b.at ? 1 : -1)
         .slice(0, limit);
     });
   }
 
   async #write(batch: readonly Line[]): Promise<boolean> {
-    for (let attempt = 1; attempt <= WRITE_ATTEMPTS; attempt++) {
-      const before = await this.#readSlot();
-      if (before === undefined) return false;
-      const lines = [...before.lines, ...batch].slice(-this.#options.lines);
-      const last = batch.at(-1)!.id;
+    for (let attempt = 1; attempt <= MAX_WRITE_ATTEMPTS; attempt++) {
+      const stored = await this.#readSlot();
+      if (stored === undefined) return false;
+      const lines = [...stored.lines, ...batch].slice(
+        -this.#options.linesPerSlot,
+      );
+      const lastId = batch.at(-1)!.id;
       const written = await storeWrite.writeResolved(
         this.#options.store,
         this.#slot,
         {
           value: JSON.stringify(lines),
-          condition: before.condition,
-          isOurs: (value) => this.#parse(value).some(({ id }) => id === last),
+          condition: stored.condition,
+          isOurs: (value) => this.#parse(value).some(({ id }) => id === lastId),
           clock: this.#options.clock,
           timeoutMs: 2 * this.#options.callTimeoutMs,
           callTimeoutMs: this.#options.callTimeoutMs,
@@ -117,7 +128,7 @@
       );
       if (written.isOk()) return true;
       if (written.error.kind === "conflict") continue;
-      this.#options.log.warn("journal not written, lines wait", {
+      this.#options.log.warn("failed to write the journal, will retry", {
         slot: this.#slot,
         lines: batch.length,
         reason: written.error.kind,
--- a/packages/entry/src/settings_of_parts.ts
+++ b/packages/entry/src/settings_of_parts.ts
@@ -1,11 +1,11 @@
-/** Turns the settings of the process into the settings of its parts. */
+/** Derives the settings of the request path and of ownership from the process's. */
 import * as ownership from "@guavatide/decisions/ownership/mod";
 import type { OwnershipTimings } from "./ownership/mod.ts";
 import * as requests from "./requests/mod.ts";
 import type { Settings } from "./settings/mod.ts";
 
-/** Settings of the request path. */
-export function requestSettingsOf(
+/** Derives the settings of the request path. */
+export function toRequestSettings(
   settings: Settings,
 ): requests.RequestSettings {
   const { limits } = settings;
@@ -24,8 +24,8 @@
   };
 }
 
-/** Times of the ownership tasks. */
-export function ownershipTimingsOf(
+/** Derives the timings of the ownership tasks. */
+export function toOwnershipTimings(
   { timings, platform }: Settings,
 ): OwnershipTimings {
   return {
--- a/packages/entry/src/wire.ts
+++ b/packages/entry/src/wire.ts
@@ -1,6 +1,6 @@
 /**
- * The one module that wires the parts of an entry process together. Nothing
- * else constructs tasks.
+ * Composition root of an entry process: the only module that constructs its
+ * tasks and connects them.
  */
 import type * as contracts from "@guavatide/contracts";
 import * as contractsValues from "@guavatide/contracts";
@@ -9,7 +9,7 @@
 import * as neverthrow from "neverthrow";
 import * as administration from "./administration/mod.ts";
 import * as configuration from "./configuration/mod.ts";
-import * as linkParts from "./links/connection_pools.ts";
+import * as connectionPools from "./links/connection_pools.ts";
 import { LoadTask } from "./loads/load_task.ts";
 import { MeteredMoves } from "./metrics/metered_moves.ts";
 import { registerStateGauges } from "./metrics/state_gauges.ts";
@@ -21,7 +21,7 @@
 import * as platform from "./platform/mod.ts";
 import * as requests from "./requests/mod.ts";
 import * as settingsParts from "./settings/mod.ts";
-import { ownershipTimingsOf, requestSettingsOf } from "./settings_of_parts.ts";
+import { toOwnershipTimings, toRequestSettings } from "./settings_of_parts.ts";
 import { type StartError, toStartError } from "./start_error.ts";
 import { MonotonicClock, SystemRandom } from "./utils/clock.ts";
 import { LifeCycle } from "./utils/life_cycle.ts";
@@ -31,8 +31,8 @@
 import { PeerTask } from "./vms/peer_task.ts";
 import { ServerDirectory } from "./zones/server_directory.ts";
 
-/** Beats that fit into the time a peer has to answer one. */
-const HEARTBEAT_TIMEOUT_BEATS = 2;
+/** Timeout of a heartbeat, in heartbeat intervals. */
+const HEARTBEAT_TIMEOUT_INTERVALS = 2;
 const PLATFORM_STOP_TIMEOUT_MS = 1_000;
 
 /** Ports that a running entry process listens on. */
@@ -46,11 +46,14 @@
 /** A running entry process. */
 export interface Entry {
   readonly ports: EntryPorts;
-  /** Stops gracefully: requests in flight end, peers are told. */
+  /** Stops gracefully: finishes requests in flight and notifies peers. */
   stop(): Promise<void>;
 }
 
-/** Starts an entry process with checked settings. */
+/**
+ * Starts an entry process with validated settings. Errors: secret or
+ * certificate files can't be read, an address is in use, or startup fails.
+ */
 export function startEntry(
   settings: settingsParts.Settings,
 ): neverthrow.ResultAsync<Entry, StartError> {
@@ -75,28 +78,28 @@
   secret: string,
   tls: settingsParts.DoorCertificates,
 ): Promise<Entry> {
-  const base = createBase(settings, secret, tls);
-  const { lifeCycle, directory, metrics } = base;
-  // First to open and so last to close: it says until the end that the
-  // process is not ready, and why.
-  const metricsPort = await createMetricsDoor(base).listen(lifeCycle);
-  const vms = await createVms(base);
-  const config = await createConfiguration(base, vms);
+  const context = createContext(settings, secret, tls);
+  const { lifeCycle, directory, metrics } = context;
+  // Opened first and therefore closed last: the readiness probe reports until
+  // the end that the process is not ready, and why.
+  const metricsPort = await createMetricsServer(context).listen(lifeCycle);
+  const peerNetwork = await createPeerNetwork(context);
+  const config = await createConfiguration(context, peerNetwork);
   const hasher = await ownership.KeyHasher.create();
-  const moves = administration.createMoveJournal(administrationBase(base));
-  const { owners, loads } = createOwnership(base, {
-    ...vms,
+  const moves = administration.createMoveJournal(adminDependencies(context));
+  const { owners, loads } = createOwnership(context, {
+    ...peerNetwork,
     config,
     hasher,
     moves,
   });
-  const serverLinks = new linkParts.ConnectionPools(
-    linkParts.CONNECTION_POOLS_DEFAULTS,
+  const serverConnections = new connectionPools.ConnectionPools(
+    connectionPools.CONNECTION_POOLS_DEFAULTS,
     lifeCycle,
   );
-  const listener = createRequests(base, {
-    serverLinks,
-    ...vms,
+  const listener = createCallerListener(context, {
+    serverConnections,
+    ...peerNetwork,
     config,
     hasher,
     owners,
@@ -106,44 +109,44 @@
     config,
     owners,
     loads,
-    connections: serverLinks,
-    membership: vms.membership,
+    connections: serverConnections,
+    membership: peerNetwork.membership,
   });
 
   await directory.start(lifeCycle);
   config.start(lifeCycle);
-  vms.peers.start(lifeCycle);
+  peerNetwork.peers.start(lifeCycle);
   owners.start(lifeCycle);
   loads.start(lifeCycle);
-  const administrationPort = await administration.startAdministration({
-    ...administrationBase(base),
+  const administrationPort = await administration.startAdminApi({
+    ...adminDependencies(context),
     config,
     servers: directory,
     owners,
     ownership: {
       assignment: (service) => owners.assignment(service),
-      hashOf: (key) => hasher.hash(key),
+      hashKey: (key) => hasher.hash(key),
     },
     moves,
     certificate: tls.administration,
   }, lifeCycle);
   const ports = {
     callers: await listener.listen(),
-    peers: vms.peerPort,
+    peers: peerNetwork.peerPort,
     administration: administrationPort,
     metrics: metricsPort,
   };
-  base.ready.reason = () =>
+  context.ready.reason = () =>
     config.revision > 0 ? undefined : "No configuration in force yet";
-  base.log.part("main").info("entry process ready", {
+  context.log.part("main").info("entry process ready", {
     vm: settings.vm,
     ...ports,
   });
-  return { ports, stop: () => stop(base) };
+  return { ports, stop: () => stop(context) };
 }
 
-/** What every part of the process is built from. */
-interface Base {
+/** Settings, clocks, logs and clients that all components share. */
+interface ProcessContext {
   readonly settings: settingsParts.Settings;
   readonly secret: string;
   readonly tls: settingsParts.DoorCertificates;
@@ -158,22 +161,22 @@
   readonly metrics: metricsParts.Metrics;
   readonly store: contracts.PlatformStore;
   readonly directory: ServerDirectory;
-  /** Why the process is not ready; undefined when it is. */
+  /** Reason for which the process is not ready; undefined when it is ready. */
   readonly ready: { reason(): string | undefined };
 }
 
-function createBase(
+function createContext(
   settings: settingsParts.Settings,
   secret: string,
   tls: settingsParts.DoorCertificates,
-): Base {
+): ProcessContext {
   const log = logParts.createLog(settings.log);
   const lifeCycle = new LifeCycle();
   const metrics = new metricsParts.Metrics();
   const store = new platform.HttpPlatformStore(settings.platform.storeUrl);
   const vmList = new platform.HttpVmList(settings.platform.vmListUrl);
   lifeCycle.onStop({
-    name: "links to the platform",
+    name: "platform connections",
     timeoutMs: PLATFORM_STOP_TIMEOUT_MS,
     run: async () => {
       await Promise.all([store.close(), vmList.close()]);
@@ -200,20 +203,22 @@
       clock,
       log: log.part("member"),
     }),
-    ready: { reason: () => "The process starts" },
+    ready: { reason: () => "The process is starting" },
   };
 }
 
-/** Other entry VMs, as this process knows and calls them. */
-interface Vms {
+/** Membership of the entry VMs, and the server and client for calls among them. */
+interface PeerNetwork {
   readonly membership: decisions.Membership;
   readonly door: PeerDoor;
   readonly peers: PeerTask;
   readonly peerPort: number;
 }
 
-async function createVms(base: Base): Promise<Vms> {
-  const { settings, secret, tls, self, random, clock, log } = base;
+async function createPeerNetwork(
+  context: ProcessContext,
+): Promise<PeerNetwork> {
+  const { settings, secret, tls, self, random, clock, log } = context;
   const { timings, host } = settings;
   const membership = new decisions.Membership({
     ...decisions.DEFAULT_MEMBERSHIP,
@@ -227,27 +232,27 @@
     secret,
     tls: tls.peers,
   });
-  const peerPort = await door.listen(base.lifeCycle);
+  const peerPort = await door.listen(context.lifeCycle);
   const peers = new PeerTask({
     self: { ...self, zone: settings.zone, host, peerPort },
     secret,
     tls: tls.peers,
     heartbeatMs: timings.heartbeatMs,
-    heartbeatTimeoutMs: timings.heartbeatMs * HEARTBEAT_TIMEOUT_BEATS,
+    heartbeatTimeoutMs: timings.heartbeatMs * HEARTBEAT_TIMEOUT_INTERVALS,
     door,
     membership,
     clock,
     log: log.part("member"),
   });
-  base.directory.onList((vms) => peers.noteList(vms));
+  context.directory.onList((vms) => peers.noteList(vms));
   return { membership, door, peers, peerPort };
 }
 
 async function createConfiguration(
-  base: Base,
-  vms: Vms,
+  context: ProcessContext,
+  peerNetwork: PeerNetwork,
 ): Promise<configuration.ConfigTask> {
-  const { settings, store, clock, random, directory } = base;
+  const { settings, store, clock, random, directory } = context;
   const { timings } = settings;
   const config = new configuration.ConfigTask({
     vm: settings.vm,
@@ -255,12 +260,12 @@
     peers: new configuration.PeerTaskConfigSource({
       vm: settings.vm,
       clock,
-      ...vms,
+      ...peerNetwork,
     }),
     choice: await decisions.createWatcherSelector(),
     clock,
     random,
-    log: base.log.part("config"),
+    log: context.log.part("config"),
     watchWaitMs: timings.watchWaitMs,
     compareMs: timings.configCompareMs,
     settleMs: timings.configSettleMs,
@@ -273,7 +278,7 @@
   return config;
 }
 
-interface OwnershipParts extends Vms {
+interface OwnershipDependencies extends PeerNetwork {
   readonly config: configuration.ConfigTask;
   readonly hasher: ownership.KeyHasher;
   readonly moves: administration.MoveJournal;
@@ -284,9 +289,12 @@
   readonly loads: LoadTask;
 }
 
-function createOwnership(base: Base, parts: OwnershipParts): Ownership {
-  const { settings, self, clock, directory } = base;
-  const { membership, peers, door } = parts;
+function createOwnership(
+  context: ProcessContext,
+  deps: OwnershipDependencies,
+): Ownership {
+  const { settings, self, clock, directory } = context;
+  const { membership, peers, door } = deps;
   const peerView = new ownershipTasks.MembershipPeerView({
     self,
     membership,
@@ -297,15 +305,15 @@
   directory.onList((vms) => peerView.noteList(vms));
   const loads = new LoadTask({ self, peers, door, clock });
   const owners = new ownershipTasks.OwnershipTask({
-    timings: ownershipTimingsOf(settings),
+    timings: toOwnershipTimings(settings),
     clock,
-    random: base.random,
-    hasher: parts.hasher,
-    log: base.log,
-    store: base.store,
-    config: parts.config,
+    random: context.random,
+    hasher: deps.hasher,
+    log: context.log,
+    store: context.store,
+    config: deps.config,
     servers: directory,
-    moveRecord: new MeteredMoves(parts.moves, base.metrics),
+    moveRecord: new MeteredMoves(deps.moves, context.metrics),
     peers: peerView,
     connect: (address) =>
       new platform.HttpBackendControl(`http://${address.host}:${address.port}`),
@@ -322,37 +330,37 @@
   door.register(
     ownershipTasks.KNOWN_METHOD,
     contractsValues.knownRevisionRequestSchema,
-    (question) => owners.answerKnown(question),
+    (request) => owners.answerKnown(request),
   );
   return { owners, loads };
 }
 
-interface RequestParts extends Vms, Ownership {
-  readonly serverLinks: linkParts.ConnectionPools;
+interface RequestDependencies extends PeerNetwork, Ownership {
+  readonly serverConnections: connectionPools.ConnectionPools;
   readonly config: configuration.ConfigTask;
   readonly hasher: ownership.KeyHasher;
 }
 
-function createRequests(
-  base: Base,
-  parts: RequestParts,
+function createCallerListener(
+  context: ProcessContext,
+  deps: RequestDependencies,
 ): requests.CallerListener {
-  const { settings, self, clock, lifeCycle } = base;
-  const { membership, door, hasher, loads } = parts;
-  const peerCalls = peerCallsOf(parts.peers, { self, door, membership, clock });
+  const { settings, self, clock, lifeCycle } = context;
+  const { membership, door, hasher, loads } = deps;
+  const peerCalls = peerCallsOf(deps.peers, { self, door, membership, clock });
   const router = new requests.RequestRouter({
-    config: parts.config,
-    servers: base.directory,
-    owners: parts.owners,
-    links: parts.serverLinks,
+    config: deps.config,
+    servers: context.directory,
+    owners: deps.owners,
+    links: deps.serverConnections,
     hashKey: (key) => hasher.hash(key),
     entryVmCount: () => peerCalls.members().length,
     clock,
-    random: base.random,
-    log: base.log,
+    random: context.random,
+    log: context.log,
     lifeCycle,
     metrics: {
-      ...createRequestMetrics(base.metrics),
+      ...createRequestMetrics(context.metrics),
       keyedWork: (work) => loads.record(work),
     },
     longestTimeoutMs: requests.REQUEST_DEFAULTS.longestTimeoutMs,
@@ -360,34 +368,38 @@
     peers: peerCalls,
   });
   return new requests.CallerListener({
-    settings: requestSettingsOf(settings),
-    tls: base.tls.callers,
+    settings: toRequestSettings(settings),
+    tls: context.tls.callers,
     clock,
     lifeCycle,
     route: (request) => router.route(request),
   });
 }
 
-function createMetricsDoor(base: Base): MetricsServer {
+function createMetricsServer(context: ProcessContext): MetricsServer {
   return new MetricsServer({
-    host: base.settings.host,
-    port: base.settings.ports.metrics,
-    metrics: base.metrics,
-    tls: base.tls.metrics,
+    host: context.settings.host,
+    port: context.settings.ports.metrics,
+    metrics: context.metrics,
+    tls: context.tls.metrics,
     notReadyReason: () =>
-      base.lifeCycle.isStopping ? "The process stops" : base.ready.reason(),
+      context.lifeCycle.isStopping
+        ? "The process is stopping"
+        : context.ready.reason(),
   });
 }
 
-function administrationBase({ settings, store, clock, log }: Base) {
+function adminDependencies({ settings, store, clock, log }: ProcessContext) {
   return { settings, store, clock, log: log.part("admin") };
 }
 
-async function stop({ lifeCycle, log, settings }: Base): Promise<void> {
-  const report = await lifeCycle.stop();
+async function stop(
+  { lifeCycle, log, settings }: ProcessContext,
+): Promise<void> {
+  const stopReport = await lifeCycle.stop();
   const mainLog = log.part("main");
-  for (const { name, reason } of report.failed) {
-    mainLog.warn("a part did not stop cleanly", { name, reason });
+  for (const { name, reason } of stopReport.failed) {
+    mainLog.warn("a component did not stop cleanly", { name, reason });
   }
   mainLog.info("entry process stopped", { vm: settings.vm });
 }
