--- a/packages/entry/src/commands/check_command.ts
+++ b/packages/entry/src/commands/check_command.ts
@@ -1,12 +1,12 @@
-/** `guavatide check FILE`: says whether settings would be accepted. */
+/** `guavatide check FILE`: validates a settings file. */
 import * as clipanion from "clipanion";
 import * as fs from "node:fs";
 import * as settings from "../settings/mod.ts";
 
-/** Exit code when settings are refused. */
-const REFUSED_EXIT_CODE = 2;
+/** Exit code when the settings can't be read or are invalid. */
+const INVALID_SETTINGS_EXIT_CODE = 2;
 
-/** Checks a settings file without starting anything. */
+/** Validates a settings file without starting the process. */
 export class CheckCommand extends clipanion.Command {
   static override paths = [["check"]];
   static override usage = clipanion.Command.Usage({
@@ -24,12 +24,12 @@
       this.context.stderr.write(
         `Cannot read "${this.file}" (${String(error)}): check the path\n`,
       );
-      return Promise.resolve(REFUSED_EXIT_CODE);
+      return Promise.resolve(INVALID_SETTINGS_EXIT_CODE);
     }
     const loaded = settings.loadSettings(text);
     if (loaded.isErr()) {
       this.context.stderr.write(`${loaded.error.message}\n`);
-      return Promise.resolve(REFUSED_EXIT_CODE);
+      return Promise.resolve(INVALID_SETTINGS_EXIT_CODE);
     }
     this.context.stdout.write(`${this.file}: accepted\n`);
     return Promise.resolve(0);
--- a/packages/entry/src/commands/print_defaults_command.ts
+++ b/packages/entry/src/commands/print_defaults_command.ts
@@ -1,4 +1,4 @@
-/** `guavatide print-defaults`: a whole settings file to start from. */
+/** `guavatide print-defaults`: prints a complete settings file as a template. */
 import * as clipanion from "clipanion";
 import * as settings from "../settings/mod.ts";
 
--- a/packages/entry/src/main.ts
+++ b/packages/entry/src/main.ts
@@ -18,5 +18,5 @@
 cli.register(clipanion.Builtins.HelpCommand);
 cli.register(clipanion.Builtins.VersionCommand);
 process.exitCode = await cli.run(process.argv.slice(2));
-// Whatever still holds the event loop has been given its time to end.
+// Clean-up has finished or timed out by now: exit even if a handle is still open.
 process.exit();
--- a/packages/entry/src/mod.ts
+++ b/packages/entry/src/mod.ts
@@ -1,4 +1,4 @@
-/** Parts of the entry process, for its own binary and for tests. */
+/** Modules of the entry process, for its binary and for tests. */
 export * from "./administration/mod.ts";
 export * from "./configuration/mod.ts";
 export * from "./contracts/views.ts";
--- a/packages/entry/src/start_error.ts
+++ b/packages/entry/src/start_error.ts
@@ -1,16 +1,16 @@
-/** Why an entry process did not start, in words with a remedy. */
+/** Startup errors of an entry process. */
 
-/** Why an entry process did not start. */
+/** Error that kept an entry process from starting; the message ends with a remedy. */
 export interface StartError {
   readonly kind: "settings-file" | "address-in-use" | "start";
   readonly message: string;
 }
 
-/** Names the remedy for what `startEntry` met. */
+/** Converts an exception thrown during startup and adds a remedy. */
 export function toStartError(error: unknown): StartError {
   if ((error as { code?: string }).code === "EADDRINUSE") {
     const message = `${String(error)}: choose another port in the settings, ` +
-      "or stop the process that holds it";
+      "or stop the process that uses it";
     return { kind: "address-in-use", message };
   }
   const message = `The process did not start (${String(error)}): ` +
