--- a/packages/entry/src/administration/administration.ts
+++ b/packages/entry/src/administration/admin_api.ts
@@ -9,7 +9,7 @@
 import type { ServerTls } from "../utils/http_server.ts";
 import type { LifeCycle } from "../utils/life_cycle.ts";
 import type { PartLog } from "../utils/log.ts";
-import { AdminServer } from "./administration_door.ts";
+import { AdminServer } from "./admin_server.ts";
 import type { OwnershipView } from "./api_context.ts";
 import { AUDIT_PREFIX, auditLineSchema } from "./journal_lines.ts";
 import { MoveJournal } from "./move_journal.ts";
--- a/packages/entry/src/administration/administration_test.ts
+++ b/packages/entry/src/administration/admin_api_test.ts
@@ -8,7 +8,7 @@
   OBJECTS,
   SERVER,
   SILENT_LOG,
-} from "./desk_test_support.ts";
+} from "./admin_fixture_test_support.ts";
 import * as administration from "./mod.ts";
 
 // Guards against enumeration without a token: responses that differ by path or
--- a/packages/entry/src/administration/administration_door.ts
+++ b/packages/entry/src/administration/admin_server.ts
@@ -15,7 +15,7 @@
 } from "../settings/mod.ts";
 import * as httpServer from "../utils/http_server.ts";
 import type { LifeCycle } from "../utils/life_cycle.ts";
-import { OperatorAuthenticator } from "./access.ts";
+import { OperatorAuthenticator } from "./operator_authenticator.ts";
 import type { ApiContext, ApiDependencies, ApiEnv } from "./api_context.ts";
 import { errorResponse } from "./api_error.ts";
 import { createDrainRoutes } from "./drain_routes.ts";
--- a/packages/entry/src/administration/administration_door_test.ts
+++ b/packages/entry/src/administration/admin_server_test.ts
@@ -5,7 +5,7 @@
 import * as net from "node:net";
 import { test } from "node:test";
 import * as selfsigned from "selfsigned";
-import { AdminFixture } from "./desk_test_support.ts";
+import { AdminFixture } from "./admin_fixture_test_support.ts";
 
 const INVALID_REQUESTS: readonly {
   readonly name: string;
--- a/packages/entry/src/administration/api_context.ts
+++ b/packages/entry/src/administration/api_context.ts
@@ -5,7 +5,7 @@
 import type * as configuration from "../configuration/mod.ts";
 import type { OwnerView, ServerView } from "../contracts/views.ts";
 import type { PartLog } from "../utils/log.ts";
-import type { Operator } from "./access.ts";
+import type { Operator } from "./operator_authenticator.ts";
 import type { AuditLine, MoveLine } from "./journal_lines.ts";
 import type { StoreJournal } from "./store_journal.ts";
 
--- a/packages/entry/src/administration/publish_routes.ts
+++ b/packages/entry/src/administration/publish_routes.ts
@@ -1,7 +1,7 @@
 /** Routes that check, diff and publish the drafts as one configuration. */
 import type * as decisions from "@guavatide/decisions";
 import * as hono from "hono";
-import type { Operator } from "./access.ts";
+import type { Operator } from "./operator_authenticator.ts";
 import * as api from "./api_context.ts";
 import { errorResponse } from "./api_error.ts";
 
--- a/packages/entry/src/wire.ts
+++ b/packages/entry/src/wire.ts
@@ -21,7 +21,7 @@
 import * as platform from "./platform/mod.ts";
 import * as requests from "./requests/mod.ts";
 import * as settingsParts from "./settings/mod.ts";
-import { toOwnershipTimings, toRequestSettings } from "./settings_of_parts.ts";
+import { toOwnershipTimings, toRequestSettings } from "./derived_settings.ts";
 import { type StartError, toStartError } from "./start_error.ts";
 import { MonotonicClock, SystemRandom } from "./utils/clock.ts";
 import { LifeCycle } from "./utils/life_cycle.ts";
