--- a/packages/entry/src/wire.ts
+++ b/packages/entry/src/wire.ts
@@ -203,7 +203,7 @@
       clock,
       log: log.part("member"),
     }),
-    ready: { reason: () => "The process is starting" },
+    ready: { reason: () => "The process starts" },
   };
 }
 
@@ -384,7 +384,7 @@
     tls: context.tls.metrics,
     notReadyReason: () =>
       context.lifeCycle.isStopping
-        ? "The process is stopping"
+        ? "The process stops"
         : context.ready.reason(),
   });
 }
