--- a/packages/entry/src/administration/admin_fixture_test_support.ts
+++ b/packages/entry/src/administration/admin_fixture_test_support.ts
@@ -107,12 +107,12 @@
     const reader = new configuration.ConfigReader(shared);
     this.config = new configuration.ConfigTask({
       ...shared,
-      choice: watcherSelector,
+      watcherSelector: watcherSelector,
       peers: singleVmSource(),
       random: { next: () => 0.5 },
       watchWaitMs: 100,
-      compareMs: 100,
-      settleMs: 50,
+      compareIntervalMs: 100,
+      peerDiscoveryMs: 50,
       storeTimeoutMs: 100,
       peerTimeoutMs: 100,
     });
--- a/packages/entry/src/administration/move_journal.ts
+++ b/packages/entry/src/administration/move_journal.ts
@@ -1,7 +1,7 @@
 /** Journal of slice moves and their reasons, which operators can query. */
 import type * as contracts from "@guavatide/contracts";
 import * as crypto from "node:crypto";
-import type { MovedSteps } from "../ownership/service_context.ts";
+import type { AssignmentSteps } from "../ownership/service_context.ts";
 import {
   type MoveLine,
   moveLineSchema,
@@ -25,7 +25,7 @@
   }
 
   /** Appends the steps of an update that the store has acknowledged. */
-  noteSteps({ service, revision, steps }: MovedSteps): void {
+  noteSteps({ service, revision, steps }: AssignmentSteps): void {
     for (const step of steps) {
       this.append({
         ...step,
--- a/packages/entry/src/administration/store_journal.ts
+++ b/packages/entry/src/administration/store_journal.ts
@@ -114,13 +114,14 @@
         -this.#options.linesPerSlot,
       );
       const lastId = batch.at(-1)!.id;
-      const written = await storeWrite.writeResolved(
+      const written = await storeWrite.writeWithReadBack(
         this.#options.store,
         this.#slot,
         {
           value: JSON.stringify(lines),
           condition: stored.condition,
-          isOurs: (value) => this.#parse(value).some(({ id }) => id === lastId),
+          isOwnWrite: (value) =>
+            this.#parse(value).some(({ id }) => id === lastId),
           clock: this.#options.clock,
           timeoutMs: 2 * this.#options.callTimeoutMs,
           callTimeoutMs: this.#options.callTimeoutMs,
--- a/packages/entry/src/wire.ts
+++ b/packages/entry/src/wire.ts
@@ -26,8 +26,8 @@
 import { MonotonicClock, SystemRandom } from "./utils/clock.ts";
 import { LifeCycle } from "./utils/life_cycle.ts";
 import * as logParts from "./utils/log.ts";
-import { peerCallsOf } from "./vms/peer_calls_of.ts";
-import { PeerDoor } from "./vms/peer_door.ts";
+import { createPeerRpc } from "./vms/create_peer_rpc.ts";
+import { PeerServer } from "./vms/peer_server.ts";
 import { PeerTask } from "./vms/peer_task.ts";
 import { ServerDirectory } from "./zones/server_directory.ts";
 
@@ -210,7 +210,7 @@
 /** Membership of the entry VMs, and the server and client for calls among them. */
 interface PeerNetwork {
   readonly membership: decisions.Membership;
-  readonly door: PeerDoor;
+  readonly door: PeerServer;
   readonly peers: PeerTask;
   readonly peerPort: number;
 }
@@ -224,9 +224,9 @@
     ...decisions.DEFAULT_MEMBERSHIP,
     vm: settings.vm,
     random,
-    beatMs: timings.heartbeatMs,
+    heartbeatIntervalMs: timings.heartbeatMs,
   });
-  const door = new PeerDoor({
+  const door = new PeerServer({
     host,
     port: settings.ports.peers,
     secret,
@@ -239,12 +239,12 @@
     tls: tls.peers,
     heartbeatMs: timings.heartbeatMs,
     heartbeatTimeoutMs: timings.heartbeatMs * HEARTBEAT_TIMEOUT_INTERVALS,
-    door,
+    peerServer: door,
     membership,
     clock,
     log: log.part("member"),
   });
-  context.directory.onList((vms) => peers.noteList(vms));
+  context.directory.onVmList((vms) => peers.noteVmList(vms));
   return { membership, door, peers, peerPort };
 }
 
@@ -262,13 +262,13 @@
       clock,
       ...peerNetwork,
     }),
-    choice: await decisions.createWatcherSelector(),
+    watcherSelector: await decisions.createWatcherSelector(),
     clock,
     random,
     log: context.log.part("config"),
     watchWaitMs: timings.watchWaitMs,
-    compareMs: timings.configCompareMs,
-    settleMs: timings.configSettleMs,
+    compareIntervalMs: timings.configCompareMs,
+    peerDiscoveryMs: timings.configSettleMs,
     storeTimeoutMs: settings.platform.storeTimeoutMs,
     peerTimeoutMs: settings.platform.storeTimeoutMs,
   });
@@ -302,8 +302,8 @@
     clock,
     timeoutMs: settings.timings.evidenceMs,
   });
-  directory.onList((vms) => peerView.noteList(vms));
-  const loads = new LoadTask({ self, peers, door, clock });
+  directory.onVmList((vms) => peerView.noteVmList(vms));
+  const loads = new LoadTask({ self, peers, peerServer: door, clock });
   const owners = new ownershipTasks.OwnershipTask({
     timings: toOwnershipTimings(settings),
     clock,
@@ -313,24 +313,24 @@
     store: context.store,
     config: deps.config,
     servers: directory,
-    moveRecord: new MeteredMoves(deps.moves, context.metrics),
+    moveRecorder: new MeteredMoves(deps.moves, context.metrics),
     peers: peerView,
     connect: (address) =>
       new platform.HttpBackendControl(`http://${address.host}:${address.port}`),
-    load: (service) => loads.source(service),
+    load: (service) => loads.loadSource(service),
   });
-  loads.follow(owners);
-  peers.join(owners);
-  peers.join(loads);
+  loads.setOwnershipSource(owners);
+  peers.addParticipant(owners);
+  peers.addParticipant(loads);
   door.register(
     ownershipTasks.ASSIGNMENT_METHOD,
     contractsValues.assignmentSchema,
-    (assignment) => owners.takePushed(assignment),
+    (assignment) => owners.acceptAssignment(assignment),
   );
   door.register(
-    ownershipTasks.KNOWN_METHOD,
+    ownershipTasks.KNOWN_REVISION_METHOD,
     contractsValues.knownRevisionRequestSchema,
-    (request) => owners.answerKnown(request),
+    (request) => owners.answerKnownRevision(request),
   );
   return { owners, loads };
 }
@@ -347,12 +347,17 @@
 ): requests.CallerListener {
   const { settings, self, clock, lifeCycle } = context;
   const { membership, door, hasher, loads } = deps;
-  const peerCalls = peerCallsOf(deps.peers, { self, door, membership, clock });
+  const peerCalls = createPeerRpc(deps.peers, {
+    self,
+    peerServer: door,
+    membership,
+    clock,
+  });
   const router = new requests.RequestRouter({
     config: deps.config,
     servers: context.directory,
     owners: deps.owners,
-    links: deps.serverConnections,
+    connectionPools: deps.serverConnections,
     hashKey: (key) => hasher.hash(key),
     entryVmCount: () => peerCalls.members().length,
     clock,
@@ -361,10 +366,10 @@
     lifeCycle,
     metrics: {
       ...createRequestMetrics(context.metrics),
-      keyedWork: (work) => loads.record(work),
+      keyedWork: (work) => loads.recordRequest(work),
     },
-    longestTimeoutMs: requests.REQUEST_DEFAULTS.longestTimeoutMs,
-    unfencedRunMs: settings.timings.unfencedMoveWaitMs,
+    maxTimeoutMs: requests.REQUEST_DEFAULTS.maxTimeoutMs,
+    unfencedTimeoutMs: settings.timings.unfencedMoveWaitMs,
     peers: peerCalls,
   });
   return new requests.CallerListener({
