--- a/packages/entry/src/settings/defaults.ts
+++ b/packages/entry/src/settings/defaults.ts
@@ -1,8 +1,8 @@
-/** Whole settings with every default filled in, to start a file from. */
+/** Complete settings with all defaults, as a template for a settings file. */
 import { type Settings, settingsSchema } from "./schema.ts";
 
-/** Fields without a default: what differs from VM to VM. */
-const EXAMPLE = {
+/** Example values of the required fields, which have no default. */
+const EXAMPLE_SETTINGS = {
   vm: "entry-1",
   zone: "zone-1",
   region: "region-1",
@@ -14,12 +14,12 @@
   peerSecret: "change-this-secret-on-every-vm",
 };
 
-/** Settings of an example VM with all defaults. Errors: none. */
+/** Settings of an example VM with all defaults. Never throws. */
 export function defaultSettings(): Settings {
-  return settingsSchema.parse(EXAMPLE);
+  return settingsSchema.parse(EXAMPLE_SETTINGS);
 }
 
-/** The same as JSON text, as `guavatide print-defaults` prints it. */
+/** The same settings as JSON; the output of `guavatide print-defaults`. */
 export function printDefaults(): string {
   return JSON.stringify(defaultSettings(), null, 2) + "\n";
 }
--- a/packages/entry/src/settings/load.ts
+++ b/packages/entry/src/settings/load.ts
@@ -1,22 +1,22 @@
-/** Reads the settings of one entry process from JSON text and checks them. */
+/** Parses and validates the settings of an entry process. */
 import * as neverthrow from "neverthrow";
 import * as problems from "./problems.ts";
 import { type Settings, settingsSchema } from "./schema.ts";
 
-/** Why settings were refused. `message` lists every problem, one a line. */
+/** Why settings are invalid. `message` has one line per problem. */
 export interface SettingsError {
   readonly kind: "not-json" | "invalid";
   readonly message: string;
   readonly problems: readonly problems.SettingsProblem[];
 }
 
-/** Heartbeats or renewals that must fit before their absence has an effect. */
-const LEAST_BEATS = 2;
-const LEAST_RENEWALS = 3;
+/** Intervals that must fit into a timeout, so that one lost message is harmless. */
+const MIN_HEARTBEATS = 2;
+const MIN_RENEWALS = 3;
 
 /**
- * Reads settings from JSON text. Errors: `not-json` when the text does not
- * parse, `invalid` with one problem for each refused field.
+ * Parses and validates settings in JSON. Errors: `not-json` when the text is not
+ * JSON, `invalid` with one problem for each invalid field.
  */
 export function loadSettings(
   text: string,
@@ -25,126 +25,130 @@
   try {
     raw = JSON.parse(text);
   } catch (error) {
-    return refuse("not-json", [{
+    return toSettingsError("not-json", [{
       kind: "not-json",
       path: "(whole file)",
-      seen: error instanceof Error ? error.message : String(error),
-      remedy: "Mend the JSON; `guavatide print-defaults` shows a whole file",
+      actual: error instanceof Error ? error.message : String(error),
+      remedy: "Fix the JSON; `guavatide print-defaults` prints a complete file",
     }]);
   }
   const parsed = settingsSchema.safeParse(raw);
   if (!parsed.success) {
-    return refuse("invalid", problems.problemsOf(parsed.error, raw));
+    return toSettingsError("invalid", problems.toProblems(parsed.error, raw));
   }
-  const found = contradictionsOf(parsed.data);
-  return found.length > 0
-    ? refuse("invalid", found)
+  const problemList = findContradictions(parsed.data);
+  return problemList.length > 0
+    ? toSettingsError("invalid", problemList)
     : neverthrow.ok(parsed.data);
 }
 
-/** One problem as a line for people. */
-export function problemText(problem: problems.SettingsProblem): string {
-  return `${problem.path}: ${problem.kind}, saw ${problem.seen}. ${problem.remedy}`;
+/** Formats one problem as a line of text. */
+export function formatProblem(problem: problems.SettingsProblem): string {
+  return `${problem.path}: ${problem.kind}, saw ${problem.actual}. ${problem.remedy}`;
 }
 
-function refuse(
+function toSettingsError(
   kind: SettingsError["kind"],
-  found: readonly problems.SettingsProblem[],
+  problemList: readonly problems.SettingsProblem[],
 ): neverthrow.Result<Settings, SettingsError> {
-  const message = found.map(problemText).join("\n");
-  return neverthrow.err({ kind, message, problems: found });
+  const message = problemList.map(formatProblem).join("\n");
+  return neverthrow.err({ kind, message, problems: problemList });
 }
 
-function contradictionsOf(settings: Settings): problems.SettingsProblem[] {
+function findContradictions(settings: Settings): problems.SettingsProblem[] {
   return [
-    ...portClashes(settings),
-    ...timingContradictions(settings),
-    ...secretContradictions(settings),
+    ...findPortConflicts(settings),
+    ...findTimingContradictions(settings),
+    ...findSecretContradictions(settings),
   ];
 }
 
-function portClashes(settings: Settings): problems.SettingsProblem[] {
-  const found: problems.SettingsProblem[] = [];
-  const taken = new Map<number, string>();
-  for (const [door, port] of Object.entries(settings.ports)) {
+function findPortConflicts(settings: Settings): problems.SettingsProblem[] {
+  const problemList: problems.SettingsProblem[] = [];
+  const listenersByPort = new Map<number, string>();
+  for (const [listener, port] of Object.entries(settings.ports)) {
     if (port === 0) continue;
-    const other = taken.get(port);
+    const other = listenersByPort.get(port);
     if (other === undefined) {
-      taken.set(port, door);
+      listenersByPort.set(port, listener);
       continue;
     }
-    found.push({
+    problemList.push({
       kind: "port-clash",
-      path: `ports.${door}`,
-      seen: String(port),
+      path: `ports.${listener}`,
+      actual: String(port),
       remedy: `Use a port other than that of "ports.${other}", or 0 for any`,
     });
   }
-  return found;
+  return problemList;
 }
 
 type TimingName = keyof Settings["timings"];
 
 interface TimingRule {
-  /** Field that must be at least `times` times the other one. */
+  /** Field that must be at least `minRatio` times the field `shorter`. */
   readonly longer: TimingName;
   readonly shorter: TimingName;
-  readonly times: number;
-  readonly because: string;
+  readonly minRatio: number;
+  readonly reason: string;
 }
 
 const TIMING_RULES: readonly TimingRule[] = [
   {
     longer: "leaseMs",
     shorter: "renewMs",
-    times: LEAST_RENEWALS,
-    because: "one lost renewal would end a healthy server's lease",
+    minRatio: MIN_RENEWALS,
+    reason: "a single lost renewal would expire a healthy server's lease",
   },
   {
     longer: "evidenceMs",
     shorter: "heartbeatMs",
-    times: LEAST_BEATS,
-    because: "one lost heartbeat would leave a keeper without evidence",
+    minRatio: MIN_HEARTBEATS,
+    reason: "a single lost heartbeat would leave a voter without confirmation",
   },
   {
     longer: "detectMs",
     shorter: "heartbeatMs",
-    times: LEAST_RENEWALS,
-    because: "one lost heartbeat would count a healthy peer as lost",
+    minRatio: MIN_RENEWALS,
+    reason: "a single lost heartbeat would mark a healthy peer as failed",
   },
   {
     longer: "dutyLeaseMs",
     shorter: "dutyRenewMs",
-    times: LEAST_BEATS,
-    because: "one lost reply of the store would end control duty",
+    minRatio: MIN_HEARTBEATS,
+    reason: "a single lost reply from the store would end the leader lease",
   },
 ];
 
-function timingContradictions(settings: Settings): problems.SettingsProblem[] {
-  const found: problems.SettingsProblem[] = [];
+function findTimingContradictions(
+  settings: Settings,
+): problems.SettingsProblem[] {
+  const problemList: problems.SettingsProblem[] = [];
   const timings = settings.timings;
-  for (const { longer, shorter, times, because } of TIMING_RULES) {
-    const least = timings[shorter] * times;
-    if (timings[longer] >= least) continue;
-    found.push({
+  for (const { longer, shorter, minRatio, reason } of TIMING_RULES) {
+    const minMs = timings[shorter] * minRatio;
+    if (timings[longer] >= minMs) continue;
+    problemList.push({
       kind: "contradiction",
       path: `timings.${longer}`,
-      seen: `${timings[longer]} with ${shorter} ${timings[shorter]}`,
-      remedy: `Use at least ${least} or lower "timings.${shorter}": ${because}`,
+      actual: `${timings[longer]} with ${shorter} ${timings[shorter]}`,
+      remedy: `Use at least ${minMs} or lower "timings.${shorter}": ${reason}`,
     });
   }
-  return found;
+  return problemList;
 }
 
-function secretContradictions(settings: Settings): problems.SettingsProblem[] {
-  const hasText = settings.peerSecret !== undefined;
-  const hasFile = settings.peerSecretFile !== undefined;
-  if (hasText !== hasFile) return [];
+function findSecretContradictions(
+  settings: Settings,
+): problems.SettingsProblem[] {
+  const hasSecret = settings.peerSecret !== undefined;
+  const hasSecretFile = settings.peerSecretFile !== undefined;
+  if (hasSecret !== hasSecretFile) return [];
   return [{
-    kind: hasText ? "contradiction" : "missing",
+    kind: hasSecret ? "contradiction" : "missing",
     path: "peerSecret",
-    seen: hasText ? "both peerSecret and peerSecretFile" : "nothing",
-    remedy: 'Give either "peerSecret" (16 characters or more) or ' +
-      '"peerSecretFile", the same secret on every entry VM',
+    actual: hasSecret ? "both peerSecret and peerSecretFile" : "nothing",
+    remedy: 'Set either "peerSecret" (16 characters or more) or ' +
+      '"peerSecretFile", with the same secret on every entry VM',
   }];
 }
--- a/packages/entry/src/settings/load_test.ts
+++ b/packages/entry/src/settings/load_test.ts
@@ -2,20 +2,20 @@
 import { test } from "node:test";
 import * as settings from "./mod.ts";
 
-interface RefusalCase {
+interface RejectionCase {
   readonly name: string;
-  readonly change: (file: ReturnType<typeof example>) => void;
+  readonly change: (file: ReturnType<typeof exampleFile>) => void;
   readonly kind: settings.SettingsProblemKind;
   readonly path: string;
   readonly remedy: RegExp;
 }
 
 // deno-lint-ignore no-explicit-any
-function example(): any {
+function exampleFile(): any {
   return JSON.parse(settings.printDefaults());
 }
 
-const REFUSALS: readonly RefusalCase[] = [
+const REJECTIONS: readonly RejectionCase[] = [
   {
     name: "an unknown field",
     change: (file) => file.colour = "green",
@@ -24,7 +24,7 @@
     remedy: /Remove it; known fields here are vm, zone/,
   },
   {
-    name: "a unit in another name",
+    name: "a field name with another unit",
     change: (file) => file.timings.leaseSeconds = 1.2,
     kind: "wrong-unit",
     path: "timings.leaseSeconds",
@@ -38,7 +38,7 @@
     remedy: /whole number of milliseconds/,
   },
   {
-    name: "seconds in a field of milliseconds",
+    name: "a fractional number of milliseconds",
     change: (file) => file.timings.heartbeatMs = 0.25,
     kind: "wrong-unit",
     path: "timings.heartbeatMs",
@@ -49,31 +49,31 @@
     change: (file) => file.host = "entry-1.example",
     kind: "bad-address",
     path: "host",
-    remedy: /IP number/,
+    remedy: /IP address/,
   },
   {
-    name: "a store address without protocol",
+    name: "a store address without a scheme",
     change: (file) => file.platform.storeUrl = "10.0.0.2:7300",
     kind: "bad-address",
     path: "platform.storeUrl",
-    remedy: /whole URL/,
+    remedy: /full URL/,
   },
   {
-    name: "two doors on one port",
+    name: "two listeners on one port",
     change: (file) => file.ports.peers = file.ports.callers,
     kind: "port-clash",
     path: "ports.peers",
     remedy: /"ports.callers"/,
   },
   {
-    name: "a port beyond the last",
+    name: "a port above 65535",
     change: (file) => file.ports.peers = 70_000,
     kind: "out-of-range",
     path: "ports.peers",
     remedy: /at most 65535/,
   },
   {
-    name: "a lease shorter than its renewals need",
+    name: "a lease too short for its renewals",
     change: (file) => {
       file.timings.renewMs = 300;
       file.timings.leaseMs = 400;
@@ -83,7 +83,7 @@
     remedy: /at least 900/,
   },
   {
-    name: "evidence that ends before the next heartbeat",
+    name: "confirmation that expires before the next heartbeat",
     change: (file) => file.timings.evidenceMs = 300,
     kind: "contradiction",
     path: "timings.evidenceMs",
@@ -97,7 +97,7 @@
     remedy: /Add the field/,
   },
   {
-    name: "no secret for peers",
+    name: "a missing peer secret",
     change: (file) => delete file.peerSecret,
     kind: "missing",
     path: "peerSecret",
@@ -112,16 +112,16 @@
   },
 ];
 
-for (const refusal of REFUSALS) {
-  test(`should refuse ${refusal.name}, with path and remedy`, () => {
-    const file = example();
-    refusal.change(file);
+for (const rejection of REJECTIONS) {
+  test(`should reject ${rejection.name}, with path and remedy`, () => {
+    const file = exampleFile();
+    rejection.change(file);
     const error = settings.loadSettings(JSON.stringify(file))
       ._unsafeUnwrapErr();
     expect(error.problems.map(({ kind, path }) => ({ kind, path })))
-      .toEqual([{ kind: refusal.kind, path: refusal.path }]);
+      .toEqual([{ kind: rejection.kind, path: rejection.path }]);
     expect(error.problems[0]!.remedy).toEqual(
-      expect.regex(refusal.remedy),
+      expect.regex(rejection.remedy),
     );
   });
 }
@@ -131,19 +131,19 @@
   expect(loaded._unsafeUnwrap()).toEqual(settings.defaultSettings());
 });
 
-test("should let ephemeral ports repeat", () => {
-  const file = example();
+test("should allow port 0 for several listeners", () => {
+  const file = exampleFile();
   file.ports = { callers: 0, peers: 0, administration: 0, metrics: 0 };
   expect(settings.loadSettings(JSON.stringify(file)).isOk()).toEqual(true);
 });
 
-test("should say that a file is not JSON", () => {
+test("should report a file that is not JSON", () => {
   const error = settings.loadSettings("{")._unsafeUnwrapErr();
   expect(error.kind).toEqual("not-json");
 });
 
-test("should keep a refused secret out of the message", () => {
-  const file = example();
+test("should not include an invalid secret in the message", () => {
+  const file = exampleFile();
   file.peerSecret = "short";
   const error = settings.loadSettings(JSON.stringify(file))._unsafeUnwrapErr();
   expect(error.message.includes("short")).toEqual(false);
--- a/packages/entry/src/settings/mod.ts
+++ b/packages/entry/src/settings/mod.ts
@@ -1,4 +1,4 @@
-/** Settings of one entry process: schema, defaults, loader. */
+/** Settings of an entry process: schema, defaults, validation, secrets. */
 export * from "./defaults.ts";
 export * from "./load.ts";
 export type { SettingsProblem, SettingsProblemKind } from "./problems.ts";
--- a/packages/entry/src/settings/schema.ts
+++ b/packages/entry/src/settings/schema.ts
@@ -1,17 +1,17 @@
 /**
- * The settings of one entry process, as written in its JSON file. Every
- * number carries its unit in its name: `Ms` milliseconds, `Bytes` bytes.
+ * Schema of the JSON settings file of an entry process. The name of a field with
+ * a unit ends with that unit: `Ms` for milliseconds, `Bytes` for bytes.
  */
 import * as net from "node:net";
 import * as contracts from "@guavatide/contracts";
 import * as z from "zod";
 
-const wholeMs = z.number().int().min(1).max(86_400_000);
+const durationMs = z.number().int().min(1).max(86_400_000);
 const count = z.number().int().min(1).max(1_000_000);
 const sizeBytes = z.number().int().min(256).max(1_073_741_824);
 
-const ipNumber = z.string().refine((text) => net.isIP(text) !== 0, {
-  error: "not an IP number",
+const ipAddress = z.string().refine((text) => net.isIP(text) !== 0, {
+  error: "not an IP address",
   params: { kind: "bad-address" },
 });
 
@@ -26,7 +26,7 @@
   return protocol === "http:" || protocol === "https:";
 }
 
-/** Ports of the doors; 0 lets the system choose one. */
+/** Ports of the listeners; 0 selects any free port. */
 const portsSchema = z.strictObject({
   callers: z.number().int().min(0).max(65_535).default(7400),
   peers: z.number().int().min(0).max(65_535).default(7401),
@@ -39,63 +39,63 @@
   storeUrl: httpUrl,
   /** Base URL of the platform's VM list. */
   vmListUrl: httpUrl,
-  /** Longest time one call to the store may take. */
-  storeTimeoutMs: wholeMs.default(1000),
+  /** Timeout of one call to the store. */
+  storeTimeoutMs: durationMs.default(1000),
 });
 
 const timingsSchema = z.strictObject({
   /**
-   * Between two heartbeats to a peer. Membership counts a peer as suspect
-   * after 750 ms, so a longer interval would suspect peers that are well.
+   * Interval between heartbeats to a peer; at most 250 ms, because membership
+   * suspects a peer after 750 ms and must not suspect healthy ones.
    */
   heartbeatMs: z.number().int().min(20).max(250).default(250),
-  /** How long evidence for an assignment revision is good. */
-  evidenceMs: wholeMs.default(500),
-  /** Length of a server's lease. */
-  leaseMs: wholeMs.default(1000),
-  /** Between two renewals of a server's lease. */
-  renewMs: wholeMs.default(250),
-  /** Silence after which a peer or a server counts as lost. */
-  detectMs: wholeMs.default(1000),
-  /** Largest difference in rate between two clocks, as a fraction. */
+  /** How long the confirmation of an assignment revision stays valid. */
+  evidenceMs: durationMs.default(500),
+  /** Duration of a server's lease. */
+  leaseMs: durationMs.default(1000),
+  /** Interval between renewals of a server's lease. */
+  renewMs: durationMs.default(250),
+  /** Time without a message after which a peer or server counts as failed. */
+  detectMs: durationMs.default(1000),
+  /** Maximum clock rate difference between two machines, as a fraction. */
   clockRateMargin: z.number().min(0).max(0.5).default(0.02),
-  /** Length of the lease of control duty. */
-  dutyLeaseMs: wholeMs.default(6000),
-  /** Between two renewals of control duty. */
-  dutyRenewMs: wholeMs.default(2000),
-  /** Additional wait for servers that do not check who orders them. */
+  /** Duration of the leader lease. */
+  dutyLeaseMs: durationMs.default(6000),
+  /** Interval between renewals of the leader lease. */
+  dutyRenewMs: durationMs.default(2000),
+  /** Additional wait for handovers from servers that don't check fencing tokens. */
   unfencedMoveWaitMs: z.number().int().min(0).max(86_400_000).default(2000),
-  /** How long a VM must be off the list before it counts as gone for good. */
-  vmGoneGraceMs: wholeMs.default(30_000),
-  /** Between two reads of the VM list. */
-  vmListMs: wholeMs.default(1000),
-  /** Between two plans of placement. */
-  planMs: wholeMs.default(1000),
-  /** Longest wait of one long poll of the store's watch. */
-  watchWaitMs: wholeMs.default(10_000),
-  /** Mean time between two draws whether to compare with the store. */
-  configCompareMs: wholeMs.default(4000),
-  /** How long a fresh start listens before it takes a peer's configuration. */
-  configSettleMs: wholeMs.default(1000),
-  /** Longest time a graceful shutdown waits for requests in flight. */
-  drainMs: wholeMs.default(15_000),
+  /** Time off the VM list after which a VM counts as removed for good. */
+  vmGoneGraceMs: durationMs.default(30_000),
+  /** Polling interval of the VM list. */
+  vmListMs: durationMs.default(1000),
+  /** Interval between placement plans. */
+  planMs: durationMs.default(1000),
+  /** Maximum duration of one long poll of the store's watch. */
+  watchWaitMs: durationMs.default(10_000),
+  /** Mean interval between random comparisons of configuration with the store. */
+  configCompareMs: durationMs.default(4000),
+  /** How long a new process listens to peers before it adopts a configuration. */
+  configSettleMs: durationMs.default(1000),
+  /** Maximum time a graceful shutdown waits for requests in flight. */
+  drainMs: durationMs.default(15_000),
 });
 
 const limitsSchema = z.strictObject({
-  /** Largest request body. */
+  /** Maximum size of a request body. */
   bodyBytes: sizeBytes.default(1_048_576),
-  /** Largest sum of a request's headers. */
+  /** Maximum total size of a request's headers. */
   headerBytes: sizeBytes.default(16_384),
-  /** Requests in flight at the callers' door. */
+  /** Maximum number of requests in flight on the callers' listener. */
   requestsInFlight: count.default(2000),
-  /** Open connections at each door. */
+  /** Maximum number of open connections of each listener. */
   connections: count.default(4000),
-  /** Time within which a request's headers must have arrived. */
-  headerTimeoutMs: wholeMs.default(5000),
-  /** Time within which a whole request must have arrived. */
-  requestTimeoutMs: wholeMs.default(15_000),
-  /** Time after which an idle connection is closed. */
-  keepAliveMs: wholeMs.default(30_000),
+  /** Timeout for receiving a request's headers. */
+  headerTimeoutMs: durationMs.default(5000),
+  /** Timeout for receiving a complete request. */
+  requestTimeoutMs: durationMs.default(15_000),
+  /** Idle timeout of a connection. */
+  keepAliveMs: durationMs.default(30_000),
 });
 
 const logSchema = z.strictObject({
@@ -110,16 +110,16 @@
   "publish",
   "drain",
 ]);
-/** What an operator may do. */
+/** Permission of an operator. */
 export type AdministrationRight = z.infer<typeof administrationRightSchema>;
 
 /** Schema of {@link AdministrationToken}. */
 export const administrationTokenSchema = z.strictObject({
-  /** SHA-256 of the bearer token, hexadecimal; the token is kept nowhere. */
+  /** SHA-256 of the bearer token in hexadecimal; the token itself isn't stored. */
   tokenSha256: z.string().regex(/^[0-9a-f]{64}$/),
-  /** Name of the operator in audit lines. */
+  /** Name of the operator in the audit log. */
   operator: z.string().min(1).max(100).regex(/^[A-Za-z0-9._@\-]+$/),
-  /** Partners whose objects the operator may change; "*" means all. */
+  /** Partners whose objects the operator may change; "*" for all. */
   partners: z.union([
     z.literal("*"),
     z.array(contracts.partnerIdSchema).min(1),
@@ -129,49 +129,49 @@
 /** One operator's access to the administration API. */
 export type AdministrationToken = z.infer<typeof administrationTokenSchema>;
 
-const doorTlsSchema = z.strictObject({
+const listenerTlsSchema = z.strictObject({
   /** PEM file with the certificate chain. */
   certFile: z.string().min(1),
   /** PEM file with the private key. */
   keyFile: z.string().min(1),
-  /** PEM file with the authorities that sign the other side. */
+  /** PEM file with the CA certificates that verify the other side. */
   caFile: z.string().min(1).optional(),
 });
-/** Certificate files of one door. */
-export type DoorTls = z.infer<typeof doorTlsSchema>;
+/** Certificate files of one listener. */
+export type ListenerTls = z.infer<typeof listenerTlsSchema>;
 
 const tlsSchema = z.strictObject({
-  callers: doorTlsSchema.optional(),
-  peers: doorTlsSchema.optional(),
-  administration: doorTlsSchema.optional(),
-  metrics: doorTlsSchema.optional(),
+  callers: listenerTlsSchema.optional(),
+  peers: listenerTlsSchema.optional(),
+  administration: listenerTlsSchema.optional(),
+  metrics: listenerTlsSchema.optional(),
 });
 
 /** Schema of {@link Settings}. */
 export const settingsSchema = z.strictObject({
-  /** Name of this VM, as in the platform's VM list. */
+  /** Name of this VM in the platform's VM list. */
   vm: contracts.vmIdSchema,
-  /** Availability zone this VM stands in. */
+  /** Availability zone of this VM. */
   zone: contracts.zoneIdSchema,
   /** Region of that availability zone. */
   region: z.string().min(1).max(100),
-  /** IP number on which every door listens and which peers use. */
-  host: ipNumber,
+  /** IP address of all listeners, and the one that peers connect to. */
+  host: ipAddress,
   ports: portsSchema.prefault({}),
   platform: platformSchema,
   timings: timingsSchema.prefault({}),
   limits: limitsSchema.prefault({}),
   log: logSchema.prefault({}),
-  /** Secret shared by all entry VMs; authenticates their messages. */
+  /** Shared secret with which entry VMs authenticate their messages. */
   peerSecret: z.string().min(16).max(1000).optional(),
-  /** File that holds the secret, instead of `peerSecret`. */
+  /** File with that secret, as an alternative to `peerSecret`. */
   peerSecretFile: z.string().min(1).optional(),
   administration: z.strictObject({
     tokens: z.array(administrationTokenSchema).default([]),
-    /** Audit lines kept in the store, for each entry VM. */
+    /** Number of audit log lines that each entry VM keeps in the store. */
     auditLines: z.number().int().min(10).max(2000).default(500),
   }).prefault({}),
   tls: tlsSchema.prefault({}),
 });
-/** The settings of one entry process. */
+/** The settings of an entry process. */
 export type Settings = z.infer<typeof settingsSchema>;
--- a/packages/entry/src/settings/secrets.ts
+++ b/packages/entry/src/settings/secrets.ts
@@ -1,29 +1,29 @@
-/** Reads the files that settings name. */
+/** Reads the secret and certificate files that the settings refer to. */
 import * as fs from "node:fs";
 import * as neverthrow from "neverthrow";
-import type { DoorTls, Settings } from "./schema.ts";
+import type { ListenerTls, Settings } from "./schema.ts";
 
-/** A file named in the settings could not be used. */
+/** A file that the settings refer to is unusable. */
 export interface SettingsFileError {
   readonly kind: "unreadable" | "too-short";
   readonly message: string;
 }
 
-/** Contents of one door's certificate files. */
-export interface DoorCertificate {
+/** Contents of one listener's certificate files, in PEM format. */
+export interface ListenerCertificate {
   readonly cert: string;
   readonly key: string;
   readonly ca?: string;
 }
 
-/** Certificates by door; a door without one speaks plain HTTP. */
-export type DoorCertificates = {
-  readonly [Door in keyof Settings["tls"]]?: DoorCertificate;
+/** Certificates by listener; a listener without one serves plain HTTP. */
+export type ListenerCertificates = {
+  readonly [Listener in keyof Settings["tls"]]?: ListenerCertificate;
 };
 
-const LEAST_SECRET_CHARACTERS = 16;
+const MIN_SECRET_LENGTH = 16;
 
-/** The secret of the entry VMs. Errors: unreadable file, secret too short. */
+/** Returns the peer secret. Errors: `unreadable` file, `too-short` secret. */
 export function readPeerSecret(
   settings: Settings,
 ): neverthrow.Result<string, SettingsFileError> {
@@ -31,52 +31,57 @@
     return neverthrow.ok(settings.peerSecret);
   }
   const path = settings.peerSecretFile ?? "";
-  return readText(path).andThen((text) => {
+  return readTextFile(path).andThen((text) => {
     const secret = text.trim();
-    if (secret.length >= LEAST_SECRET_CHARACTERS) return neverthrow.ok(secret);
+    if (secret.length >= MIN_SECRET_LENGTH) return neverthrow.ok(secret);
     return neverthrow.err<string, SettingsFileError>({
       kind: "too-short",
-      message: `The secret in "${path}" is short: ` +
-        `use ${LEAST_SECRET_CHARACTERS} characters or more`,
+      message: `The secret in "${path}" is too short: ` +
+        `use ${MIN_SECRET_LENGTH} characters or more`,
     });
   });
 }
 
-/** Certificates of every door that has one. Errors: unreadable file. */
+/** Reads the certificates of all listeners. Errors: `unreadable` file. */
 export function readCertificates(
   settings: Settings,
-): neverthrow.Result<DoorCertificates, SettingsFileError> {
-  const found: { [Door in keyof Settings["tls"]]: DoorCertificate } = {};
-  for (const [door, files] of Object.entries(settings.tls)) {
+): neverthrow.Result<ListenerCertificates, SettingsFileError> {
+  const certificates: {
+    [Listener in keyof Settings["tls"]]: ListenerCertificate;
+  } = {};
+  for (const [listener, files] of Object.entries(settings.tls)) {
     if (files === undefined) continue;
-    const read = readCertificate(files);
-    if (read.isErr()) return neverthrow.err(read.error);
-    found[door as keyof Settings["tls"]] = read.value;
+    const certificate = readCertificate(files);
+    if (certificate.isErr()) return neverthrow.err(certificate.error);
+    certificates[listener as keyof Settings["tls"]] = certificate.value;
   }
-  return neverthrow.ok(found);
+  return neverthrow.ok(certificates);
 }
 
-/** A door's certificate. Errors: unreadable file. */
+/** Reads one listener's certificate. Errors: `unreadable` file. */
 export function readCertificate(
-  files: DoorTls,
-): neverthrow.Result<DoorCertificate, SettingsFileError> {
+  files: ListenerTls,
+): neverthrow.Result<ListenerCertificate, SettingsFileError> {
   return neverthrow.Result.combine([
-    readText(files.certFile),
-    readText(files.keyFile),
+    readTextFile(files.certFile),
+    readTextFile(files.keyFile),
     files.caFile === undefined
       ? neverthrow.ok<string | undefined, SettingsFileError>(undefined)
-      : readText(files.caFile),
+      : readTextFile(files.caFile),
   ]).map(([cert, key, ca]) => ({ cert: cert!, key: key!, ca }));
 }
 
-function readText(path: string): neverthrow.Result<string, SettingsFileError> {
+function readTextFile(
+  path: string,
+): neverthrow.Result<string, SettingsFileError> {
   try {
     return neverthrow.ok(fs.readFileSync(path, "utf8"));
   } catch (error) {
     const reason = error instanceof Error ? error.message : String(error);
     return neverthrow.err({
       kind: "unreadable",
-      message: `Cannot read "${path}" (${reason}): check the path and rights`,
+      message:
+        `Cannot read "${path}" (${reason}): check the path and the file permissions`,
     });
   }
 }
--- a/packages/entry/src/wire.ts
+++ b/packages/entry/src/wire.ts
@@ -73,7 +73,7 @@
 async function start(
   settings: settingsParts.Settings,
   secret: string,
-  tls: settingsParts.DoorCertificates,
+  tls: settingsParts.ListenerCertificates,
 ): Promise<Entry> {
   const base = createBase(settings, secret, tls);
   const { lifeCycle, directory, metrics } = base;
@@ -146,7 +146,7 @@
 interface Base {
   readonly settings: settingsParts.Settings;
   readonly secret: string;
-  readonly tls: settingsParts.DoorCertificates;
+  readonly tls: settingsParts.ListenerCertificates;
   readonly log: logParts.Log;
   readonly lifeCycle: LifeCycle;
   readonly clock: contracts.Clock;
@@ -165,7 +165,7 @@
 function createBase(
   settings: settingsParts.Settings,
   secret: string,
-  tls: settingsParts.DoorCertificates,
+  tls: settingsParts.ListenerCertificates,
 ): Base {
   const log = logParts.createLog(settings.log);
   const lifeCycle = new LifeCycle();
