--- a/packages/entry/src/platform/http_channel.ts
+++ b/packages/entry/src/platform/http_channel.ts
@@ -1,9 +1,9 @@
 /**
- * One HTTP peer of the platform with a deadline on every call. A connection
- * that may have gone silent for good looks open: the only sign is a call that
- * runs out of time. So after a timeout every connection of that moment is
- * retired, and the next call opens a new one. The connection of a call that was
- * given up ends with a reset, so that its bytes leave by then or never.
+ * HTTP client for one server, with a deadline on every call. A connection whose
+ * peer has become unreachable still looks open; a call that times out is the
+ * only sign. So a timeout retires the whole connection pool, and the next call
+ * opens a new connection. The connection of an abandoned call is closed with a
+ * TCP reset, so that no bytes of the call are sent after that.
  */
 import type { CallOptions } from "@guavatide/contracts";
 import { err, ok, type Result, ResultAsync } from "neverthrow";
@@ -13,155 +13,172 @@
 
 const CONNECT_TIMEOUT_MS = 1000;
 const MAX_CONNECTIONS = 16;
-const MAX_ANSWER_BYTES = 64 * 1_048_576;
+const MAX_RESPONSE_BYTES = 64 * 1_048_576;
 
-/** A call over an {@link HttpChannel}. */
-export interface HttpCall {
+/** Request of a call over an {@link HttpChannel}. */
+export interface HttpRequest {
   readonly method: "GET" | "PUT" | "POST" | "DELETE";
   readonly path: string;
   readonly headers?: Readonly<Record<string, string>>;
   readonly body?: string;
-  /** Called right before the bytes leave; false keeps them here. */
+  /**
+   * Called immediately before the request is written to the connection; when it
+   * returns false, the request is not sent and the call fails with "kept".
+   */
   readonly mayLeave?: (() => boolean) | undefined;
 }
 
-/** A whole answer. */
-export interface HttpAnswer {
+/** A complete response. */
+export interface HttpResponse {
   readonly status: number;
   readonly etag: string | undefined;
-  /** Headers by their names in lower case. */
+  /** Headers by lower-case name. */
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
   readonly text: string;
 }
 
 /** Options of {@link HttpChannel}. */
 export interface HttpChannelOptions {
-  /** Connections at once. */
+  /** Maximum number of open connections; 16 by default. */
   readonly connections?: number;
 }
 
-/** Why there is no whole answer. The call may have taken effect unless kept. */
+/**
+ * Why a call has no complete response. The call may have taken effect on the
+ * server, unless the kind is "kept": then it was not sent.
+ */
 export interface HttpCallError {
   readonly kind: "timeout" | "unreachable" | "cancelled" | "kept";
   readonly message: string;
 }
 
-/** Calls to one address; each has its deadline. */
+/** Calls to one server; each has its own deadline. */
 export class HttpChannel {
   readonly #origin: string;
   readonly #basePath: string;
   readonly #options: HttpChannelOptions;
-  #pool: CountedPool;
-  /** Every pool that has not ended: the present one and retired ones. */
-  readonly #pools = new Set<CountedPool>();
+  #pool: RefCountedPool;
+  /** The current pool and the retired pools that still have calls in flight. */
+  readonly #pools = new Set<RefCountedPool>();
 
-  /** Calls go below `baseUrl`, for example `http://127.0.0.1:7000/v1`. */
+  /**
+   * Paths of calls are relative to `baseUrl`, for example
+   * `http://127.0.0.1:7000/v1`. Throws when it is not a URL.
+   */
   constructor(baseUrl: string, options: HttpChannelOptions = {}) {
     const url = new URL(baseUrl);
     this.#options = options;
     this.#origin = url.origin;
     this.#basePath = url.pathname.replace(/\/$/, "");
-    this.#pool = this.#open();
+    this.#pool = this.#openPool();
   }
 
-  /** Sends one call. Errors: {@link HttpCallError}. */
+  /** Sends one request. Errors: {@link HttpCallError}. */
   call(
-    call: HttpCall,
+    request: HttpRequest,
     options: CallOptions,
-  ): ResultAsync<HttpAnswer, HttpCallError> {
-    return new ResultAsync(this.#send(call, options));
+  ): ResultAsync<HttpResponse, HttpCallError> {
+    return new ResultAsync(this.#send(request, options));
   }
 
-  /** Closes every connection. */
+  /** Closes all connections. */
   async close(): Promise<void> {
     await Promise.all([...this.#pools].map(({ pool }) => pool.destroy()));
   }
 
-  #open(): CountedPool {
-    const opened = { pool: openPool(this.#origin, this.#options), calls: 0 };
+  #openPool(): RefCountedPool {
+    const opened = {
+      pool: openPool(this.#origin, this.#options),
+      activeCalls: 0,
+    };
     this.#pools.add(opened);
     return opened;
   }
 
   async #send(
-    call: HttpCall,
+    call: HttpRequest,
     { timeoutMs, signal }: CallOptions,
-  ): Promise<Result<HttpAnswer, HttpCallError>> {
-    const by = this.#pool;
-    by.calls++;
+  ): Promise<Result<HttpResponse, HttpCallError>> {
+    const pool = this.#pool;
+    pool.activeCalls++;
     const exchange = new Exchange(timeoutMs, call.mayLeave);
     const timer = setTimeout(
-      () => exchange.giveUp("timeout"),
+      () => exchange.abort("timeout"),
       Math.max(0, timeoutMs),
     );
-    const onCancel = () => exchange.giveUp("cancelled");
+    const onCancel = () => exchange.abort("cancelled");
     signal?.addEventListener("abort", onCancel);
     if (signal?.aborted) onCancel();
-    else exchange.start(by.pool, { ...call, path: this.#basePath + call.path });
-    const end = await exchange.ended;
+    else exchange.run(pool.pool, { ...call, path: this.#basePath + call.path });
+    const result = await exchange.result;
     clearTimeout(timer);
     signal?.removeEventListener("abort", onCancel);
-    const isTimeout = end.kind === "timeout";
-    if (isTimeout && by === this.#pool) this.#pool = this.#open();
-    by.calls--;
-    this.#endRetired(by);
-    if (end.kind === "answer") return ok(end.answer);
+    const isTimeout = result.kind === "timeout";
+    if (isTimeout && pool === this.#pool) this.#pool = this.#openPool();
+    pool.activeCalls--;
+    this.#closeIfUnused(pool);
+    if (result.kind === "answer") return ok(result.response);
     return err({
-      kind: end.kind,
-      message: this.#describe(call, timeoutMs, end),
+      kind: result.kind,
+      message: this.#describe(call, timeoutMs, result),
     });
   }
 
-  /** Ends an old pool; its other calls are left to their own deadlines. */
-  #endRetired(retired: CountedPool): void {
-    if (retired === this.#pool || retired.calls > 0) return;
+  /** Closes a retired pool once its last call has ended by its own deadline. */
+  #closeIfUnused(retired: RefCountedPool): void {
+    if (retired === this.#pool || retired.activeCalls > 0) return;
     this.#pools.delete(retired);
     retired.pool.destroy().catch(() => {});
   }
 
-  #describe(call: HttpCall, timeoutMs: number, end: FailedEnd): string {
-    const what = `${call.method} ${this.#origin}${this.#basePath}${
-      call.path.split("?")[0]
+  #describe(
+    request: HttpRequest,
+    timeoutMs: number,
+    failure: ExchangeFailure,
+  ): string {
+    const what = `${request.method} ${this.#origin}${this.#basePath}${
+      request.path.split("?")[0]
     }`;
-    switch (end.kind) {
+    switch (failure.kind) {
       case "timeout":
-        return `No answer to "${what}" within ${timeoutMs} ms; check that the address answers, or allow more time`;
+        return `No response to "${what}" within ${timeoutMs} ms; check that the server responds, or increase the timeout`;
       case "cancelled":
-        return `Cancelled "${what}"`;
+        return `Cancelled the request "${what}"`;
       case "kept":
-        return `Kept back "${what}": it was not to leave any more`;
+        return `Did not send "${what}": its sender no longer permits it`;
       case "unreachable":
-        return `Failed "${what}": ${end.reason}; check the address and that the other side runs`;
+        return `Request "${what}" failed: ${failure.reason}; check the address and that the server is running`;
     }
   }
 }
 
-/** A pool with the number of its calls under way. */
-interface CountedPool {
+/** A connection pool with the number of its calls in flight. */
+interface RefCountedPool {
   readonly pool: undici.Pool;
-  calls: number;
+  activeCalls: number;
 }
 
-/** How a call ended without a whole answer. */
-interface FailedEnd {
+/** How a call ended without a complete response. */
+interface ExchangeFailure {
   readonly kind: HttpCallError["kind"];
   readonly reason: string;
 }
 
-type ExchangeEnd =
-  | { readonly kind: "answer"; readonly answer: HttpAnswer }
-  | FailedEnd;
+type ExchangeResult =
+  | { readonly kind: "answer"; readonly response: HttpResponse }
+  | ExchangeFailure;
 
 /**
- * One call and its answer. It ends once: the client library heeds an abort only
- * once its connection is up, and never writes a call that has ended until then.
+ * One request and its response. Its result settles once: undici handles an abort
+ * only after the connection is established, so the result is settled first, and
+ * a request that has already ended by then is never written.
  */
 class Exchange implements undici.Dispatcher.DispatchHandler {
-  readonly ended: Promise<ExchangeEnd>;
+  readonly result: Promise<ExchangeResult>;
   readonly #deadlineMs: number;
   readonly #mayLeave: () => boolean;
-  #settle: (end: ExchangeEnd) => void = () => {};
-  #isOver = false;
+  #resolve: (result: ExchangeResult) => void = () => {};
+  #isEnded = false;
   #controller: undici.Dispatcher.DispatchController | undefined;
   #status = 0;
   #headers: http.IncomingHttpHeaders = {};
@@ -170,25 +187,28 @@
   constructor(timeoutMs: number, mayLeave: () => boolean = () => true) {
     this.#deadlineMs = performance.now() + timeoutMs;
     this.#mayLeave = mayLeave;
-    this.ended = new Promise((resolve) => this.#settle = resolve);
+    this.result = new Promise((resolve) => this.#resolve = resolve);
   }
 
-  start(pool: undici.Pool, { method, path, headers, body }: HttpCall): void {
+  run(
+    pool: undici.Pool,
+    { method, path, headers, body }: HttpRequest,
+  ): void {
     pool.dispatch({ method, path, headers, body }, this);
   }
 
-  /** Ends the call without an answer. */
-  giveUp(kind: FailedEnd["kind"], reason: string = kind): void {
+  /** Ends the exchange without a response. */
+  abort(kind: ExchangeFailure["kind"], reason: string = kind): void {
     this.#end({ kind, reason });
     this.#controller?.abort(new Error(reason));
   }
 
   onRequestStart(controller: undici.Dispatcher.DispatchController): void {
     this.#controller = controller;
-    // A late event loop writes before it runs the timer of the deadline.
-    const isLate = performance.now() >= this.#deadlineMs;
-    if (this.#isOver || isLate) return this.giveUp("timeout");
-    if (!this.#mayLeave()) this.giveUp("kept");
+    // With event loop lag, undici may write before the deadline's timer runs.
+    const isPastDeadline = performance.now() >= this.#deadlineMs;
+    if (this.#isEnded || isPastDeadline) return this.abort("timeout");
+    if (!this.#mayLeave()) this.abort("kept");
   }
 
   onResponseStart(
@@ -209,13 +229,13 @@
 
   onResponseEnd(): void {
     const { etag } = this.#headers;
-    const answer = {
+    const response = {
       status: this.#status,
       etag,
       headers: this.#headers,
       text: Buffer.concat(this.#chunks).toString(),
     };
-    this.#end({ kind: "answer", answer });
+    this.#end({ kind: "answer", response });
   }
 
   onResponseError(
@@ -225,9 +245,9 @@
     this.#end({ kind: "unreachable", reason: String(error) });
   }
 
-  #end(end: ExchangeEnd): void {
-    this.#isOver = true;
-    this.#settle(end);
+  #end(result: ExchangeResult): void {
+    this.#isEnded = true;
+    this.#resolve(result);
   }
 }
 
@@ -239,9 +259,9 @@
     connections,
     pipelining: 1,
     connect: buildResettingConnector({ timeout: CONNECT_TIMEOUT_MS }),
-    // The deadline of each call rules; undici's own would cut long watches.
+    // Each call has its own deadline; undici's would interrupt long polls.
     headersTimeout: 0,
     bodyTimeout: 0,
-    maxResponseSize: MAX_ANSWER_BYTES,
+    maxResponseSize: MAX_RESPONSE_BYTES,
   });
 }
--- a/packages/entry/src/platform/http_channel_test.ts
+++ b/packages/entry/src/platform/http_channel_test.ts
@@ -6,13 +6,13 @@
 import { Worker } from "node:worker_threads";
 import { HttpChannel } from "./http_channel.ts";
 
-const CALL = { method: "POST", path: "/", body: "{}" } as const;
+const REQUEST = { method: "POST", path: "/", body: "{}" } as const;
 const TIMEOUT_MS = 100;
-/** Longer than a call, and much less than an attempt to connect. */
-const SOON_MS = 400;
+/** Longer than the timeout of a call and much shorter than a connect timeout. */
+const MAX_DELAY_MS = 400;
 
-/** Listens and never accepts, since its thread waits for good. */
-const DEAF_LISTENER = `
+/** Listens but never accepts a connection, because its thread is blocked. */
+const BLOCKED_LISTENER = `
   const { parentPort } = require("node:worker_threads");
   const server = require("node:net").createServer();
   server.listen({ port: 0, host: "127.0.0.1", backlog: 1 }, () => {
@@ -20,42 +20,42 @@
     Atomics.wait(new Int32Array(new SharedArrayBuffer(4)), 0, 0);
   });
 `;
-/** More than the queue of a deaf listener takes. */
-const FILLERS = 4;
+/** More connections than the accept queue of that listener holds. */
+const QUEUED_CONNECTIONS = 4;
 
-/** Guards against calls that outlast their deadline by an attempt to connect. */
-test("should end a call by its deadline while its connection is not up", async () => {
-  const worker = new Worker(DEAF_LISTENER, { eval: true });
+/** Guards against calls that exceed their deadline while connecting. */
+test("should end a call at its deadline while it is connecting", async () => {
+  const worker = new Worker(BLOCKED_LISTENER, { eval: true });
   const [port] = await once(worker, "message");
-  const fillers = Array.from(
-    { length: FILLERS },
+  const queued = Array.from(
+    { length: QUEUED_CONNECTIONS },
     () => net.connect(port, "127.0.0.1").on("error", () => {}),
   );
-  await timers.setTimeout(SOON_MS);
+  await timers.setTimeout(MAX_DELAY_MS);
   const channel = new HttpChannel(`http://127.0.0.1:${port}`);
   try {
     const startMs = performance.now();
-    const result = await channel.call(CALL, { timeoutMs: TIMEOUT_MS });
+    const result = await channel.call(REQUEST, { timeoutMs: TIMEOUT_MS });
     expect(result.isErr() && result.error.kind).toEqual("timeout");
-    expect(performance.now() - startMs).toBeLessThan(SOON_MS);
+    expect(performance.now() - startMs).toBeLessThan(MAX_DELAY_MS);
   } finally {
     await channel.close();
-    for (const filler of fillers) filler.destroy();
+    for (const socket of queued) socket.destroy();
     await worker.terminate();
   }
 });
 
-/** Runs a test on a server that takes everything and answers nothing. */
-async function withMuteServer(
+/** Runs a test with a server that reads everything and never responds. */
+async function withUnresponsiveServer(
   run: (
     channel: HttpChannel,
-    seen: { connections: number; bytes: number },
+    received: { connections: number; bytes: number },
   ) => Promise<void>,
 ): Promise<void> {
-  const seen = { connections: 0, bytes: 0 };
+  const received = { connections: 0, bytes: 0 };
   const server = net.createServer((socket) => {
-    seen.connections++;
-    socket.on("data", ({ length }) => seen.bytes += length);
+    received.connections++;
+    socket.on("data", ({ length }) => received.bytes += length);
     socket.on("error", () => {});
   });
   server.listen(0, "127.0.0.1");
@@ -63,41 +63,41 @@
   const { port } = server.address() as net.AddressInfo;
   const channel = new HttpChannel(`http://127.0.0.1:${port}`);
   try {
-    await run(channel, seen);
+    await run(channel, received);
   } finally {
     await channel.close();
     server.close();
   }
 }
 
-/** Guards against a connection that is opened for nothing. */
-test("should not connect anew for a call that was given up", () =>
-  withMuteServer(async (channel, seen) => {
-    const result = await channel.call(CALL, { timeoutMs: TIMEOUT_MS });
+/** Guards against a needless new connection. */
+test("should not reconnect for a call that has timed out", () =>
+  withUnresponsiveServer(async (channel, received) => {
+    const result = await channel.call(REQUEST, { timeoutMs: TIMEOUT_MS });
     expect(result.isErr()).toEqual(true);
-    await timers.setTimeout(SOON_MS);
-    expect(seen.connections).toEqual(1);
-    expect(seen.bytes > 0).toEqual(true);
+    await timers.setTimeout(MAX_DELAY_MS);
+    expect(received.connections).toEqual(1);
+    expect(received.bytes > 0).toEqual(true);
   }));
 
-/** Guards against a grant that leaves long after its evidence was looked at. */
-test("should not write a call whose deadline passed in a late event loop", () =>
-  withMuteServer(async (channel, seen) => {
-    const ended = channel.call(CALL, { timeoutMs: TIMEOUT_MS });
-    const endMs = performance.now() + 2 * TIMEOUT_MS;
-    while (performance.now() < endMs);
-    const result = await ended;
+/** Guards against a grant sent long after its confirmation was checked. */
+test("should not write a call whose deadline passed during event loop lag", () =>
+  withUnresponsiveServer(async (channel, received) => {
+    const pending = channel.call(REQUEST, { timeoutMs: TIMEOUT_MS });
+    const blockUntilMs = performance.now() + 2 * TIMEOUT_MS;
+    while (performance.now() < blockUntilMs);
+    const result = await pending;
     expect(result.isErr() && result.error.kind).toEqual("timeout");
-    await timers.setTimeout(SOON_MS);
-    expect(seen.bytes).toEqual(0);
+    await timers.setTimeout(MAX_DELAY_MS);
+    expect(received.bytes).toEqual(0);
   }));
 
-/** Guards against a grant that leaves although it may not any more. */
-test("should keep a call back that may not leave", () =>
-  withMuteServer(async (channel, seen) => {
-    const call = { ...CALL, mayLeave: () => false };
-    const result = await channel.call(call, { timeoutMs: TIMEOUT_MS });
+/** Guards against sending a grant that is no longer permitted. */
+test("should not send a call that its sender no longer permits", () =>
+  withUnresponsiveServer(async (channel, received) => {
+    const request = { ...REQUEST, mayLeave: () => false };
+    const result = await channel.call(request, { timeoutMs: TIMEOUT_MS });
     expect(result.isErr() && result.error.kind).toEqual("kept");
-    await timers.setTimeout(SOON_MS);
-    expect(seen.bytes).toEqual(0);
+    await timers.setTimeout(MAX_DELAY_MS);
+    expect(received.bytes).toEqual(0);
   }));
--- a/packages/entry/src/platform/http_platform_store.ts
+++ b/packages/entry/src/platform/http_platform_store.ts
@@ -1,14 +1,14 @@
 /**
- * The platform's store over HTTP. Objects lie under `/objects/<name>` with
- * their version as ETag; `/watch` is a long poll. See docs/contracts.md.
+ * Client of the platform's store over HTTP. An object is at `/objects/<name>`
+ * with its version as ETag; `/watch` is a long poll. See docs/contracts.md.
  */
 import * as contracts from "@guavatide/contracts";
 import { err, errAsync, ok, type Result, type ResultAsync } from "neverthrow";
 import * as z from "zod";
 import {
-  type HttpAnswer,
   type HttpCallError,
   HttpChannel,
+  type HttpResponse,
 } from "./http_channel.ts";
 
 const objectSchema = z.object({
@@ -36,12 +36,12 @@
 export class HttpPlatformStore implements contracts.PlatformStore {
   readonly #channel: HttpChannel;
 
-  /** Objects and watch lie below `baseUrl`. */
+  /** The paths of objects and of the watch are relative to `baseUrl`. */
   constructor(baseUrl: string) {
     this.#channel = new HttpChannel(baseUrl);
   }
 
-  /** Closes every connection to the store. */
+  /** Closes all connections to the store. */
   close(): Promise<void> {
     return this.#channel.close();
   }
@@ -50,14 +50,17 @@
     name: string,
     options: contracts.CallOptions,
   ): ResultAsync<contracts.StoredObject, contracts.StoreError> {
-    return this.#channel.call({ method: "GET", path: pathOf(name) }, options)
-      .mapErr(toUnavailable)
-      .andThen((answer) => {
-        if (answer.status !== 200) return err(toStoreError(answer, name));
-        return versionOf(answer).map((version) => ({
+    return this.#channel.call(
+      { method: "GET", path: objectPath(name) },
+      options,
+    )
+      .mapErr(toUnavailableError)
+      .andThen((response) => {
+        if (response.status !== 200) return err(toStoreError(response, name));
+        return parseVersion(response).map((version) => ({
           name,
           version,
-          value: answer.text,
+          value: response.text,
         }));
       });
   }
@@ -71,10 +74,10 @@
   > {
     const path = `/objects?${new URLSearchParams({ prefix })}`;
     return this.#channel.call({ method: "GET", path }, options)
-      .mapErr(toUnavailable)
-      .andThen((answer) => {
-        if (answer.status !== 200) return err(toStoreError(answer, prefix));
-        return parse(answer, listSchema);
+      .mapErr(toUnavailableError)
+      .andThen((response) => {
+        if (response.status !== 200) return err(toStoreError(response, prefix));
+        return parseResponse(response, listSchema);
       });
   }
 
@@ -87,7 +90,7 @@
   ): ResultAsync<string, contracts.StoreError> {
     const sizeBytes = Buffer.byteLength(value);
     if (sizeBytes > contracts.STORE_VALUE_LIMIT_BYTES) {
-      return errAsync(tooLarge(name, sizeBytes));
+      return errAsync(tooLargeError(name, sizeBytes));
     }
     const headers = {
       "content-type": "application/json",
@@ -95,16 +98,16 @@
     };
     const call = {
       method: "PUT",
-      path: pathOf(name),
+      path: objectPath(name),
       headers,
       body: value,
     } as const;
     return this.#channel.call(call, options)
-      .mapErr(toUnavailable)
-      .andThen((answer) =>
-        answer.status === 200
-          ? versionOf(answer)
-          : err(toStoreError(answer, name))
+      .mapErr(toUnavailableError)
+      .andThen((response) =>
+        response.status === 200
+          ? parseVersion(response)
+          : err(toStoreError(response, name))
       );
   }
 
@@ -115,11 +118,13 @@
     },
   ): ResultAsync<void, contracts.StoreError> {
     const headers = conditionHeaders(options.condition);
-    const call = { method: "DELETE", path: pathOf(name), headers } as const;
+    const call = { method: "DELETE", path: objectPath(name), headers } as const;
     return this.#channel.call(call, options)
-      .mapErr(toUnavailable)
-      .andThen((answer) =>
-        answer.status === 204 ? ok(undefined) : err(toStoreError(answer, name))
+      .mapErr(toUnavailableError)
+      .andThen((response) =>
+        response.status === 204
+          ? ok(undefined)
+          : err(toStoreError(response, name))
       );
   }
 
@@ -139,15 +144,15 @@
       timeoutMs: options.timeoutMs,
       signal: options.signal,
     })
-      .mapErr(toUnavailable)
-      .andThen((answer) => {
-        if (answer.status !== 200) return err(toStoreError(answer, prefix));
-        return parse(answer, watchSchema);
+      .mapErr(toUnavailableError)
+      .andThen((response) => {
+        if (response.status !== 200) return err(toStoreError(response, prefix));
+        return parseResponse(response, watchSchema);
       });
   }
 }
 
-function pathOf(name: string): string {
+function objectPath(name: string): string {
   return `/objects/${encodeURIComponent(name)}`;
 }
 
@@ -164,50 +169,53 @@
   }
 }
 
-function versionOf(
-  answer: HttpAnswer,
+function parseVersion(
+  response: HttpResponse,
 ): Result<string, contracts.StoreError> {
-  const match = /^"(.*)"$/.exec(answer.etag ?? "");
+  const match = /^"(.*)"$/.exec(response.etag ?? "");
   if (match?.[1] === undefined) {
     return err({
       kind: "unavailable",
-      message: "The store's answer has no ETag; check the store's address",
+      message: "The store's response has no ETag; check the store's address",
     });
   }
   return ok(match[1]);
 }
 
-function parse<T>(
-  answer: HttpAnswer,
+function parseResponse<T>(
+  response: HttpResponse,
   schema: z.ZodType<T>,
 ): Result<T, contracts.StoreError> {
   try {
-    return ok(schema.parse(JSON.parse(answer.text)));
+    return ok(schema.parse(JSON.parse(response.text)));
   } catch (error) {
     return err({
       kind: "unavailable",
-      message: `The store's answer has another form: ${
+      message: `The store's response is malformed: ${
         String(error)
       }; check the store's address`,
     });
   }
 }
 
-function toUnavailable(error: HttpCallError): contracts.StoreError {
+function toUnavailableError(error: HttpCallError): contracts.StoreError {
   return { kind: "unavailable", message: error.message };
 }
 
-function tooLarge(name: string, sizeBytes: number): contracts.StoreError {
+function tooLargeError(name: string, sizeBytes: number): contracts.StoreError {
   const limit = contracts.STORE_VALUE_LIMIT_BYTES;
   return {
     kind: "refused",
     message:
-      `Value of "${name}" has ${sizeBytes} bytes and the store holds ${limit}; split it`,
+      `Value of "${name}" has ${sizeBytes} bytes, more than the store's limit of ${limit}; split it`,
   };
 }
 
-function toStoreError(answer: HttpAnswer, name: string): contracts.StoreError {
-  switch (answer.status) {
+function toStoreError(
+  response: HttpResponse,
+  name: string,
+): contracts.StoreError {
+  switch (response.status) {
     case 404:
       return {
         kind: "not-found",
@@ -216,14 +224,18 @@
     case 412:
       return {
         kind: "conflict",
-        message: `"${name}" has another version; read it and try again`,
+        message: `The version of "${name}" has changed; read it and try again`,
       };
     default:
       break;
   }
-  const message = `The store answered ${answer.status} for "${name}"`;
-  // A 5xx may come from a write that took effect; a 4xx can't.
-  return answer.status >= 500
-    ? { kind: "unavailable", message: `${message}; read back before a retry` }
-    : { kind: "refused", message: `${message}: ${answer.text}` };
+  const message =
+    `The store responded with status ${response.status} for "${name}"`;
+  // After a 5xx the write may have taken effect; after a 4xx it has not.
+  return response.status >= 500
+    ? {
+      kind: "unavailable",
+      message: `${message}; read the object back before a retry`,
+    }
+    : { kind: "refused", message: `${message}: ${response.text}` };
 }
--- a/packages/entry/src/platform/http_vm_list.ts
+++ b/packages/entry/src/platform/http_vm_list.ts
@@ -1,21 +1,21 @@
-/** The platform's VM list over HTTP: `GET /vms`. */
+/** Client of the platform's VM list over HTTP: `GET /vms`. */
 import * as contracts from "@guavatide/contracts";
 import { err, ok, type Result, type ResultAsync } from "neverthrow";
-import { type HttpAnswer, HttpChannel } from "./http_channel.ts";
+import { HttpChannel, type HttpResponse } from "./http_channel.ts";
 
 /** {@link contracts.VmList} over HTTP. */
 export class HttpVmList implements contracts.VmList {
   readonly #channel: HttpChannel;
   readonly #path: string;
 
-  /** `listUrl` is the URL of the list itself; `/vms` if it has no path. */
+  /** `listUrl` is the URL of the list; its path defaults to `/vms`. */
   constructor(listUrl: string) {
     const url = new URL(listUrl);
     this.#path = url.pathname === "/" ? "/vms" : url.pathname;
     this.#channel = new HttpChannel(url.origin);
   }
 
-  /** Closes every connection to the list. */
+  /** Closes all connections to the VM list. */
   close(): Promise<void> {
     return this.#channel.close();
   }
@@ -24,30 +24,34 @@
     options: contracts.CallOptions,
   ): ResultAsync<contracts.VmListSnapshot, contracts.VmListError> {
     return this.#channel.call({ method: "GET", path: this.#path }, options)
-      .mapErr((error) => unavailable(error.message))
+      .mapErr((error) => unavailableError(error.message))
       .andThen(parseSnapshot);
   }
 }
 
 function parseSnapshot(
-  answer: HttpAnswer,
+  response: HttpResponse,
 ): Result<contracts.VmListSnapshot, contracts.VmListError> {
-  if (answer.status !== 200) {
+  if (response.status !== 200) {
     return err(
-      unavailable(`The VM list answered ${answer.status}; try again later`),
+      unavailableError(
+        `The VM list responded with status ${response.status}; try again later`,
+      ),
     );
   }
   try {
-    return ok(contracts.vmListSnapshotSchema.parse(JSON.parse(answer.text)));
+    return ok(contracts.vmListSnapshotSchema.parse(JSON.parse(response.text)));
   } catch (error) {
     return err(
-      unavailable(
-        `The VM list has another form: ${String(error)}; check its address`,
+      unavailableError(
+        `The VM list's response is malformed: ${
+          String(error)
+        }; check its address`,
       ),
     );
   }
 }
 
-function unavailable(message: string): contracts.VmListError {
+function unavailableError(message: string): contracts.VmListError {
   return { kind: "unavailable", message };
 }
