--- a/packages/entry/src/administration/administration.ts
+++ b/packages/entry/src/administration/administration.ts
@@ -8,7 +8,7 @@
 import type { Settings } from "../settings/mod.ts";
 import type { ServerTls } from "../utils/http_server.ts";
 import type { LifeCycle } from "../utils/life_cycle.ts";
-import type { PartLog } from "../utils/log.ts";
+import type { Logger } from "../utils/log.ts";
 import { AdministrationDoor } from "./administration_door.ts";
 import type { OwnershipReport } from "./api_context.ts";
 import { AUDIT_PREFIX, auditLineSchema } from "./journal_lines.ts";
@@ -20,7 +20,7 @@
   readonly settings: Settings;
   readonly store: contracts.PlatformStore;
   readonly clock: contracts.Clock;
-  readonly log: PartLog;
+  readonly log: Logger;
   readonly config: configuration.ConfigTask;
   readonly servers: ServerView;
   readonly owners: OwnerView;
--- a/packages/entry/src/administration/api_context.ts
+++ b/packages/entry/src/administration/api_context.ts
@@ -4,7 +4,7 @@
 import * as crypto from "node:crypto";
 import type * as configuration from "../configuration/mod.ts";
 import type { OwnerView, ServerView } from "../contracts/views.ts";
-import type { PartLog } from "../utils/log.ts";
+import type { Logger } from "../utils/log.ts";
 import type { Operator } from "./access.ts";
 import type { AuditLine, MoveLine } from "./journal_lines.ts";
 import type { StoreJournal } from "./store_journal.ts";
@@ -28,7 +28,7 @@
 /** The parts behind the API. */
 export interface ApiParts {
   readonly vm: contracts.VmId;
-  readonly log: PartLog;
+  readonly log: Logger;
   readonly drafts: configuration.DraftStore;
   readonly publisher: configuration.Publisher;
   readonly config: configuration.ConfigTask;
--- a/packages/entry/src/administration/store_journal.ts
+++ b/packages/entry/src/administration/store_journal.ts
@@ -9,7 +9,7 @@
 import * as z from "zod";
 import * as storeWrite from "../configuration/store_write.ts";
 import type { LifeCycle } from "../utils/life_cycle.ts";
-import type { PartLog } from "../utils/log.ts";
+import type { Logger } from "../utils/log.ts";
 
 /** What every line has. */
 export interface JournalLine {
@@ -24,7 +24,7 @@
   readonly vm: contracts.VmId;
   readonly store: contracts.PlatformStore;
   readonly clock: contracts.Clock;
-  readonly log: PartLog;
+  readonly log: Logger;
   /** Start of the names of all slots, such as `audit/`. */
   readonly prefix: string;
   readonly schema: z.ZodType<Line>;
--- a/packages/entry/src/configuration/config_task.ts
+++ b/packages/entry/src/configuration/config_task.ts
@@ -9,7 +9,7 @@
 import * as decisions from "@guavatide/decisions";
 import type { ConfigView } from "../contracts/views.ts";
 import type { LifeCycle } from "../utils/life_cycle.ts";
-import type { PartLog } from "../utils/log.ts";
+import type { Logger } from "../utils/log.ts";
 import { ConfigReader } from "./config_reader.ts";
 import type { ReadConfigError } from "./current_config.ts";
 import type {
@@ -26,7 +26,7 @@
   readonly choice: decisions.WatcherSelector;
   readonly clock: contracts.Clock;
   readonly random: contracts.RandomSource;
-  readonly log: PartLog;
+  readonly log: Logger;
   /** Longest wait of one long poll of the store's watch. */
   readonly watchWaitMs: number;
   /** Mean time between two draws whether to compare with the store. */
--- a/packages/entry/src/configuration/store_watch.ts
+++ b/packages/entry/src/configuration/store_watch.ts
@@ -4,14 +4,14 @@
  */
 import type * as contracts from "@guavatide/contracts";
 import * as timers from "node:timers/promises";
-import type { PartLog } from "../utils/log.ts";
+import type { Logger } from "../utils/log.ts";
 import * as currentConfig from "./current_config.ts";
 
 /** Options of {@link StoreWatch}. */
 export interface StoreWatchOptions {
   readonly store: contracts.PlatformStore;
   readonly random: contracts.RandomSource;
-  readonly log: PartLog;
+  readonly log: Logger;
   /** Whether this VM is among those that watch, asked before each poll. */
   readonly isChosen: () => boolean;
   /** Takes the object as it stands now. */
--- a/packages/entry/src/gateway/grant_sender.ts
+++ b/packages/entry/src/gateway/grant_sender.ts
@@ -6,7 +6,7 @@
 import type * as contracts from "@guavatide/contracts";
 import type * as grants from "@guavatide/decisions/grants/mod";
 import { SystemRandom } from "../utils/clock.ts";
-import type { PartLog } from "../utils/log.ts";
+import type { Logger } from "../utils/log.ts";
 
 /** Options of {@link GrantSender}. */
 export interface GrantSenderOptions {
@@ -15,7 +15,7 @@
   readonly clock: contracts.Clock;
   /** Default: the system's random source. */
   readonly random?: contracts.RandomSource;
-  readonly log: PartLog;
+  readonly log: Logger;
   /**
    * Finds the server of an owner, also while it is draining; undefined when it
    * is unknown.
--- a/packages/entry/src/gateway/move_planner.ts
+++ b/packages/entry/src/gateway/move_planner.ts
@@ -3,14 +3,14 @@
  */
 import type * as contracts from "@guavatide/contracts";
 import * as grants from "@guavatide/decisions/grants/mod";
-import type { PartLog } from "../utils/log.ts";
+import type { Logger } from "../utils/log.ts";
 import type { KeyCounts } from "./peer_messages.ts";
 
 /** Options of {@link MovePlanner}. */
 export interface MovePlannerOptions {
   readonly service: contracts.ServiceId;
   readonly clock: contracts.Clock;
-  readonly log: PartLog;
+  readonly log: Logger;
   /**
    * Capacity of a server in requests per second; `factor` is how much longer
    * than average it takes, if other VMs have measured that.
--- a/packages/entry/src/gateway/range_map_store.ts
+++ b/packages/entry/src/gateway/range_map_store.ts
@@ -1,14 +1,14 @@
 /** Range maps in the platform's store, as one object for each service. */
 import * as contracts from "@guavatide/contracts";
 import type * as grants from "@guavatide/decisions/grants/mod";
-import type { PartLog } from "../utils/log.ts";
+import type { Logger } from "../utils/log.ts";
 import type { StoreHealth } from "./store_health.ts";
 
 /** Options of {@link RangeMapStore}. */
 export interface RangeMapStoreOptions {
   readonly store: contracts.PlatformStore;
   readonly health: StoreHealth;
-  readonly log: PartLog;
+  readonly log: Logger;
 }
 
 /** Options of {@link RangeMapStore.read}. */
--- a/packages/entry/src/gateway/slot_task.ts
+++ b/packages/entry/src/gateway/slot_task.ts
@@ -6,9 +6,9 @@
 import * as admission from "@guavatide/decisions/admission/mod";
 import * as grants from "@guavatide/decisions/grants/mod";
 import type * as ownership from "@guavatide/decisions/ownership/mod";
-import type { LifeCycle, RegularWork } from "../utils/life_cycle.ts";
-import { OncePerTurn } from "../utils/once_per_turn.ts";
-import type { PartLog } from "../utils/log.ts";
+import type { LifeCycle, PeriodicTask } from "../utils/life_cycle.ts";
+import { CoalescedCallback } from "../utils/once_per_turn.ts";
+import type { Logger } from "../utils/log.ts";
 import type { ColdStartLimits } from "./cold_start_limits.ts";
 import type { PeerGossip } from "./peer_gossip.ts";
 import * as messages from "./peer_messages.ts";
@@ -23,7 +23,7 @@
   readonly hasher: ownership.KeyHasher;
   readonly clock: contracts.Clock;
   readonly random: contracts.RandomSource;
-  readonly log: PartLog;
+  readonly log: Logger;
   readonly isLeaving: () => boolean;
   readonly coldStarts: ColdStartLimits;
 }
@@ -51,9 +51,9 @@
   /** Replies of this VM's coordinator that are not sent yet. */
   readonly #replies = new Map<contracts.VmId, admission.SlotReply[]>();
   readonly #consumers = new Map<admission.WaitingRequest, SlotConsumer>();
-  #tickWork: RegularWork | undefined;
+  #tickWork: PeriodicTask | undefined;
   /** Changes in one event loop iteration are sent together. */
-  readonly #flushing = new OncePerTurn(() => this.#flush());
+  readonly #flushing = new CoalescedCallback(() => this.#flush());
 
   constructor(options: SlotTaskOptions) {
     this.#options = options;
--- a/packages/entry/src/gateway/watch_relay.ts
+++ b/packages/entry/src/gateway/watch_relay.ts
@@ -8,7 +8,7 @@
 import * as grants from "@guavatide/decisions/grants/mod";
 import type * as ownership from "@guavatide/decisions/ownership/mod";
 import type { LifeCycle } from "../utils/life_cycle.ts";
-import type { PartLog } from "../utils/log.ts";
+import type { Logger } from "../utils/log.ts";
 import type { ObjectChange } from "./object_table.ts";
 import type { PeerRpc } from "./peer_rpc.ts";
 import { encodeMessage } from "./peer_codec.ts";
@@ -24,7 +24,7 @@
   readonly health: StoreHealth;
   readonly hasher: ownership.KeyHasher;
   readonly clock: contracts.Clock;
-  readonly log: PartLog;
+  readonly log: Logger;
   /** Whether this VM is a seed: other VMs contact it first when they join. */
   readonly isSeed: boolean;
   readonly isLeaving: () => boolean;
--- a/packages/entry/src/ownership/duty_task.ts
+++ b/packages/entry/src/ownership/duty_task.ts
@@ -1,12 +1,12 @@
 /** Keeps, takes over and hands back the duty lease of one service. */
 import * as ownership from "@guavatide/decisions/ownership/mod";
-import type { PartLog } from "../utils/log.ts";
+import type { Logger } from "../utils/log.ts";
 import type { ServiceContext } from "./service_context.ts";
 
 /** Part of one VM in the duty of planning one service's moves. */
 export class DutyTask {
   readonly #context: ServiceContext;
-  readonly #log: PartLog;
+  readonly #log: Logger;
   readonly #lease: ownership.LeaderLease;
   readonly #name: string;
   #wasHolding = false;
--- a/packages/entry/src/ownership/known_assignment.ts
+++ b/packages/entry/src/ownership/known_assignment.ts
@@ -4,21 +4,21 @@
  */
 import type * as contracts from "@guavatide/contracts";
 import * as ownership from "@guavatide/decisions/ownership/mod";
-import type { PartLog } from "../utils/log.ts";
+import type { Logger } from "../utils/log.ts";
 
 /** Options of {@link KnownAssignment}. */
 export interface KnownAssignmentOptions {
   readonly vm: contracts.VmId;
   readonly service: contracts.ServiceId;
   readonly settings: ownership.OwnershipSettings;
-  readonly log: PartLog;
+  readonly log: Logger;
 }
 
 /** One service's assignment as known here; its revision never falls. */
 export class KnownAssignment {
   readonly service: contracts.ServiceId;
   readonly #book: ownership.AssignmentTracker;
-  readonly #log: PartLog;
+  readonly #log: Logger;
   readonly #listeners = new Set<() => void>();
   #slices: ownership.SliceMap | undefined;
   #keepers: readonly contracts.VmId[] = [];
--- a/packages/entry/src/ownership/move_task.ts
+++ b/packages/entry/src/ownership/move_task.ts
@@ -6,7 +6,7 @@
 import * as contracts from "@guavatide/contracts";
 import * as ownership from "@guavatide/decisions/ownership/mod";
 import * as placement from "@guavatide/decisions/placement/mod";
-import type { PartLog } from "../utils/log.ts";
+import type { Logger } from "../utils/log.ts";
 import { KeeperReview } from "./keeper_review.ts";
 import type { OrderTask } from "./order_task.ts";
 import type { ServiceContext, TimedReceipt } from "./service_context.ts";
@@ -50,7 +50,7 @@
 export class MoveTask {
   readonly #context: ServiceContext;
   readonly #options: MoveTaskOptions;
-  readonly #log: PartLog;
+  readonly #log: Logger;
   readonly #mover: ownership.AssignmentController;
   readonly #keepers: KeeperReview;
   #planner: placement.Planner | undefined;
--- a/packages/entry/src/ownership/order_task.ts
+++ b/packages/entry/src/ownership/order_task.ts
@@ -6,7 +6,7 @@
 import type * as contracts from "@guavatide/contracts";
 import * as ownership from "@guavatide/decisions/ownership/mod";
 import type { ServerAddress } from "../contracts/views.ts";
-import type { PartLog } from "../utils/log.ts";
+import type { Logger } from "../utils/log.ts";
 import type { ServerControl, ServiceContext } from "./service_context.ts";
 
 /** Time a server has to answer an order; a later answer is of no use. */
@@ -36,7 +36,7 @@
 /** Owns the control links to one service's servers. */
 export class OrderTask {
   readonly #context: ServiceContext;
-  readonly #log: PartLog;
+  readonly #log: Logger;
   readonly #book: ownership.LeaseCommandScheduler;
   readonly #detector: ownership.FailureDetector;
   readonly #contacts = new Map<contracts.ServerId, Contact>();
--- a/packages/entry/src/ownership/service_context.ts
+++ b/packages/entry/src/ownership/service_context.ts
@@ -2,7 +2,7 @@
 import type * as contracts from "@guavatide/contracts";
 import type * as ownership from "@guavatide/decisions/ownership/mod";
 import type { ServerAddress, ServerView } from "../contracts/views.ts";
-import type { Log } from "../utils/log.ts";
+import type { LoggerFactory } from "../utils/log.ts";
 import type { AssignmentStore } from "./assignment_store.ts";
 import type { KnownAssignment } from "./known_assignment.ts";
 
@@ -72,7 +72,7 @@
   readonly clock: contracts.Clock;
   readonly random: contracts.RandomSource;
   readonly hasher: ownership.KeyHasher;
-  readonly log: Log;
+  readonly log: LoggerFactory;
   readonly store: contracts.PlatformStore;
   readonly assignments: AssignmentStore;
   readonly known: KnownAssignment;
--- a/packages/entry/src/requests/dispatched_allocator.ts
+++ b/packages/entry/src/requests/dispatched_allocator.ts
@@ -6,8 +6,8 @@
 import type * as contracts from "@guavatide/contracts";
 import * as routing from "@guavatide/decisions/routing/mod";
 import type { ServerView } from "../contracts/views.ts";
-import type { PartLog } from "../utils/log.ts";
-import { OncePerTurn } from "../utils/once_per_turn.ts";
+import type { Logger } from "../utils/log.ts";
+import { CoalescedCallback } from "../utils/once_per_turn.ts";
 import type { PeerCalls } from "./peer_calls.ts";
 import type { Slot, SlotAllocator, SlotWish } from "./slot_allocator.ts";
 import type { SlotDispatcher } from "./slot_dispatcher.ts";
@@ -24,7 +24,7 @@
   readonly servers: ServerView;
   readonly clock: contracts.Clock;
   readonly hash: (text: string) => number;
-  readonly log: PartLog;
+  readonly log: Logger;
 }
 
 /** Time the dispatcher has to answer an update. */
@@ -58,7 +58,7 @@
   #updatesInFlight = 0;
   #nextWish = 1;
   /** What changes in one turn of the event loop leaves together. */
-  readonly #flushing = new OncePerTurn(() => this.#flush());
+  readonly #flushing = new CoalescedCallback(() => this.#flush());
   #service: contracts.Service;
 
   constructor(options: DispatchedAllocatorOptions) {
--- a/packages/entry/src/requests/request_router.ts
+++ b/packages/entry/src/requests/request_router.ts
@@ -9,7 +9,7 @@
 } from "../contracts/views.ts";
 import type { ConnectionPools } from "../links/connection_pools.ts";
 import type { LifeCycle } from "../utils/life_cycle.ts";
-import type { Log, PartLog } from "../utils/log.ts";
+import type { Logger, LoggerFactory } from "../utils/log.ts";
 import {
   type CallerAnswer,
   type CallerRequest,
@@ -38,7 +38,7 @@
   readonly entryVmCount: () => number;
   readonly clock: contracts.Clock;
   readonly random: contracts.RandomSource;
-  readonly log: Log;
+  readonly log: LoggerFactory;
   readonly lifeCycle: LifeCycle;
   readonly metrics: RequestMetrics;
   readonly longestTimeoutMs: number;
@@ -70,7 +70,7 @@
 /** The request path of one entry VM. */
 export class RequestRouter {
   readonly #options: RequestRouterOptions;
-  readonly #log: PartLog;
+  readonly #log: Logger;
   readonly #limits = new routing.CallerLimits();
   readonly #services = new Map<contracts.ServiceId, ServiceEntry>();
   readonly #dispatcher: SlotDispatcher | undefined;
--- a/packages/entry/src/requests/server_watch.ts
+++ b/packages/entry/src/requests/server_watch.ts
@@ -5,7 +5,7 @@
 import type * as contracts from "@guavatide/contracts";
 import * as routing from "@guavatide/decisions/routing/mod";
 import type { ServerAddress, ServerView } from "../contracts/views.ts";
-import type { PartLog } from "../utils/log.ts";
+import type { Logger } from "../utils/log.ts";
 import type { Slot } from "./slot_allocator.ts";
 
 /** Options of {@link ServerWatch}, given by whoever makes the allocator. */
@@ -13,7 +13,7 @@
   readonly service: contracts.Service;
   readonly servers: ServerView;
   readonly clock: contracts.Clock;
-  readonly log: PartLog;
+  readonly log: Logger;
   /** Requests given to one server beyond its slots. */
   readonly extraRequests: number;
   /** Whether a server that fails or falls silent may be put out of use. */
--- a/packages/entry/src/requests/service_parts.ts
+++ b/packages/entry/src/requests/service_parts.ts
@@ -3,7 +3,7 @@
 import type * as routing from "@guavatide/decisions/routing/mod";
 import type { OwnerView, ServerAddress } from "../contracts/views.ts";
 import type { ConnectionPool } from "../links/connection_pool.ts";
-import type { PartLog } from "../utils/log.ts";
+import type { Logger } from "../utils/log.ts";
 import type { RequestMetrics } from "./request_metrics.ts";
 import type { SlotAllocator } from "./slot_allocator.ts";
 
@@ -16,7 +16,7 @@
   readonly budget: routing.RetryBudget;
   readonly owners: OwnerView;
   readonly clock: contracts.Clock;
-  readonly log: PartLog;
+  readonly log: Logger;
   readonly metrics: RequestMetrics;
   /** Time a request of unknown fate stays counted as forwarded. */
   readonly unknownHoldMs: number;
--- a/packages/entry/src/requests/slot_dispatcher.ts
+++ b/packages/entry/src/requests/slot_dispatcher.ts
@@ -9,7 +9,7 @@
  */
 import type * as contracts from "@guavatide/contracts";
 import type * as routing from "@guavatide/decisions/routing/mod";
-import { OncePerTurn } from "../utils/once_per_turn.ts";
+import { CoalescedCallback } from "../utils/once_per_turn.ts";
 import type { PeerCalls } from "./peer_calls.ts";
 import type { Slot, SlotAllocator, SlotWish } from "./slot_allocator.ts";
 import * as messages from "./slot_messages.ts";
@@ -101,7 +101,7 @@
   /** Decisions not yet sent, by entry VM. */
   readonly #outbox = new Map<contracts.VmId, messages.SlotDecision[]>();
   #nextGrant = 1;
-  readonly #flushing = new OncePerTurn(() => this.#flush());
+  readonly #flushing = new CoalescedCallback(() => this.#flush());
 
   constructor(
     id: contracts.ServiceId,
--- a/packages/entry/src/utils/clock.ts
+++ b/packages/entry/src/utils/clock.ts
@@ -1,48 +1,52 @@
-/** The process's monotonic clock and its random numbers. */
+/** Monotonic clocks and the random source of the process. */
 import type { Clock, RandomSource } from "@guavatide/contracts";
 
-/** CLOCK_MONOTONIC through Node; it keeps counting while stopped. */
+/**
+ * CLOCK_MONOTONIC as Node exposes it. It advances while the process is stopped,
+ * but not while the machine is suspended.
+ */
 export class MonotonicClock implements Clock {
   nowMs(): number {
     return performance.now();
   }
 }
 
-/** Math.random, which need not be replayed outside of tests. */
+/** Math.random: only tests need a seeded, reproducible source. */
 export class SystemRandom implements RandomSource {
   next(): number {
     return Math.random();
   }
 }
 
-/** A jump of the time of day beyond this is taken for a suspension. */
-const SUSPENSION_MS = 80;
+/** A wall-clock jump larger than this counts as a suspension of the machine. */
+const MIN_SUSPENSION_MS = 80;
 
 /**
- * Counts time during which the machine was suspended, which CLOCK_MONOTONIC
- * leaves out. Without it evidence and leases would look fresh after a wake,
- * and a woken VM would renew what others have given away meanwhile. A step of
- * the time of day ahead looks the same and only makes evidence old.
+ * A monotonic clock that includes time spent suspended, which CLOCK_MONOTONIC
+ * excludes. Without that time, confirmations and leases would look fresh after a
+ * resume, and the VM would renew ranges that have been granted to other servers
+ * in the meantime. A forward step of the wall clock looks like a suspension; its
+ * only effect is that confirmations age.
  */
-export class SuspensionClock implements Clock {
+export class SuspendAwareClock implements Clock {
   #offsetMs = Date.now() - performance.now();
   #suspendedMs = 0;
   #suspensions = 0;
 
-  /** How often a suspension was noticed. */
+  /** Number of suspensions detected so far. */
   get suspensions(): number {
     return this.#suspensions;
   }
 
   nowMs(): number {
-    const steadyMs = performance.now();
-    const offsetMs = Date.now() - steadyMs;
+    const monotonicMs = performance.now();
+    const offsetMs = Date.now() - monotonicMs;
     const jumpMs = offsetMs - this.#offsetMs;
-    if (jumpMs > SUSPENSION_MS) {
+    if (jumpMs > MIN_SUSPENSION_MS) {
       this.#suspendedMs += jumpMs;
       this.#suspensions++;
     }
-    if (Math.abs(jumpMs) > SUSPENSION_MS) this.#offsetMs = offsetMs;
-    return steadyMs + this.#suspendedMs;
+    if (Math.abs(jumpMs) > MIN_SUSPENSION_MS) this.#offsetMs = offsetMs;
+    return monotonicMs + this.#suspendedMs;
   }
 }
--- a/packages/entry/src/utils/folded_line.ts
+++ b/packages/entry/src/utils/folded_line.ts
@@ -1,31 +1,34 @@
 /**
- * Folds a log line that would come with each request into one line a second,
- * which says how many it stands for. A VM that is behind would else spend its
- * processor on lines.
+ * Rate-limits a warning that each request could cause to one log line per
+ * second, which carries the number of occurrences. An overloaded VM would
+ * otherwise spend its CPU time on logging.
  */
-import type { LogFields, PartLog } from "./log.ts";
+import type { LogFields, Logger } from "./log.ts";
 
-const SPACING_MS = 1_000;
+const MIN_INTERVAL_MS = 1_000;
 
-/** One warning, at most once a second. */
-export class FoldedLine {
-  readonly #log: PartLog;
-  readonly #sentence: string;
-  /** Not told yet. */
-  #count = 0;
-  #toldMs = Number.NEGATIVE_INFINITY;
+/** A warning that is logged at most once per second. */
+export class ThrottledWarning {
+  readonly #logger: Logger;
+  readonly #message: string;
+  /** Occurrences since the last line. */
+  #occurrences = 0;
+  #loggedAtMs = Number.NEGATIVE_INFINITY;
 
-  constructor(log: PartLog, sentence: string) {
-    this.#log = log;
-    this.#sentence = sentence;
+  constructor(logger: Logger, message: string) {
+    this.#logger = logger;
+    this.#message = message;
   }
 
-  /** Counts one; writes the line, with their number as `refused`, when due. */
-  note(nowMs: number, fields: LogFields): void {
-    this.#count++;
-    if (nowMs - this.#toldMs < SPACING_MS) return;
-    this.#toldMs = nowMs;
-    this.#log.warn(this.#sentence, { ...fields, refused: this.#count });
-    this.#count = 0;
+  /**
+   * Counts one occurrence. Logs a line when one is due, with the number of
+   * occurrences since the last line as `refused`.
+   */
+  warn(nowMs: number, fields: LogFields): void {
+    this.#occurrences++;
+    if (nowMs - this.#loggedAtMs < MIN_INTERVAL_MS) return;
+    this.#loggedAtMs = nowMs;
+    this.#logger.warn(this.#message, { ...fields, refused: this.#occurrences });
+    this.#occurrences = 0;
   }
 }
--- a/packages/entry/src/utils/folded_line_test.ts
+++ b/packages/entry/src/utils/folded_line_test.ts
@@ -1,17 +1,17 @@
 import { expect } from "earl";
 import { test } from "node:test";
-import { FoldedLine } from "./folded_line.ts";
+import { ThrottledWarning } from "./folded_line.ts";
 import type { LogFields } from "./log.ts";
 
-test("should write one line a second that says how many it stands for", () => {
+test("should log one line per second with the number of occurrences", () => {
   const lines: LogFields[] = [];
-  const line = new FoldedLine({
+  const log = new ThrottledWarning({
     debug() {},
     info() {},
-    warn: (_sentence: string, fields?: LogFields) => lines.push(fields!),
+    warn: (_message: string, fields?: LogFields) => lines.push(fields!),
     error() {},
   }, "Refuses.");
-  for (const nowMs of [0, 100, 900, 1_000, 1_100]) line.note(nowMs, { nowMs });
+  for (const nowMs of [0, 100, 900, 1_000, 1_100]) log.warn(nowMs, { nowMs });
   expect(lines).toEqual([
     { nowMs: 0, refused: 1 },
     { nowMs: 1_000, refused: 3 },
--- a/packages/entry/src/utils/http_server.ts
+++ b/packages/entry/src/utils/http_server.ts
@@ -1,17 +1,17 @@
-/** Creates the server of a door: plain HTTP, or TLS when it has files for it. */
+/** HTTP servers, with TLS when a certificate is configured. */
 import * as http from "node:http";
 import * as https from "node:https";
 import type * as net from "node:net";
 
-/** PEM texts of one door's certificate. */
+/** Certificate and private key of one listener, in PEM format. */
 export interface ServerTls {
   readonly cert: string;
   readonly key: string;
-  /** Authorities; when given, the other side must show a certificate. */
+  /** CA certificates. When set, clients must present a certificate (mTLS). */
   readonly ca?: string;
 }
 
-/** Creates a server that does not listen yet. */
+/** Creates a server without starting to listen. */
 export function createHttpServer(
   options: http.ServerOptions,
   tls: ServerTls | undefined,
@@ -27,17 +27,17 @@
   });
 }
 
-/** Where a server listens. */
+/** Address on which a server listens. */
 export interface ListenAddress {
-  /** IP number. */
+  /** IP address. */
   readonly host: string;
-  /** 0 takes any free port. */
+  /** 0 selects any free port. */
   readonly port: number;
-  /** Connections that may wait to be accepted; the system's default if absent. */
+  /** Length of the accept queue; Node's default when absent. */
   readonly backlog?: number;
 }
 
-/** Starts listening and returns the port. Errors: the address is taken. */
+/** Starts listening and returns the port. Rejects when the address is in use. */
 export async function listenOn(
   server: http.Server,
   { host, port, backlog }: ListenAddress,
--- a/packages/entry/src/utils/life_cycle.ts
+++ b/packages/entry/src/utils/life_cycle.ts
@@ -1,20 +1,20 @@
 /**
- * Owns clean-up. Parts register what must be undone; `stop` undoes it in the
- * reverse order, each step with a deadline.
+ * Periodic tasks and shutdown of a process. Components register cleanup steps;
+ * `stop` runs them in reverse order, each with a timeout.
  */
 
-/** One thing to undo. */
-export interface CleanUp {
+/** One step of the shutdown. */
+export interface CleanupStep {
   readonly name: string;
-  /** Longest time the step may take before it is abandoned. */
+  /** Timeout after which the step is abandoned and counts as failed. */
   readonly timeoutMs: number;
   run(): Promise<void> | void;
 }
 
-/** What became of the steps of a stop. */
+/** Outcome of the cleanup steps. */
 export interface StopReport {
   readonly done: readonly string[];
-  /** Steps that failed or ran out of time, with the reason. */
+  /** Steps that failed or timed out, with the reason. */
   readonly failed: readonly {
     readonly name: string;
     readonly reason: string;
@@ -22,106 +22,112 @@
 }
 
 /**
- * Regular work that is due within this time runs together: each timer of its
- * own wakes the process once more.
+ * Periodic tasks that are due within this window run in one wake-up: a timer for
+ * each task would wake the process more often.
  */
-const STEP_MS = 20;
+const COALESCING_WINDOW_MS = 20;
 
-/** Work that runs at an interval. */
-export interface RegularWork {
+/** A task that runs at an interval. */
+export interface PeriodicTask {
   /**
-   * Runs it at another interval; never while that is infinite. Returns whether
-   * the interval was another.
+   * Changes the interval; an infinite one pauses the task. Returns false when
+   * the task already has this interval.
    */
   setIntervalMs(intervalMs: number): boolean;
 }
 
-interface ScheduledWork {
+interface ScheduledTask {
   readonly run: () => void;
   intervalMs: number;
   dueMs: number;
 }
 
-/** The life-cycle manager of one process. */
+/** Runs periodic tasks and the cleanup of one process. */
 export class LifeCycle {
-  readonly #steps: CleanUp[] = [];
+  readonly #cleanupSteps: CleanupStep[] = [];
   readonly #controller = new AbortController();
-  readonly #work = new Set<ScheduledWork>();
+  readonly #tasks = new Set<ScheduledTask>();
   #timer: NodeJS.Timeout | undefined;
-  #timerAtMs = Number.POSITIVE_INFINITY;
+  #timerDueMs = Number.POSITIVE_INFINITY;
   #stopping: Promise<StopReport> | undefined;
 
-  /** Aborted as soon as the process begins to stop. */
+  /** Aborted when shutdown begins. */
   get signal(): AbortSignal {
     return this.#controller.signal;
   }
 
-  /** Whether a stop has begun. */
+  /** Whether shutdown has begun. */
   get isStopping(): boolean {
     return this.#stopping !== undefined;
   }
 
-  /** Registers a step; the last one registered runs first. */
-  onStop(step: CleanUp): void {
-    this.#steps.push(step);
+  /** Registers a cleanup step; steps run in reverse order of registration. */
+  onStop(step: CleanupStep): void {
+    this.#cleanupSteps.push(step);
   }
 
   /**
-   * Runs a callback at an interval until the process stops. Work that is due at
-   * about the same time runs together; on average the interval is kept.
+   * Runs a callback at an interval until shutdown. Tasks that are due at about
+   * the same time run together; a single run may come early or late, but the
+   * average interval is kept.
    */
-  every(intervalMs: number, callback: () => void): RegularWork {
+  every(intervalMs: number, callback: () => void): PeriodicTask {
     const dueMs = performance.now() + intervalMs;
-    const work: ScheduledWork = { intervalMs, run: callback, dueMs };
-    this.#work.add(work);
-    this.#schedule();
+    const task: ScheduledTask = { intervalMs, run: callback, dueMs };
+    this.#tasks.add(task);
+    this.#armTimer();
     this.onStop({
       name: "interval",
       timeoutMs: 100,
       run: () => {
-        this.#work.delete(work);
-        this.#schedule();
+        this.#tasks.delete(task);
+        this.#armTimer();
       },
     });
     return {
-      setIntervalMs: (nextMs) => {
-        if (nextMs === work.intervalMs) return false;
-        work.intervalMs = nextMs;
-        work.dueMs = performance.now() + nextMs;
-        this.#schedule();
+      setIntervalMs: (newIntervalMs) => {
+        if (newIntervalMs === task.intervalMs) return false;
+        task.intervalMs = newIntervalMs;
+        task.dueMs = performance.now() + newIntervalMs;
+        this.#armTimer();
         return true;
       },
     };
   }
 
-  /** Sets the one timer to what is due next. */
-  #schedule(): void {
+  /** Sets the shared timer to the earliest due task. */
+  #armTimer(): void {
     let dueMs = Number.POSITIVE_INFINITY;
-    for (const work of this.#work) dueMs = Math.min(dueMs, work.dueMs);
-    if (dueMs === this.#timerAtMs) return;
+    for (const task of this.#tasks) dueMs = Math.min(dueMs, task.dueMs);
+    if (dueMs === this.#timerDueMs) return;
     clearTimeout(this.#timer);
-    this.#timerAtMs = dueMs;
+    this.#timerDueMs = dueMs;
     if (dueMs === Number.POSITIVE_INFINITY) return;
-    const waitMs = Math.max(0, Math.ceil(dueMs - performance.now()));
-    this.#timer = setTimeout(() => this.#step(), waitMs);
+    const delayMs = Math.max(0, Math.ceil(dueMs - performance.now()));
+    this.#timer = setTimeout(() => this.#runDueTasks(), delayMs);
   }
 
-  #step(): void {
-    this.#timerAtMs = Number.POSITIVE_INFINITY;
+  #runDueTasks(): void {
+    this.#timerDueMs = Number.POSITIVE_INFINITY;
     const nowMs = performance.now();
-    for (const work of [...this.#work]) {
-      if (work.dueMs - nowMs > Math.min(STEP_MS, work.intervalMs) / 2) continue;
-      // What was missed while the process stood still is not made up for.
-      work.dueMs = Math.max(
-        work.dueMs + work.intervalMs,
-        nowMs + work.intervalMs / 2,
+    for (const task of [...this.#tasks]) {
+      if (
+        task.dueMs - nowMs > Math.min(COALESCING_WINDOW_MS, task.intervalMs) / 2
+      ) continue;
+      // Runs missed while the process was paused are not made up for.
+      task.dueMs = Math.max(
+        task.dueMs + task.intervalMs,
+        nowMs + task.intervalMs / 2,
       );
-      work.run();
+      task.run();
     }
-    this.#schedule();
+    this.#armTimer();
   }
 
-  /** Stops everything. A second call returns the first call's report. */
+  /**
+   * Runs all cleanup steps. Never rejects; later calls return the report of the
+   * first one.
+   */
   stop(): Promise<StopReport> {
     this.#stopping ??= this.#runSteps();
     return this.#stopping;
@@ -131,9 +137,9 @@
     this.#controller.abort();
     const done: string[] = [];
     const failed: { name: string; reason: string }[] = [];
-    for (const step of [...this.#steps].reverse()) {
+    for (const step of [...this.#cleanupSteps].reverse()) {
       try {
-        await withDeadline(step);
+        await runWithTimeout(step);
         done.push(step.name);
       } catch (error) {
         failed.push({ name: step.name, reason: String(error) });
@@ -143,16 +149,16 @@
   }
 }
 
-async function withDeadline(step: CleanUp): Promise<void> {
+async function runWithTimeout(step: CleanupStep): Promise<void> {
   let timer: NodeJS.Timeout | undefined;
-  const deadline = new Promise<never>((_, reject) => {
+  const timeout = new Promise<never>((_, reject) => {
     timer = setTimeout(
-      () => reject(new Error(`Ran longer than ${step.timeoutMs} ms`)),
+      () => reject(new Error(`Timed out after ${step.timeoutMs} ms`)),
       step.timeoutMs,
     );
   });
   try {
-    await Promise.race([Promise.resolve(step.run()), deadline]);
+    await Promise.race([Promise.resolve(step.run()), timeout]);
   } finally {
     clearTimeout(timer);
   }
--- a/packages/entry/src/utils/life_cycle_test.ts
+++ b/packages/entry/src/utils/life_cycle_test.ts
@@ -14,7 +14,7 @@
   }
 }
 
-test("should keep intervals on average", () =>
+test("should keep the average interval of each task", () =>
   withLifeCycle(async (lifeCycle) => {
     let fast = 0;
     let slow = 0;
@@ -25,21 +25,21 @@
     expect(slow >= 8 && slow <= 11).toEqual(true);
   }));
 
-/** Guards against a process that wakes while nothing is due. */
-test("should set no timer while all work is paused", () =>
+/** Guards against wake-ups of an idle process. */
+test("should set no timer while all tasks are paused", () =>
   withLifeCycle(async (lifeCycle) => {
     let count = 0;
-    const work = lifeCycle.every(10, () => count++);
-    work.setIntervalMs(Number.POSITIVE_INFINITY);
+    const task = lifeCycle.every(10, () => count++);
+    task.setIntervalMs(Number.POSITIVE_INFINITY);
     await timers.setTimeout(100);
     expect(count).toEqual(0);
-    expect(work.setIntervalMs(10)).toEqual(true);
-    expect(work.setIntervalMs(10)).toEqual(false);
+    expect(task.setIntervalMs(10)).toEqual(true);
+    expect(task.setIntervalMs(10)).toEqual(false);
     await timers.setTimeout(100);
     expect(count >= 5).toEqual(true);
   }));
 
-test("should run work that is added while other work waits for long", () =>
+test("should run a task added while another one has a long interval", () =>
   withLifeCycle(async (lifeCycle) => {
     lifeCycle.every(60_000, () => {});
     let count = 0;
--- a/packages/entry/src/utils/line_log.ts
+++ b/packages/entry/src/utils/line_log.ts
@@ -1,29 +1,30 @@
 /**
- * Logs one JSON object a line without ever waiting for the reader: lines go to
- * a bounded buffer that is written in the background. A reader that stops
- * reading costs lines, which are counted and told when it reads again.
+ * A JSON log, one object per line, that never blocks on its consumer. Lines go
+ * to a bounded buffer that is flushed in the background. While the consumer
+ * doesn't read, lines beyond the buffer are dropped and counted; the next line
+ * written reports their number as `linesDroppedBefore`.
  */
 import * as consola from "consola";
 import { SonicBoom } from "sonic-boom";
-import type { CreateLogOptions, Log, LogFields } from "./log.ts";
+import type { CreateLogOptions, LogFields, LoggerFactory } from "./log.ts";
 import { LOG_LEVELS } from "./log.ts";
 
-/** Bytes that may wait for the reader; lines beyond are dropped. */
-const BUFFER_BYTES = 512 * 1024;
-const STDOUT = 1;
+/** Size limit of the buffer in bytes; further lines are dropped. */
+const MAX_BUFFERED_BYTES = 512 * 1024;
+const STDOUT_FD = 1;
 
 /** Writes lines to standard output in the background. */
-class BackgroundReporter {
+class NonBlockingReporter {
   readonly #out = new SonicBoom({
-    fd: STDOUT,
+    fd: STDOUT_FD,
     sync: false,
-    maxLength: BUFFER_BYTES,
+    maxLength: MAX_BUFFERED_BYTES,
   });
   #dropped = 0;
 
   constructor() {
     this.#out.on("drop", () => this.#dropped++);
-    // Nobody reads any more; there is nowhere left to tell it.
+    // The consumer has closed the pipe, so the error can't be logged anywhere.
     this.#out.on("error", () => {});
   }
 
@@ -39,18 +40,18 @@
       ...fields,
       ...(dropped > 0 ? { linesDroppedBefore: dropped } : {}),
     };
-    const isTaken = this.#out.write(JSON.stringify(line) + "\n");
-    if (!isTaken && this.#dropped > 0) this.#dropped += dropped;
+    const isAccepted = this.#out.write(JSON.stringify(line) + "\n");
+    if (!isAccepted && this.#dropped > 0) this.#dropped += dropped;
   }
 }
 
-/** Creates a log of JSON lines that never blocks. */
-export function createLineLog(
+/** Creates the loggers of a process that logs JSON lines without blocking. */
+export function createNonBlockingLog(
   { level }: Pick<CreateLogOptions, "level">,
-): Log {
+): LoggerFactory {
   const root = consola.createConsola({
     level: LOG_LEVELS[level],
-    reporters: [new BackgroundReporter()],
+    reporters: [new NonBlockingReporter()],
     throttle: 0,
   });
   return { part: (part) => root.withTag(part) };
--- a/packages/entry/src/utils/log.ts
+++ b/packages/entry/src/utils/log.ts
@@ -1,13 +1,13 @@
 /**
- * Logs with consola: short sentences with a fixed prefix for each part, as
- * readable text or as one JSON object a line.
+ * Structured logging with consola, as text or as one JSON object per line. Each
+ * component of the program logs under its own name.
  */
 import * as consola from "consola";
 
-/** How log lines are written. */
+/** Format of log lines. */
 export type LogFormat = "text" | "json";
 
-/** A part of the program with its own prefix. */
+/** Component of the program, logged with each line. */
 export type LogPart =
   | "admin"
   | "balance"
@@ -21,22 +21,22 @@
   | "route"
   | "store";
 
-/** Fields of a decision; values are printed as `name=value`. */
+/** Structured fields of a log line; the text format prints `name=value`. */
 export type LogFields = Readonly<
   Record<string, string | number | boolean | undefined>
 >;
 
-/** Writes the lines of one part. */
-export interface PartLog {
-  debug(sentence: string, fields?: LogFields): void;
-  info(sentence: string, fields?: LogFields): void;
-  warn(sentence: string, fields?: LogFields): void;
-  error(sentence: string, fields?: LogFields): void;
+/** Logger of one component. */
+export interface Logger {
+  debug(message: string, fields?: LogFields): void;
+  info(message: string, fields?: LogFields): void;
+  warn(message: string, fields?: LogFields): void;
+  error(message: string, fields?: LogFields): void;
 }
 
-/** Gives each part its log. */
-export interface Log {
-  part(part: LogPart): PartLog;
+/** Creates the logger of each component. */
+export interface LoggerFactory {
+  part(part: LogPart): Logger;
 }
 
 /** Options of {@link createLog}. */
@@ -45,7 +45,7 @@
   readonly level: "debug" | "info" | "warn" | "error" | "silent";
 }
 
-/** Levels of consola by our names. */
+/** consola's numeric level for each level of the settings. */
 export const LOG_LEVELS = {
   silent: -999,
   error: 0,
@@ -89,8 +89,8 @@
   }
 }
 
-/** Creates the program's log. Errors: none. */
-export function createLog(options: CreateLogOptions): Log {
+/** Creates the loggers of a process; never throws. */
+export function createLog(options: CreateLogOptions): LoggerFactory {
   const reporter = options.format === "json"
     ? new JsonReporter()
     : new TextReporter();
@@ -100,13 +100,13 @@
     throttle: 0,
   });
   return {
-    part(part: LogPart): PartLog {
-      const tagged = root.withTag(part);
+    part(part: LogPart): Logger {
+      const logger = root.withTag(part);
       return {
-        debug: (sentence, fields) => tagged.debug(sentence, fields),
-        info: (sentence, fields) => tagged.info(sentence, fields),
-        warn: (sentence, fields) => tagged.warn(sentence, fields),
-        error: (sentence, fields) => tagged.error(sentence, fields),
+        debug: (message, fields) => logger.debug(message, fields),
+        info: (message, fields) => logger.info(message, fields),
+        warn: (message, fields) => logger.warn(message, fields),
+        error: (message, fields) => logger.error(message, fields),
       };
     },
   };
--- a/packages/entry/src/utils/loop_lag.ts
+++ b/packages/entry/src/utils/loop_lag.ts
@@ -1,70 +1,82 @@
-/** How far the event loop is behind: how long what it reads may have waited. */
-import type { LifeCycle, RegularWork } from "./life_cycle.ts";
+/**
+ * Measures event loop lag: how long data may have waited in the socket buffers
+ * before the process read it.
+ */
+import type { LifeCycle, PeriodicTask } from "./life_cycle.ts";
 
-const TICK_MS = 20;
-/** Lags below this are ordinary scheduling. */
-const LEAST_LAG_MS = 60;
-/** A loop that is behind for longer has more work than it can do. */
-const LASTING_MS = 400;
+const TICK_INTERVAL_MS = 20;
+/** Smaller lags are normal scheduling jitter. */
+const MIN_LAG_MS = 60;
+/** Lag that lasts at least this long means overload rather than one stall. */
+const SUSTAINED_LAG_MS = 400;
 
-/** Watches the event loop by a timer. */
-export class LoopLag {
+/** Measures event loop lag with a periodic timer. */
+export class EventLoopLagMonitor {
   readonly #now: () => number;
-  #tickAtMs: number;
-  /** How late the timer fired last. */
-  #lateMs = 0;
-  #work: RegularWork | undefined;
-  /** Since when each tick was late; undefined while they are on time. */
-  #behindSinceMs: number | undefined;
+  #lastTickMs: number;
+  /** Delay of the last tick. */
+  #lastDelayMs = 0;
+  #tickTask: PeriodicTask | undefined;
+  /** Start of the current series of late ticks; undefined when on time. */
+  #laggingSinceMs: number | undefined;
 
-  /** The time of day counts a suspension, which the steady clock leaves out. */
+  /**
+   * `now` is in milliseconds. It defaults to the wall clock, which includes time
+   * spent suspended; the monotonic clock excludes it.
+   */
   constructor(now: () => number = () => Date.now()) {
     this.#now = now;
-    this.#tickAtMs = now();
+    this.#lastTickMs = now();
   }
 
-  /** Starts to watch while there is something to read. */
+  /** Starts measuring; pauses while `isIdle` returns true, until `resume`. */
   start(lifeCycle: LifeCycle, isIdle: () => boolean = () => false): void {
-    this.#work = lifeCycle.every(TICK_MS, () => {
+    this.#tickTask = lifeCycle.every(TICK_INTERVAL_MS, () => {
       this.tick();
-      if (isIdle()) this.#work?.setIntervalMs(Number.POSITIVE_INFINITY);
+      if (isIdle()) this.#tickTask?.setIntervalMs(Number.POSITIVE_INFINITY);
     });
   }
 
-  /** There is something to read again. */
+  /** Resumes measuring when there is data to read again. */
   resume(): void {
-    if (!this.#work?.setIntervalMs(TICK_MS)) return;
-    this.#tickAtMs = this.#now();
-    this.#lateMs = 0;
-    this.#behindSinceMs = undefined;
+    if (!this.#tickTask?.setIntervalMs(TICK_INTERVAL_MS)) return;
+    this.#lastTickMs = this.#now();
+    this.#lastDelayMs = 0;
+    this.#laggingSinceMs = undefined;
   }
 
-  /** The timer has fired. */
+  /** Records one run of the timer. */
   tick(): void {
     const nowMs = this.#now();
-    this.#lateMs = Math.max(0, nowMs - this.#tickAtMs - TICK_MS);
-    this.#tickAtMs = nowMs;
-    if (this.#lateMs < LEAST_LAG_MS) this.#behindSinceMs = undefined;
-    else this.#behindSinceMs ??= nowMs;
+    this.#lastDelayMs = Math.max(
+      0,
+      nowMs - this.#lastTickMs - TICK_INTERVAL_MS,
+    );
+    this.#lastTickMs = nowMs;
+    if (this.#lastDelayMs < MIN_LAG_MS) this.#laggingSinceMs = undefined;
+    else this.#laggingSinceMs ??= nowMs;
   }
 
   /**
-   * Whether the loop has been behind for a while: a single stall is over when
-   * what it has made late is read, and refusing that helps nobody.
+   * Whether the lag has lasted for at least 400 ms. A single stall is over by the
+   * time the delayed requests are read, so rejecting those would not reduce load.
    */
-  get isLasting(): boolean {
-    if (this.#behindSinceMs === undefined) return false;
-    return this.#now() - this.#behindSinceMs >= LASTING_MS;
+  get isSustained(): boolean {
+    if (this.#laggingSinceMs === undefined) return false;
+    return this.#now() - this.#laggingSinceMs >= SUSTAINED_LAG_MS;
   }
 
   /**
-   * How long what is read now may have waited; 0 when the loop is about on
-   * time. A connection is accepted in one turn and read in the next, so the
-   * turn before counts as well.
+   * Longest time in milliseconds that data read now may have waited; 0 below
+   * 60 ms. A connection is accepted in one event loop iteration and read in the
+   * next, so the delay of the previous tick counts as well.
    */
   get lagMs(): number {
-    const lateMs = Math.max(0, this.#now() - this.#tickAtMs - TICK_MS);
-    const lagMs = lateMs + this.#lateMs;
-    return lagMs < LEAST_LAG_MS ? 0 : lagMs;
+    const delayMs = Math.max(
+      0,
+      this.#now() - this.#lastTickMs - TICK_INTERVAL_MS,
+    );
+    const lagMs = delayMs + this.#lastDelayMs;
+    return lagMs < MIN_LAG_MS ? 0 : lagMs;
   }
 }
--- a/packages/entry/src/utils/loop_lag_test.ts
+++ b/packages/entry/src/utils/loop_lag_test.ts
@@ -1,21 +1,21 @@
 import { expect } from "earl";
 import { test } from "node:test";
-import { LoopLag } from "./loop_lag.ts";
+import { EventLoopLagMonitor } from "./loop_lag.ts";
 
-/** Guards against a late-read request that counts as fresh. */
-test("should count the turn before a request is read", () => {
+/** Guards against treating a request that was read late as fresh. */
+test("should include the delay of the iteration before a request is read", () => {
   let nowMs = 0;
-  const lag = new LoopLag(() => nowMs);
+  const monitor = new EventLoopLagMonitor(() => nowMs);
   nowMs = 20;
-  lag.tick();
-  expect(lag.lagMs).toEqual(0);
+  monitor.tick();
+  expect(monitor.lagMs).toEqual(0);
   nowMs = 540;
-  lag.tick();
-  expect(lag.lagMs).toEqual(500);
+  monitor.tick();
+  expect(monitor.lagMs).toEqual(500);
   nowMs = 860;
-  expect(lag.lagMs).toEqual(800);
-  lag.tick();
+  expect(monitor.lagMs).toEqual(800);
+  monitor.tick();
   nowMs = 880;
-  lag.tick();
-  expect(lag.lagMs).toEqual(0);
+  monitor.tick();
+  expect(monitor.lagMs).toEqual(0);
 });
--- a/packages/entry/src/utils/once_per_turn.ts
+++ b/packages/entry/src/utils/once_per_turn.ts
@@ -1,21 +1,24 @@
-/** Gathers what changes in one turn of the event loop. */
+/** Coalesces work within one iteration of the event loop. */
 
-/** Runs a callback once at the end of a turn, however often it is asked for. */
-export class OncePerTurn {
-  readonly #run: () => void;
+/**
+ * Runs a callback once per event loop iteration, however many times it is
+ * scheduled.
+ */
+export class CoalescedCallback {
+  readonly #callback: () => void;
   #isScheduled = false;
 
-  constructor(run: () => void) {
-    this.#run = run;
+  constructor(callback: () => void) {
+    this.#callback = callback;
   }
 
-  /** The callback runs at the end of this turn. */
+  /** Schedules the callback for the end of the current iteration. */
   schedule(): void {
     if (this.#isScheduled) return;
     this.#isScheduled = true;
     setImmediate(() => {
       this.#isScheduled = false;
-      this.#run();
+      this.#callback();
     });
   }
 }
--- a/packages/entry/src/utils/read_body.ts
+++ b/packages/entry/src/utils/read_body.ts
@@ -1,22 +1,25 @@
-/** Reads the body of an HTTP request whole, up to a limit. */
+/** Buffers the body of an HTTP request, up to a size limit. */
 import type * as http from "node:http";
 
-/** What came of reading a body. */
-export type BodyRead =
-  /** Undefined when the request has no body. */
+/** Outcome of reading a body. */
+export type ReadBodyResult =
+  /** `body` is undefined when the request has none. */
   | { readonly kind: "whole"; readonly body: Uint8Array | undefined }
   | { readonly kind: "too-large" }
-  /** The connection ended within the body. */
+  /** The connection closed before the end of the body. */
   | { readonly kind: "broken" };
 
-/** Reads the body. A body beyond the limit is not read to its end. */
+/**
+ * Reads a body of at most `limitBytes`; stops reading a larger one. Never
+ * rejects.
+ */
 export function readBody(
   incoming: http.IncomingMessage,
   limitBytes: number,
-): Promise<BodyRead> {
-  const declared = Number(incoming.headers["content-length"] ?? 0);
-  if (declared > limitBytes) return Promise.resolve({ kind: "too-large" });
-  const hasBody = declared > 0 ||
+): Promise<ReadBodyResult> {
+  const declaredBytes = Number(incoming.headers["content-length"] ?? 0);
+  if (declaredBytes > limitBytes) return Promise.resolve({ kind: "too-large" });
+  const hasBody = declaredBytes > 0 ||
     incoming.headers["transfer-encoding"] !== undefined;
   if (!hasBody) {
     incoming.resume();
@@ -24,10 +27,10 @@
   }
   return new Promise((resolve) => {
     const chunks: Uint8Array[] = [];
-    let sizeBytes = 0;
+    let receivedBytes = 0;
     incoming.on("data", (chunk: Uint8Array) => {
-      sizeBytes += chunk.length;
-      if (sizeBytes <= limitBytes) {
+      receivedBytes += chunk.length;
+      if (receivedBytes <= limitBytes) {
         chunks.push(chunk);
         return;
       }
--- a/packages/entry/src/utils/reset_connection.ts
+++ b/packages/entry/src/utils/reset_connection.ts
@@ -1,19 +1,23 @@
-/** Connections on which nothing arrives once this side has given them up. */
+/**
+ * Connections that end with a TCP reset, so that the peer receives nothing after
+ * this process has abandoned them.
+ */
 import type * as net from "node:net";
 import * as tls from "node:tls";
 import * as undici from "undici";
 
-const open = new Set<net.Socket>();
+const openSockets = new Set<net.Socket>();
 
-/** Resets what is open, for a process that ends without closing it. */
+/** Resets all open connections, for a process that exits without closing them. */
 export function resetOpenConnections(): void {
-  for (const socket of open) socket.destroy();
+  for (const socket of openSockets) socket.destroy();
 }
 
 /**
- * Connects for undici. A close would still deliver what waits in the send
- * buffer, also seconds later when a cut link heals, and the call would take
- * effect after its sender counts it as over. A reset drops it.
+ * Builds an undici connector whose connections end with a reset. A normal close
+ * still delivers the send buffer, even seconds later when a network partition
+ * heals, and the request would take effect after its sender has given it up. A
+ * reset discards the buffer.
  */
 export function buildResettingConnector(
   options: undici.buildConnector.BuildOptions,
@@ -22,24 +26,24 @@
   return (target, callback) =>
     connect(target, (...result) => {
       const [error, socket] = result;
-      if (error === null) resetWhenDestroyed(socket);
+      if (error === null) resetOnDestroy(socket);
       callback(...result);
     });
 }
 
 /**
- * Makes a connection end with a reset whoever destroys it: undici does so on
- * its own, before its caller hears of it.
+ * Makes every `destroy` of the socket a reset: undici destroys sockets itself,
+ * before its caller learns of it.
  */
-function resetWhenDestroyed(socket: net.Socket): void {
-  // Node resets TCP connections only.
+function resetOnDestroy(socket: net.Socket): void {
+  // Node can reset plain TCP sockets only.
   if (socket instanceof tls.TLSSocket) return;
-  open.add(socket);
-  socket.once("close", () => open.delete(socket));
+  openSockets.add(socket);
+  socket.once("close", () => openSockets.delete(socket));
   const destroy = socket.destroy.bind(socket);
   socket.destroy = (error) => {
     socket.destroy = () => destroy(error);
-    // The library under Node refuses a reset while a close is under way.
+    // libuv rejects a reset while a shutdown of the socket is in progress.
     const isClosing = socket.writableEnded && !socket.writableFinished;
     return socket.destroyed || isClosing
       ? destroy(error)
--- a/packages/entry/src/vms/peer_task.ts
+++ b/packages/entry/src/vms/peer_task.ts
@@ -8,7 +8,7 @@
 import type * as decisions from "@guavatide/decisions";
 import type { LifeCycle } from "../utils/life_cycle.ts";
 import type { ServerTls } from "../utils/http_server.ts";
-import type { PartLog } from "../utils/log.ts";
+import type { Logger } from "../utils/log.ts";
 import type { PeerDoor } from "./peer_door.ts";
 import type { PeerError } from "./peer_error.ts";
 import { type PeerAddress, PeerLink } from "./peer_link.ts";
@@ -52,7 +52,7 @@
   readonly door: PeerDoor;
   readonly membership: decisions.Membership;
   readonly clock: contracts.Clock;
-  readonly log: PartLog;
+  readonly log: Logger;
 }
 
 /** Owns the links to all peers. */
--- a/packages/entry/src/wire.ts
+++ b/packages/entry/src/wire.ts
@@ -147,7 +147,7 @@
   readonly settings: settingsParts.Settings;
   readonly secret: string;
   readonly tls: settingsParts.ListenerCertificates;
-  readonly log: logParts.Log;
+  readonly log: logParts.LoggerFactory;
   readonly lifeCycle: LifeCycle;
   readonly clock: contracts.Clock;
   readonly random: contracts.RandomSource;
--- a/packages/entry/src/zones/server_directory.ts
+++ b/packages/entry/src/zones/server_directory.ts
@@ -6,7 +6,7 @@
 import type * as contracts from "@guavatide/contracts";
 import type { ServerAddress, ServerView } from "../contracts/views.ts";
 import type { LifeCycle } from "../utils/life_cycle.ts";
-import type { PartLog } from "../utils/log.ts";
+import type { Logger } from "../utils/log.ts";
 
 /** How long a server's word that it drains counts, unless it is repeated. */
 const DRAIN_WORD_MS = 15_000;
@@ -16,7 +16,7 @@
   readonly vmList: contracts.VmList;
   readonly pollIntervalMs: number;
   readonly clock: contracts.Clock;
-  readonly log: PartLog;
+  readonly log: Logger;
 }
 
 /** Polls the VM list and answers where servers are. */
