--- a/packages/entry/src/gateway/forwarder.ts
+++ b/packages/entry/src/gateway/forwarder.ts
@@ -2,7 +2,7 @@
 import type * as contracts from "@guavatide/contracts";
 import * as admission from "@guavatide/decisions/admission/mod";
 import type { ConnectionPools } from "../links/connection_pools.ts";
-import { ThrottledWarning } from "../utils/folded_line.ts";
+import { ThrottledWarning } from "../utils/throttled_warning.ts";
 import type { LifeCycle, PeriodicTask } from "../utils/life_cycle.ts";
 import type { Logger } from "../utils/log.ts";
 import type { ColdStartLimits } from "./cold_start_limits.ts";
--- a/packages/entry/src/gateway/front_listener.ts
+++ b/packages/entry/src/gateway/front_listener.ts
@@ -6,9 +6,9 @@
 import { requestHeaders } from "../links/header_list.ts";
 import type { ServerAnswer } from "../requests/caller_request.ts";
 import * as httpServer from "../utils/http_server.ts";
-import { ThrottledWarning } from "../utils/folded_line.ts";
+import { ThrottledWarning } from "../utils/throttled_warning.ts";
 import type { LifeCycle } from "../utils/life_cycle.ts";
-import { EventLoopLagMonitor } from "../utils/loop_lag.ts";
+import { EventLoopLagMonitor } from "../utils/event_loop_lag_monitor.ts";
 import * as bodies from "../utils/read_body.ts";
 import type { Logger } from "../utils/log.ts";
 import {
--- a/packages/entry/src/gateway/run_gateway.ts
+++ b/packages/entry/src/gateway/run_gateway.ts
@@ -1,7 +1,7 @@
 /** Runs an entry process from its settings file until SIGTERM. */
 import * as fs from "node:fs";
 import type * as neverthrow from "neverthrow";
-import { createNonBlockingLog } from "../utils/line_log.ts";
+import { createNonBlockingLog } from "../utils/non_blocking_log.ts";
 import type { LoggerFactory } from "../utils/log.ts";
 import { resetOpenConnections } from "../utils/reset_connection.ts";
 import type {
--- a/packages/entry/src/gateway/slot_task.ts
+++ b/packages/entry/src/gateway/slot_task.ts
@@ -7,7 +7,7 @@
 import * as grants from "@guavatide/decisions/grants/mod";
 import type * as ownership from "@guavatide/decisions/ownership/mod";
 import type { LifeCycle, PeriodicTask } from "../utils/life_cycle.ts";
-import { CoalescedCallback } from "../utils/once_per_turn.ts";
+import { CoalescedCallback } from "../utils/coalesced_callback.ts";
 import type { Logger } from "../utils/log.ts";
 import type { ColdStartLimits } from "./cold_start_limits.ts";
 import type { PeerGossip } from "./peer_gossip.ts";
--- a/packages/entry/src/requests/dispatched_allocator.ts
+++ b/packages/entry/src/requests/dispatched_allocator.ts
@@ -7,7 +7,7 @@
 import * as routing from "@guavatide/decisions/routing/mod";
 import type { ServerView } from "../contracts/views.ts";
 import type { Logger } from "../utils/log.ts";
-import { CoalescedCallback } from "../utils/once_per_turn.ts";
+import { CoalescedCallback } from "../utils/coalesced_callback.ts";
 import type { PeerCalls } from "./peer_calls.ts";
 import type { Slot, SlotAllocator, SlotWish } from "./slot_allocator.ts";
 import type { SlotDispatcher } from "./slot_dispatcher.ts";
--- a/packages/entry/src/requests/slot_dispatcher.ts
+++ b/packages/entry/src/requests/slot_dispatcher.ts
@@ -9,7 +9,7 @@
  */
 import type * as contracts from "@guavatide/contracts";
 import type * as routing from "@guavatide/decisions/routing/mod";
-import { CoalescedCallback } from "../utils/once_per_turn.ts";
+import { CoalescedCallback } from "../utils/coalesced_callback.ts";
 import type { PeerCalls } from "./peer_calls.ts";
 import type { Slot, SlotAllocator, SlotWish } from "./slot_allocator.ts";
 import * as messages from "./slot_messages.ts";
--- a/packages/entry/src/utils/loop_lag_test.ts
+++ b/packages/entry/src/utils/event_loop_lag_monitor_test.ts
@@ -1,6 +1,6 @@
 import { expect } from "earl";
 import { test } from "node:test";
-import { EventLoopLagMonitor } from "./loop_lag.ts";
+import { EventLoopLagMonitor } from "./event_loop_lag_monitor.ts";
 
 /** Guards against treating a request that was read late as fresh. */
 test("should include the delay of the iteration before a request is read", () => {
--- a/packages/entry/src/utils/folded_line_test.ts
+++ b/packages/entry/src/utils/throttled_warning_test.ts
@@ -1,6 +1,6 @@
 import { expect } from "earl";
 import { test } from "node:test";
-import { ThrottledWarning } from "./folded_line.ts";
+import { ThrottledWarning } from "./throttled_warning.ts";
 import type { LogFields } from "./log.ts";
 
 test("should log one line per second with the number of occurrences", () => {
