--- a/packages/entry/src/gateway/grant_sender.ts
+++ b/packages/entry/src/gateway/grant_sender.ts
@@ -116,7 +116,7 @@
     return [...this.#servers]
       .filter(([, { unansweredSinceMs, lastEndedAtMs, isInFlight }]) =>
         unansweredSinceMs !== undefined &&
-        nowMs - unansweredSinceMs >= timings.silentMs &&
+        nowMs - unansweredSinceMs >= timings.unresponsiveAfterMs &&
         (isInFlight || nowMs - lastEndedAtMs < SUSPICION_TTL_MS)
       )
       .map(([server]) => server);
@@ -163,7 +163,7 @@
     const result = await control.grant(
       server,
       { fromKey, toKey, fence, holdMs: leaseMs, handover },
-      { timeoutMs: timings.orderTimeoutMs, maySend: isStillAllowed },
+      { timeoutMs: timings.grantTimeoutMs, maySend: isStillAllowed },
     );
     state.isInFlight = false;
     const fields = { server: server.server, fromKey, toKey, fence };
--- a/packages/entry/src/gateway/grant_task.ts
+++ b/packages/entry/src/gateway/grant_task.ts
@@ -250,7 +250,7 @@
       .filter(({ targets }) => targets.some((it) => it.service === service))
       .map(({ targetLatencyMs }) => targetLatencyMs);
     const limits = { leastMs: timings.holdMs, mostMs: maxLeaseMs };
-    return grants.wishedHoldMs(targetsMs, limits);
+    return grants.desiredLeaseMs(targetsMs, limits);
   }
 
   /** Fetches the map from a peer; undefined without an answer. */
--- a/packages/entry/src/gateway/move_planner.ts
+++ b/packages/entry/src/gateway/move_planner.ts
@@ -31,7 +31,7 @@
 /** Plans the handovers of one service. */
 export class MovePlanner {
   readonly #options: MovePlannerOptions;
-  readonly #loads = new grants.KeyLoads();
+  readonly #loads = new grants.KeyRateTracker();
   /**
    * By server, how much longer than average it takes, as peers' slot
    * coordinators report.
@@ -92,7 +92,7 @@
         return [server, { owner, capacityPerSecond, isCold: isCold(entry) }];
       }),
     );
-    const moves = grants.planRanges({
+    const moves = grants.planRangeMoves({
       ranges: map.ranges,
       servers,
       rates: this.#loads.rates(),
--- a/packages/entry/src/gateway/range_map_store.ts
+++ b/packages/entry/src/gateway/range_map_store.ts
@@ -40,7 +40,7 @@
   async read(
     service: contracts.ServiceId,
     { mayBeStale = false }: RangeMapReadOptions = {},
-  ): Promise<grants.MapCallEnd> {
+  ): Promise<grants.MapCallResult> {
     const { store, health } = this.#options;
     const result = await store.get(`${PREFIX}${service}`, {
       timeoutMs: READ_TIMEOUT_MS,
@@ -64,7 +64,7 @@
   async write(
     map: contracts.RangeMap,
     condition: contracts.WriteCondition,
-  ): Promise<grants.MapCallEnd> {
+  ): Promise<grants.MapCallResult> {
     const { store, health, log } = this.#options;
     const result = await store.put(
       `${PREFIX}${map.service}`,
--- a/packages/entry/src/gateway/slot_task.ts
+++ b/packages/entry/src/gateway/slot_task.ts
@@ -47,7 +47,7 @@
   readonly #options: SlotTaskOptions;
   readonly #requester: admission.SlotClient;
   readonly #coordinator: admission.SlotCoordinator;
-  readonly #coordinatorOrder: grants.DutyOrder;
+  readonly #coordinatorOrder: grants.VmRanking;
   /** Replies of this VM's coordinator that are not sent yet. */
   readonly #replies = new Map<contracts.VmId, admission.SlotReply[]>();
   readonly #consumers = new Map<admission.WaitingRequest, SlotConsumer>();
@@ -58,7 +58,7 @@
   constructor(options: SlotTaskOptions) {
     this.#options = options;
     const { gossip, zone, random, hasher, vm } = options;
-    this.#coordinatorOrder = new grants.DutyOrder(hasher);
+    this.#coordinatorOrder = new grants.VmRanking(hasher);
     this.#requester = new admission.SlotClient({
       vm,
       coordinatorOf: (server, unresponsive) =>
@@ -161,7 +161,7 @@
       ? eligibleInZone
       : [vm, ...gossip.live.map((peer) => peer.vm)]
         .filter((it) => this.#isEligible(it, unresponsive)).sort();
-    return this.#coordinatorOrder.of(server, eligible)[0];
+    return this.#coordinatorOrder.rank(server, eligible)[0];
   }
 
   #isEligible(
