--- a/packages/entry/src/ownership/assignment_controller_task.ts
+++ b/packages/entry/src/ownership/assignment_controller_task.ts
@@ -6,7 +6,7 @@
 import * as contracts from "@guavatide/contracts";
 import * as ownership from "@guavatide/decisions/ownership/mod";
 import * as placement from "@guavatide/decisions/placement/mod";
-import type { PartLog } from "../utils/log.ts";
+import type { Logger } from "../utils/log.ts";
 import { VoterReview } from "./voter_review.ts";
 import type { LeaseCommandTask } from "./lease_command_task.ts";
 import type { ServiceContext, TimedReply } from "./service_context.ts";
@@ -50,7 +50,7 @@
 export class AssignmentControllerTask {
   readonly #context: ServiceContext;
   readonly #options: AssignmentControllerTaskOptions;
-  readonly #log: PartLog;
+  readonly #log: Logger;
   readonly #controller: ownership.AssignmentController;
   readonly #voterReview: VoterReview;
   #planner: placement.Planner | undefined;
--- a/packages/entry/src/ownership/leader_election_task.ts
+++ b/packages/entry/src/ownership/leader_election_task.ts
@@ -1,12 +1,12 @@
 /** Acquires, renews and releases the leader lease of one service. */
 import * as ownership from "@guavatide/decisions/ownership/mod";
-import type { PartLog } from "../utils/log.ts";
+import type { Logger } from "../utils/log.ts";
 import type { ServiceContext } from "./service_context.ts";
 
 /** One VM's part in electing the leader that plans a service's moves. */
 export class LeaderElectionTask {
   readonly #context: ServiceContext;
-  readonly #log: PartLog;
+  readonly #log: Logger;
   readonly #leaderLease: ownership.LeaderLease;
   readonly #recordName: string;
   #wasLeader = false;
--- a/packages/entry/src/ownership/lease_command_task.ts
+++ b/packages/entry/src/ownership/lease_command_task.ts
@@ -7,7 +7,7 @@
 import type * as contracts from "@guavatide/contracts";
 import * as ownership from "@guavatide/decisions/ownership/mod";
 import type { ServerAddress } from "../contracts/views.ts";
-import type { PartLog } from "../utils/log.ts";
+import type { Logger } from "../utils/log.ts";
 import type { ServerControl, ServiceContext } from "./service_context.ts";
 
 /** Timeout of a lease command. A later reply is of no use. */
@@ -37,7 +37,7 @@
 /** Owns the control connections to one service's servers. */
 export class LeaseCommandTask {
   readonly #context: ServiceContext;
-  readonly #log: PartLog;
+  readonly #log: Logger;
   readonly #scheduler: ownership.LeaseCommandScheduler;
   readonly #detector: ownership.FailureDetector;
   readonly #endpoints = new Map<contracts.ServerId, ServerEndpoint>();
--- a/packages/entry/src/requests/dispatched_allocator.ts
+++ b/packages/entry/src/requests/dispatched_allocator.ts
@@ -6,8 +6,8 @@
 import type * as contracts from "@guavatide/contracts";
 import * as routing from "@guavatide/decisions/routing/mod";
 import type { ServerView } from "../contracts/views.ts";
-import type { PartLog } from "../utils/log.ts";
-import { OncePerTurn } from "../utils/once_per_turn.ts";
+import type { Logger } from "../utils/log.ts";
+import { CoalescedCallback } from "../utils/coalesced_callback.ts";
 import type { PeerRpc } from "./peer_rpc.ts";
 import type { Slot, SlotAllocator, SlotRequest } from "./slot_allocator.ts";
 import type { SlotDispatcher } from "./slot_dispatcher.ts";
@@ -24,7 +24,7 @@
   readonly servers: ServerView;
   readonly clock: contracts.Clock;
   readonly hash: (text: string) => number;
-  readonly log: PartLog;
+  readonly log: Logger;
 }
 
 /** Timeout of an update to the dispatcher. */
@@ -61,7 +61,7 @@
   #updatesInFlight = 0;
   #nextRequestNumber = 1;
   /** Sends all changes of one event loop turn in one update. */
-  readonly #flushScheduler = new OncePerTurn(() => this.#flush());
+  readonly #flushScheduler = new CoalescedCallback(() => this.#flush());
   #service: contracts.Service;
 
   constructor(options: DispatchedAllocatorOptions) {
--- a/packages/entry/src/requests/server_monitor.ts
+++ b/packages/entry/src/requests/server_monitor.ts
@@ -5,7 +5,7 @@
 import type * as contracts from "@guavatide/contracts";
 import * as routing from "@guavatide/decisions/routing/mod";
 import type { ServerAddress, ServerView } from "../contracts/views.ts";
-import type { PartLog } from "../utils/log.ts";
+import type { Logger } from "../utils/log.ts";
 import type { Slot } from "./slot_allocator.ts";
 
 /** Options of {@link ServerMonitor}, and of the allocators that use one. */
@@ -13,7 +13,7 @@
   readonly service: contracts.Service;
   readonly servers: ServerView;
   readonly clock: contracts.Clock;
-  readonly log: PartLog;
+  readonly log: Logger;
   /** Requests that one server may get beyond its slots. */
   readonly extraRequestsPerServer: number;
   /** Whether a server that fails or is unresponsive may be ejected. */
--- a/packages/entry/src/requests/slot_dispatcher.ts
+++ b/packages/entry/src/requests/slot_dispatcher.ts
@@ -9,7 +9,7 @@
  */
 import type * as contracts from "@guavatide/contracts";
 import type * as routing from "@guavatide/decisions/routing/mod";
-import { OncePerTurn } from "../utils/once_per_turn.ts";
+import { CoalescedCallback } from "../utils/coalesced_callback.ts";
 import type { PeerRpc } from "./peer_rpc.ts";
 import type { Slot, SlotAllocator, SlotRequest } from "./slot_allocator.ts";
 import * as messages from "./slot_messages.ts";
@@ -101,7 +101,7 @@
   /** Decisions not yet sent, by entry VM. */
   readonly #outbox = new Map<contracts.VmId, messages.SlotDecision[]>();
   #nextGrantNumber = 1;
-  readonly #flushScheduler = new OncePerTurn(() => this.#flush());
+  readonly #flushScheduler = new CoalescedCallback(() => this.#flush());
 
   constructor(
     id: contracts.ServiceId,
--- /dev/null
+++ b/packages/entry/src/utils/event_loop_lag_monitor.ts
@@ -0,0 +1,82 @@
+/**
+ * Measures event loop lag: how long data may have waited in the socket buffers
+ * before the process read it.
+ */
+import type { LifeCycle, PeriodicTask } from "./life_cycle.ts";
+
+const TICK_INTERVAL_MS = 20;
+/** Smaller lags are normal scheduling jitter. */
+const MIN_LAG_MS = 60;
+/** Lag that lasts at least this long means overload rather than one stall. */
+const SUSTAINED_LAG_MS = 400;
+
+/** Measures event loop lag with a periodic timer. */
+export class EventLoopLagMonitor {
+  readonly #now: () => number;
+  #lastTickMs: number;
+  /** Delay of the last tick. */
+  #lastDelayMs = 0;
+  #tickTask: PeriodicTask | undefined;
+  /** Start of the current series of late ticks; undefined when on time. */
+  #laggingSinceMs: number | undefined;
+
+  /**
+   * `now` is in milliseconds. It defaults to the wall clock, which includes time
+   * spent suspended; the monotonic clock excludes it.
+   */
+  constructor(now: () => number = () => Date.now()) {
+    this.#now = now;
+    this.#lastTickMs = now();
+  }
+
+  /** Starts measuring; pauses while `isIdle` returns true, until `resume`. */
+  start(lifeCycle: LifeCycle, isIdle: () => boolean = () => false): void {
+    this.#tickTask = lifeCycle.every(TICK_INTERVAL_MS, () => {
+      this.tick();
+      if (isIdle()) this.#tickTask?.setIntervalMs(Number.POSITIVE_INFINITY);
+    });
+  }
+
+  /** Resumes measuring when there is data to read again. */
+  resume(): void {
+    if (!this.#tickTask?.setIntervalMs(TICK_INTERVAL_MS)) return;
+    this.#lastTickMs = this.#now();
+    this.#lastDelayMs = 0;
+    this.#laggingSinceMs = undefined;
+  }
+
+  /** Records one run of the timer. */
+  tick(): void {
+    const nowMs = this.#now();
+    this.#lastDelayMs = Math.max(
+      0,
+      nowMs - this.#lastTickMs - TICK_INTERVAL_MS,
+    );
+    this.#lastTickMs = nowMs;
+    if (this.#lastDelayMs < MIN_LAG_MS) this.#laggingSinceMs = undefined;
+    else this.#laggingSinceMs ??= nowMs;
+  }
+
+  /**
+   * Whether the lag has lasted for at least 400 ms. A single stall is over by the
+   * time the delayed requests are read, so rejecting those would not reduce load.
+   */
+  get isSustained(): boolean {
+    if (this.#laggingSinceMs === undefined) return false;
+    return this.#now() - this.#laggingSinceMs >= SUSTAINED_LAG_MS;
+  }
+
+  /**
+   * Longest time in milliseconds that data read now may have waited; 0 below
+   * 60 ms. A connection is accepted in one event loop iteration and read in the
+   * next, so the delay of the previous tick counts as well.
+   */
+  get lagMs(): number {
+    const delayMs = Math.max(
+      0,
+      this.#now() - this.#lastTickMs - TICK_INTERVAL_MS,
+    );
+    const lagMs = delayMs + this.#lastDelayMs;
+    return lagMs < MIN_LAG_MS ? 0 : lagMs;
+  }
+}
--- a/packages/entry/src/vms/peer_task.ts
+++ b/packages/entry/src/vms/peer_task.ts
@@ -8,7 +8,7 @@
 import type * as decisions from "@guavatide/decisions";
 import type { LifeCycle } from "../utils/life_cycle.ts";
 import type { ServerTls } from "../utils/http_server.ts";
-import type { PartLog } from "../utils/log.ts";
+import type { Logger } from "../utils/log.ts";
 import type { PeerServer } from "./peer_server.ts";
 import type { PeerError } from "./peer_error.ts";
 import { type PeerAddress, PeerClient } from "./peer_client.ts";
@@ -60,7 +60,7 @@
   readonly peerServer: PeerServer;
   readonly membership: decisions.Membership;
   readonly clock: contracts.Clock;
-  readonly log: PartLog;
+  readonly log: Logger;
 }
 
 /** Exchanges heartbeats with peers and owns the clients for all of them. */
--- a/packages/entry/src/wire.ts
+++ b/packages/entry/src/wire.ts
@@ -76,7 +76,7 @@
 async function start(
   settings: settingsParts.Settings,
   secret: string,
-  tls: settingsParts.DoorCertificates,
+  tls: settingsParts.ListenerCertificates,
 ): Promise<Entry> {
   const context = createContext(settings, secret, tls);
   const { lifeCycle, directory, metrics } = context;
@@ -149,8 +149,8 @@
 interface ProcessContext {
   readonly settings: settingsParts.Settings;
   readonly secret: string;
-  readonly tls: settingsParts.DoorCertificates;
-  readonly log: logParts.Log;
+  readonly tls: settingsParts.ListenerCertificates;
+  readonly log: logParts.LoggerFactory;
   readonly lifeCycle: LifeCycle;
   readonly clock: contracts.Clock;
   readonly random: contracts.RandomSource;
@@ -168,7 +168,7 @@
 function createContext(
   settings: settingsParts.Settings,
   secret: string,
-  tls: settingsParts.DoorCertificates,
+  tls: settingsParts.ListenerCertificates,
 ): ProcessContext {
   const log = logParts.createLog(settings.log);
   const lifeCycle = new LifeCycle();
--- a/packages/entry/src/zones/server_directory.ts
+++ b/packages/entry/src/zones/server_directory.ts
@@ -6,7 +6,7 @@
 import type * as contracts from "@guavatide/contracts";
 import type { ServerAddress, ServerView } from "../contracts/views.ts";
 import type { LifeCycle } from "../utils/life_cycle.ts";
-import type { PartLog } from "../utils/log.ts";
+import type { Logger } from "../utils/log.ts";
 
 /** Time for which a server's report that it is draining stays valid. */
 const DRAIN_REPORT_TTL_MS = 15_000;
@@ -17,7 +17,7 @@
   /** Interval of polls; a poll times out after twice this time. */
   readonly pollIntervalMs: number;
   readonly clock: contracts.Clock;
-  readonly log: PartLog;
+  readonly log: Logger;
 }
 
 /** Polls the VM list and looks up addresses of servers. */
