--- a/packages/ctl/src/answers.ts
+++ b/packages/ctl/src/answers.ts
@@ -1,20 +1,23 @@
-/** Shapes of the administration API's answers, as far as they are shown. */
+/**
+ * Schemas of the admin API's responses. Unknown fields aren't checked; `--json`
+ * prints them as received.
+ */
 import * as contracts from "@guavatide/contracts";
 import * as z from "zod";
 
-const editSchema = z.looseObject({ operator: z.string(), at: z.string() });
+const lastEditSchema = z.looseObject({ operator: z.string(), at: z.string() });
 
-/** One object with its version. */
-export const draftAnswer = z.looseObject({
+/** A configuration object with its version and last edit. */
+export const draftSchema = z.looseObject({
   object: contracts.configObjectSchema,
   version: z.string(),
-  lastEdit: editSchema,
+  lastEdit: lastEditSchema,
 });
 
-/** All objects. */
-export const listAnswer = z.looseObject({
+/** Configuration objects, with the tag that identifies the whole set. */
+export const objectListSchema = z.looseObject({
   tag: z.string(),
-  objects: z.array(draftAnswer),
+  objects: z.array(draftSchema),
 });
 
 const findingSchema = z.looseObject({
@@ -24,18 +27,18 @@
   message: z.string(),
   remedy: z.string(),
 });
-/** One reason against publishing. */
-export type FindingAnswer = z.infer<typeof findingSchema>;
+/** A validation error that prevents publishing. */
+export type Finding = z.infer<typeof findingSchema>;
 
-/** Result of a check. */
-export const checkAnswer = z.looseObject({
+/** Result of validating the whole set; valid when `findings` is empty. */
+export const checkSchema = z.looseObject({
   findings: z.array(findingSchema),
   tag: z.string(),
   currentRevision: z.number(),
 });
 
-/** Result of a diff. */
-export const diffAnswer = checkAnswer.extend({
+/** Differences between the objects and the current revision. */
+export const diffSchema = checkSchema.extend({
   changes: z.array(
     z.looseObject({
       change: z.string(),
@@ -51,28 +54,28 @@
   ),
 });
 
-/** Result of a publish. */
-export const publishAnswer = z.looseObject({
+/** A published revision. */
+export const publishedRevisionSchema = z.looseObject({
   revision: z.number(),
   publishedBy: z.string(),
   publishedAt: z.string(),
 });
 
-/** Past publishes and drains. */
-export const historyAnswer = z.looseObject({
+/** Published revisions and drains, newest first. */
+export const historySchema = z.looseObject({
   history: z.array(
-    publishAnswer.extend({
+    publishedRevisionSchema.extend({
       changes: z.array(z.string()),
       changeCount: z.number(),
     }),
   ),
 });
 
-/** The configuration in force at one VM; null before the first. */
-export const configAnswer = contracts.publishedConfigSchema.nullable();
+/** The configuration that a VM applies; null before its first revision. */
+export const configSchema = contracts.publishedConfigSchema.nullable();
 
-/** What each entry VM has in force. */
-export const vmsAnswer = z.looseObject({
+/** Revision that each entry VM applies, as known to the VM that responds. */
+export const vmsSchema = z.looseObject({
   vm: z.string(),
   isWatcher: z.boolean(),
   confirmedAgeMs: z.number().nullable(),
@@ -85,8 +88,8 @@
   ),
 });
 
-/** Backend servers. */
-export const serversAnswer = z.looseObject({
+/** Backend servers with their states and drains. */
+export const serversSchema = z.looseObject({
   servers: z.array(
     z.looseObject({
       server: z.string(),
@@ -100,20 +103,20 @@
   ),
 });
 
-/** Drained servers. */
-export const drainsAnswer = z.looseObject({
+/** Servers that operators have drained. */
+export const drainsSchema = z.looseObject({
   drains: z.array(contracts.drainSchema),
 });
 
-/** Slices of one service. */
-export const slicesAnswer = z.looseObject({
+/** Slices of one service's key range, with their owners. */
+export const slicesSchema = z.looseObject({
   service: z.string(),
   revision: z.number(),
   slices: z.array(contracts.sliceSchema.extend({ id: z.string() })),
 });
 
-/** Owner of one key. */
-export const keyOwnerAnswer = z.looseObject({
+/** Owner of one key; `owner` has no server while nobody owns the key. */
+export const keyOwnerSchema = z.looseObject({
   service: z.string(),
   key: z.string(),
   keyHash: z.number(),
@@ -125,8 +128,8 @@
   }),
 });
 
-/** Steps of moves, newest first. */
-export const movesAnswer = z.looseObject({
+/** Steps of slice handovers, newest first. */
+export const handoverStepsSchema = z.looseObject({
   lines: z.array(
     z.looseObject({
       at: z.string(),
@@ -141,8 +144,8 @@
   ),
 });
 
-/** Changes by operators, newest first. */
-export const auditAnswer = z.looseObject({
+/** Audit log of operators' changes, newest first. */
+export const auditLogSchema = z.looseObject({
   lines: z.array(
     z.looseObject({
       at: z.string(),
--- a/packages/ctl/src/api_client.ts
+++ b/packages/ctl/src/api_client.ts
@@ -1,15 +1,16 @@
-/** Calls the administration API of one entry VM. */
+/** HTTP client for the admin API of one entry VM. */
 import * as neverthrow from "neverthrow";
 import * as undici from "undici";
 import * as z from "zod";
 import { type CtlError, EXIT_CODES } from "./ctl_error.ts";
 
-/** PEM texts for TLS. */
+/** TLS material, as PEM text. */
 export interface ClientTls {
-  /** Authorities that sign the API's certificate. */
+  /** CA certificates that the server's certificate is verified against. */
   readonly ca?: string;
-  /** Own certificate and key, when the API asks for one. */
+  /** Client certificate, for servers that require mutual TLS. */
   readonly cert?: string;
+  /** Private key of the client certificate. */
   readonly key?: string;
 }
 
@@ -17,30 +18,33 @@
 export interface ApiClientOptions {
   /** Base URL, such as `http://10.0.0.7:7402`. */
   readonly url: string;
+  /** Bearer token. */
   readonly token: string;
+  /** Timeout for connecting, and for the whole request. */
   readonly timeoutMs: number;
   readonly tls?: ClientTls;
 }
 
-/** One call. */
+/** A request to the admin API, with the schema of its response. */
 export interface ApiCall<Schema extends z.ZodType> {
   readonly method: "GET" | "PUT" | "POST" | "DELETE";
-  /** Path below the base URL, with its query. */
+  /** Absolute path with its query string. */
   readonly path: string;
+  /** Sent as JSON. */
   readonly body?: unknown;
-  /** Version or tag that the change is made on. */
+  /** Version or tag for `If-Match`; the API refuses a mismatch. */
   readonly ifMatch?: string;
-  /** Only create: refuse when the object is there. */
+  /** Sends `If-None-Match: *`; the API refuses when the object exists. */
   readonly isCreation?: boolean;
-  /** Shape of the answer. */
+  /** Schema that the response body must match. */
   readonly schema: Schema;
 }
 
-const errorSchema = z.object({
+const errorResponseSchema = z.object({
   error: z.looseObject({ kind: z.string(), message: z.string() }),
 });
 
-const EXIT_CODE_OF_STATUS: Readonly<Record<number, number>> = {
+const EXIT_CODES_BY_STATUS: Readonly<Record<number, number>> = {
   401: EXIT_CODES.denied,
   403: EXIT_CODES.denied,
   412: EXIT_CODES.conflict,
@@ -49,7 +53,7 @@
   504: EXIT_CODES.unknown,
 };
 
-/** The client side of the administration API. */
+/** Client for the admin API. */
 export class ApiClient {
   readonly #options: ApiClientOptions;
   readonly #agent: undici.Agent;
@@ -66,27 +70,31 @@
     return this.#agent.close();
   }
 
-  /** Makes one call and checks the shape of its answer. */
+  /**
+   * Sends a request and validates the response body. Fails with the API's error
+   * for a status of 400 or above, with `bad-answer` for a body that doesn't
+   * match the schema, and with `unreachable` or `unknown` without a response.
+   */
   async call<Schema extends z.ZodType>(
     call: ApiCall<Schema>,
   ): Promise<neverthrow.Result<z.infer<Schema>, CtlError>> {
     let status: number;
     let text: string;
     try {
-      const answer = await this.#request(call);
-      status = answer.statusCode;
-      text = await answer.body.text();
+      const response = await this.#request(call);
+      status = response.statusCode;
+      text = await response.body.text();
     } catch (error) {
-      return neverthrow.err(this.#notReached(call, error));
+      return neverthrow.err(this.#transportError(call, error));
     }
     const body = parseJson(text);
-    if (status >= 400) return neverthrow.err(toCtlError(status, body));
+    if (status >= 400) return neverthrow.err(errorFromResponse(status, body));
     const parsed = call.schema.safeParse(body);
     if (parsed.success) return neverthrow.ok(parsed.data);
     return neverthrow.err({
       kind: "bad-answer",
-      message: `${this.#options.url} answered in another form: check the ` +
-        "URL, and that both programs are of one release",
+      message: `"${this.#options.url}" sent an unexpected response: check ` +
+        "--url, and that the API and guavatidectl have the same version",
       exitCode: EXIT_CODES.refused,
     });
   }
@@ -110,37 +118,38 @@
   }
 
   /**
-   * A change whose answer was lost may have been made: told as "not reached",
-   * a script would repeat it. Only a connection that never stood proves that
-   * nothing was done.
+   * A change may have been applied although its response was lost. Reporting it
+   * as "unreachable" would make a script retry it. Only a failure to connect
+   * proves that the change was not applied.
    */
-  #notReached(call: ApiCall<z.ZodType>, error: unknown): CtlError {
+  #transportError(call: ApiCall<z.ZodType>, error: unknown): CtlError {
     const { url, timeoutMs } = this.#options;
-    const isHarmless = call.method === "GET" || isNotConnected(error);
-    if (isHarmless) {
+    const changedNothing = call.method === "GET" || isConnectFailure(error);
+    if (changedNothing) {
       return {
         kind: "unreachable",
-        message: `${url} did not answer (${reasonOf(error)}): check --url, ` +
+        message:
+          `"${url}" did not respond (${errorText(error)}): check --url, ` +
           "or try another entry VM",
         exitCode: EXIT_CODES.unavailable,
       };
     }
     return {
       kind: "unknown",
-      message: `${url} did not answer within ${timeoutMs} ms ` +
-        `(${reasonOf(error)}): look whether the change was made before you ` +
-        "repeat it",
+      message: `"${url}" did not respond within ${timeoutMs} ms ` +
+        `(${errorText(error)}): check whether the change was applied before ` +
+        "you retry it",
       exitCode: EXIT_CODES.unknown,
     };
   }
 }
 
-function toCtlError(status: number, body: unknown): CtlError {
-  const exitCode = EXIT_CODE_OF_STATUS[status] ?? EXIT_CODES.refused;
-  const parsed = errorSchema.safeParse(body);
+function errorFromResponse(status: number, body: unknown): CtlError {
+  const exitCode = EXIT_CODES_BY_STATUS[status] ?? EXIT_CODES.refused;
+  const parsed = errorResponseSchema.safeParse(body);
   if (!parsed.success) {
-    const message = `The answer was ${status} without a reason: check that ` +
-      "--url names the administration port";
+    const message = `The response had status ${status} and no error body: ` +
+      "check that --url points to the admin port";
     return { kind: "bad-answer", message, exitCode };
   }
   const { error } = parsed.data;
@@ -148,14 +157,14 @@
   return { kind, message, exitCode, details: error };
 }
 
-function isNotConnected(error: unknown): boolean {
+function isConnectFailure(error: unknown): boolean {
   const { code } = error as { readonly code?: string };
   return code === "ECONNREFUSED" || code === "EHOSTUNREACH" ||
     code === "ENETUNREACH" || code === "ENOTFOUND" ||
     code === "UND_ERR_CONNECT_TIMEOUT";
 }
 
-function reasonOf(error: unknown): string {
+function errorText(error: unknown): string {
   return error instanceof Error ? error.message : String(error);
 }
 
--- a/packages/ctl/src/cli.ts
+++ b/packages/ctl/src/cli.ts
@@ -1,4 +1,4 @@
-/** The command line `guavatidectl`, without the process around it. */
+/** Registers and runs the commands of `guavatidectl`. */
 import * as clipanion from "clipanion";
 import * as drains from "./commands/drain_commands.ts";
 import { ExplainCommand, LossesCommand } from "./commands/request_commands.ts";
@@ -34,7 +34,7 @@
   clipanion.Builtins.VersionCommand,
 ];
 
-/** Runs one command line and returns its exit code. */
+/** Runs a command, given its arguments, and resolves to the exit code. */
 export async function runCli(
   args: string[],
   context: clipanion.BaseContext,
@@ -43,26 +43,26 @@
     binaryLabel: "guavatidectl, the operators' command line of guavatide",
     binaryName: "guavatidectl",
     binaryVersion: VERSION,
-    // Escape codes in a file or a pipe hinder the script that reads it.
+    // Scripts that read a file or a pipe can't handle color escape codes.
     enableColors: process.stdout.isTTY === true,
   });
   for (const command of COMMANDS) cli.register(command);
   try {
-    // Parsed apart from the run, so that scripts can tell a mistyped command
-    // from one that the API refused.
+    // Parses before running, so that a mistyped command gets its own exit code
+    // and scripts can tell it from one that the API refused.
     const command = cli.process(args, context);
     return await cli.run(command, context);
   } catch (error) {
-    context.stderr.write(usageText(error, args));
+    context.stderr.write(formatUsageError(error, args));
     return EXIT_CODES.usage;
   }
 }
 
-/** One line, where the library would list every command there is. */
-function usageText(error: unknown, args: readonly string[]): string {
+/** One line, because the library's own message lists every command. */
+function formatUsageError(error: unknown, args: readonly string[]): string {
   const { name, message } = error as Error;
   const reason = name === "UnknownSyntaxError"
-    ? `Cannot read "${args.join(" ")}"`
+    ? `Cannot parse "${args.join(" ")}"`
     : message;
   return `guavatidectl: ${reason}: see "guavatidectl --help", or ` +
     '"guavatidectl COMMAND --help"\n';
--- a/packages/ctl/src/cli_test.ts
+++ b/packages/ctl/src/cli_test.ts
@@ -12,32 +12,35 @@
   lastEdit: { operator: "ana", at: "2026-01-01T00:00:00Z" },
 };
 
-interface Seen {
+interface RecordedRequest {
   readonly method: string;
   readonly path: string;
   readonly headers: http.IncomingHttpHeaders;
   readonly body: string;
 }
 
-type Handler = (seen: Seen, response: http.ServerResponse) => void;
+type Handler = (
+  request: RecordedRequest,
+  response: http.ServerResponse,
+) => void;
 
-/** An administration API that answers as the test says. */
+/** An HTTP server that records requests; `handler` writes the responses. */
 class FakeApi {
-  readonly seen: Seen[] = [];
+  readonly requests: RecordedRequest[] = [];
   readonly #server: http.Server;
 
   constructor(handler: Handler) {
     this.#server = http.createServer(async (request, response) => {
       let body = "";
       for await (const chunk of request) body += chunk;
-      const seen = {
+      const recorded = {
         method: request.method!,
         path: request.url!,
         headers: request.headers,
         body,
       };
-      this.seen.push(seen);
-      handler(seen, response);
+      this.requests.push(recorded);
+      handler(recorded, response);
     });
   }
 
@@ -78,14 +81,14 @@
   };
 }
 
-function answer(status: number, body: unknown): Handler {
-  return (_seen, response) => {
+function respondWith(status: number, body: unknown): Handler {
+  return (_request, response) => {
     response.writeHead(status, { "content-type": "application/json" });
     response.end(JSON.stringify(body));
   };
 }
 
-const REFUSALS = [
+const ERROR_RESPONSES = [
   { status: 401, kind: "unauthorized", code: EXIT_CODES.denied },
   { status: 403, kind: "forbidden", code: EXIT_CODES.denied },
   { status: 404, kind: "not-found", code: EXIT_CODES.refused },
@@ -95,10 +98,10 @@
   { status: 504, kind: "unknown", code: EXIT_CODES.unknown },
 ];
 
-for (const { status, kind, code } of REFUSALS) {
-  test(`should exit with ${code} on ${status} and tell why`, async (t) => {
+for (const { status, kind, code } of ERROR_RESPONSES) {
+  test(`should exit with ${code} on ${status} and print why`, async (t) => {
     const error = { kind, message: "What was seen: what to do" };
-    const api = await FakeApi.open(t, answer(status, { error }));
+    const api = await FakeApi.open(t, respondWith(status, { error }));
     const asText = await run(["history", "--url", api.url]);
     expect(asText.code).toEqual(code);
     expect(asText.err).toEqual(`guavatidectl: ${error.message}\n`);
@@ -107,10 +110,10 @@
   });
 }
 
-// The connection breaks after the change has reached the API. A script told
-// "not reached" would send it again.
-test("should call the fate of a change unknown when no answer came", async (t) => {
-  const api = await FakeApi.open(t, (_seen, response) => {
+// The connection breaks after the API has received the change. A script would
+// retry the change if it were reported as unreachable.
+test("should exit with unknown when a change gets no response", async (t) => {
+  const api = await FakeApi.open(t, (_request, response) => {
     response.socket?.destroy();
   });
   const changed = await run(["drain", "a-1", "--url", api.url]);
@@ -119,8 +122,8 @@
   expect(read.code).toEqual(EXIT_CODES.unavailable);
 });
 
-test("should set fields on the version it has read", async (t) => {
-  const api = await FakeApi.open(t, answer(200, DRAFT));
+test("should edit fields on the version it has fetched", async (t) => {
+  const api = await FakeApi.open(t, respondWith(200, DRAFT));
   const edited = await run([
     "edit",
     "place/yoff",
@@ -130,14 +133,14 @@
     api.url,
   ]);
   expect(edited.code).toEqual(EXIT_CODES.ok);
-  const { method, path, headers, body } = api.seen[1]!;
+  const { method, path, headers, body } = api.requests[1]!;
   expect(`${method} ${path}`).toEqual("PUT /v1/objects/place/yoff");
   expect(headers["if-match"]).toEqual('"v1"');
   expect(JSON.parse(body)).toEqual({ ...DRAFT.object, region: "thies" });
 });
 
-test("should print an object that can be sent back", async (t) => {
-  const api = await FakeApi.open(t, answer(200, DRAFT));
+test("should print an object that can be passed back to the API", async (t) => {
+  const api = await FakeApi.open(t, respondWith(200, DRAFT));
   const got = await run(["get", "place/yoff", "--url", api.url]);
   expect(JSON.parse(got.out)).toEqual(DRAFT.object);
   expect(got.err).toEqual("version v1\n");
@@ -153,7 +156,7 @@
 ];
 
 for (const args of USAGE_ERRORS) {
-  test(`should refuse "${args.join(" ")}" in one line`, async () => {
+  test(`should refuse "${args.join(" ")}" with one line`, async () => {
     const refused = await run([...args]);
     expect(refused.code).toEqual(EXIT_CODES.usage);
     expect(refused.err.trimEnd().includes("\n")).toEqual(false);
--- a/packages/ctl/src/commands/api_command.ts
+++ b/packages/ctl/src/commands/api_command.ts
@@ -1,4 +1,4 @@
-/** What all commands that call the administration API share. */
+/** Base class and file helpers of the commands that call the admin API. */
 import * as clipanion from "clipanion";
 import * as neverthrow from "neverthrow";
 import * as fs from "node:fs";
@@ -8,56 +8,60 @@
 
 const DEFAULT_URL = "http://127.0.0.1:7402";
 const DEFAULT_TIMEOUT_MS = 10_000;
-const STANDARD_INPUT = 0;
+const STDIN_FILE_DESCRIPTOR = 0;
 
-/** Result of a command's work: what to print. */
+/** What a successful command prints, and its exit code. */
 export interface CommandOutput {
-  /** The API's answer, for `--json`. */
+  /** The response body, printed with `--json`. */
   readonly json: unknown;
-  /** The same for people. */
+  /** Text printed without `--json`. */
   readonly text: string;
-  /** 0 unless given. */
+  /** Defaults to 0. */
   readonly exitCode?: number;
 }
 
-/** Outcome of a command's work. */
+/** Resolves to a command's output, or to the error that ends it. */
 export type CommandResult = Promise<
   neverthrow.Result<CommandOutput, CtlError>
 >;
 
-/** A command that calls the administration API. */
+/**
+ * A command that calls the admin API. Provides the options for the connection
+ * and the output format, and prints the command's result.
+ */
 export abstract class ApiCommand extends clipanion.Command {
   url = clipanion.Option.String("--url", {
     env: "GUAVATIDE_URL",
-    description: `Administration API of any entry VM (${DEFAULT_URL})`,
+    description: `URL of any entry VM's admin API (default: ${DEFAULT_URL})`,
   });
   tokenFile = clipanion.Option.String("--token-file", {
     env: "GUAVATIDE_TOKEN_FILE",
-    description: "File with the bearer token; or set GUAVATIDE_TOKEN",
+    description:
+      "File with the bearer token (default: GUAVATIDE_TOKEN's value)",
   });
   caFile = clipanion.Option.String("--ca-file", {
     env: "GUAVATIDE_CA_FILE",
-    description: "PEM file with the authorities that sign the API",
+    description: "PEM file with the CA certificates to verify the server with",
   });
   certFile = clipanion.Option.String("--cert-file", {
-    description: "PEM file with your certificate, when the API asks for one",
+    description: "PEM file with the client certificate, for mutual TLS",
   });
   keyFile = clipanion.Option.String("--key-file", {
-    description: "PEM file with its key",
+    description: "PEM file with the client certificate's private key",
   });
   timeoutMs = clipanion.Option.String("--timeout-ms", {
-    description: `Time for one call in milliseconds (${DEFAULT_TIMEOUT_MS})`,
+    description: `Timeout per request in ms (default: ${DEFAULT_TIMEOUT_MS})`,
   });
   isJson = clipanion.Option.Boolean("--json", false, {
-    description: "Print the answer, or the error, as one JSON object",
+    description: "Print the response, or the error, as a JSON object",
   });
 
   #client: ApiClient | undefined;
 
-  /** Does the command's work. */
-  protected abstract work(): CommandResult;
+  /** Runs the command; {@link execute} prints what it returns. */
+  protected abstract run(): CommandResult;
 
-  /** Makes one call. */
+  /** Sends one request; only for use in {@link run}. */
   protected call<Schema extends z.ZodType>(
     call: ApiCall<Schema>,
   ): Promise<neverthrow.Result<z.infer<Schema>, CtlError>> {
@@ -66,11 +70,11 @@
 
   override async execute(): Promise<number> {
     const client = this.#createClient();
-    if (client.isErr()) return this.#fail(client.error);
+    if (client.isErr()) return this.#writeError(client.error);
     this.#client = client.value;
-    const result = await this.work();
+    const result = await this.run();
     await this.#client.close();
-    if (result.isErr()) return this.#fail(result.error);
+    if (result.isErr()) return this.#writeError(result.error);
     const { json, text, exitCode } = result.value;
     this.context.stdout.write(
       this.isJson ? `${JSON.stringify(json)}\n` : text,
@@ -81,12 +85,14 @@
   #createClient(): neverthrow.Result<ApiClient, CtlError> {
     const timeoutMs = Number(this.timeoutMs ?? DEFAULT_TIMEOUT_MS);
     if (!Number.isInteger(timeoutMs) || timeoutMs < 1) {
-      const message = `--timeout-ms "${this.timeoutMs}": use a whole number`;
+      const message =
+        `Invalid --timeout-ms "${this.timeoutMs}": use a whole number from 1`;
       return neverthrow.err(usageError(message));
     }
     const url = this.url ?? DEFAULT_URL;
     if (!URL.canParse(url)) {
-      const message = `--url "${url}": use a whole URL, such as ${DEFAULT_URL}`;
+      const message =
+        `Invalid --url "${url}": use an absolute URL like ${DEFAULT_URL}`;
       return neverthrow.err(usageError(message));
     }
     return this.#readToken().andThen((token) =>
@@ -96,7 +102,7 @@
     );
   }
 
-  /** Not an option of its own: a process listing would show it to everyone. */
+  /** The token itself is no option, because process listings show arguments. */
   #readToken(): neverthrow.Result<string, CtlError> {
     const token = process.env.GUAVATIDE_TOKEN;
     if (this.tokenFile !== undefined) {
@@ -104,19 +110,19 @@
     }
     if (token !== undefined && token !== "") return neverthrow.ok(token);
     return neverthrow.err(
-      usageError("No token: set GUAVATIDE_TOKEN or use --token-file"),
+      usageError("Token is missing: set GUAVATIDE_TOKEN or use --token-file"),
     );
   }
 
   #readTls(): neverthrow.Result<ClientTls, CtlError> {
     return neverthrow.Result.combine([
-      readOptional(this.caFile),
-      readOptional(this.certFile),
-      readOptional(this.keyFile),
+      readOptionalFile(this.caFile),
+      readOptionalFile(this.certFile),
+      readOptionalFile(this.keyFile),
     ]).map(([ca, cert, key]) => ({ ca, cert, key }));
   }
 
-  #fail(error: CtlError): number {
+  #writeError(error: CtlError): number {
     const { kind, message, exitCode, details } = error;
     this.context.stderr.write(
       this.isJson
@@ -127,10 +133,10 @@
   }
 }
 
-/** Reads a file, or standard input for `-`. */
+/** Reads a UTF-8 file, or standard input for `-`; a usage error on failure. */
 export function readFile(path: string): neverthrow.Result<string, CtlError> {
   try {
-    const source = path === "-" ? STANDARD_INPUT : path;
+    const source = path === "-" ? STDIN_FILE_DESCRIPTOR : path;
     return neverthrow.ok(fs.readFileSync(source, "utf8"));
   } catch (error) {
     const message = `Cannot read "${path}" (${String(error)}): check the path`;
@@ -138,7 +144,7 @@
   }
 }
 
-/** Reads JSON from a file, or from standard input for `-`. */
+/** Like {@link readFile}, and parses JSON; a usage error when it is invalid. */
 export function readJsonFile(
   path: string,
 ): neverthrow.Result<unknown, CtlError> {
@@ -146,13 +152,15 @@
     try {
       return neverthrow.ok(JSON.parse(text) as unknown);
     } catch (error) {
-      const message = `"${path}" is not JSON (${String(error)}): mend it`;
+      const message = `"${path}" is not valid JSON (${
+        String(error)
+      }): correct it`;
       return neverthrow.err(usageError(message));
     }
   });
 }
 
-function readOptional(
+function readOptionalFile(
   path: string | undefined,
 ): neverthrow.Result<string | undefined, CtlError> {
   return path === undefined ? neverthrow.ok(undefined) : readFile(path);
--- a/packages/ctl/src/commands/drain_commands.ts
+++ b/packages/ctl/src/commands/drain_commands.ts
@@ -1,6 +1,6 @@
 /** Commands that drain servers and return them to service. */
 import * as clipanion from "clipanion";
-import * as answers from "../answers.ts";
+import * as schemas from "../answers.ts";
 import { formatTable } from "../table.ts";
 import { ApiCommand, type CommandResult } from "./api_command.ts";
 
@@ -11,16 +11,16 @@
   static override paths = [["drains"]];
   static override usage = clipanion.Command.Usage({
     category: CATEGORY,
-    description: "List the servers that operators drain",
+    description: "List the servers that operators have drained",
   });
 
-  protected override async work(): CommandResult {
-    const read = await this.call({
+  protected override async run(): CommandResult {
+    const listed = await this.call({
       method: "GET",
       path: "/v1/drains",
-      schema: answers.drainsAnswer,
+      schema: schemas.drainsSchema,
     });
-    return read.map((json) => ({
+    return listed.map((json) => ({
       json,
       text: formatTable(
         ["SERVER", "BY", "AT", "REASON"],
@@ -40,7 +40,8 @@
   static override paths = [["drain"]];
   static override usage = clipanion.Command.Usage({
     category: CATEGORY,
-    description: "Give a server no new work until it is returned",
+    description:
+      "Send a server no new requests until it is returned to service",
     examples: [[
       "Drain a server",
       'guavatidectl drain availability-3 --reason "new disk"',
@@ -49,15 +50,15 @@
 
   server = clipanion.Option.String({ name: "server" });
   reason = clipanion.Option.String("--reason", "", {
-    description: "Why, for the audit",
+    description: "Reason to record in the audit log",
   });
 
-  protected override async work(): CommandResult {
+  protected override async run(): CommandResult {
     const drained = await this.call({
       method: "PUT",
       path: `/v1/drains/${encodeURIComponent(this.server)}`,
       body: { reason: this.reason },
-      schema: answers.drainsAnswer,
+      schema: schemas.drainsSchema,
     });
     return drained.map((json) => ({
       json,
@@ -76,11 +77,11 @@
 
   server = clipanion.Option.String({ name: "server" });
 
-  protected override async work(): CommandResult {
+  protected override async run(): CommandResult {
     const returned = await this.call({
       method: "DELETE",
       path: `/v1/drains/${encodeURIComponent(this.server)}`,
-      schema: answers.drainsAnswer,
+      schema: schemas.drainsSchema,
     });
     return returned.map((json) => ({
       json,
--- a/packages/ctl/src/commands/object_commands.ts
+++ b/packages/ctl/src/commands/object_commands.ts
@@ -1,34 +1,34 @@
-/** Commands on single objects: list, get, create, edit, delete. */
+/** Commands on configuration objects: list, get, create, edit, delete. */
 import * as clipanion from "clipanion";
 import * as neverthrow from "neverthrow";
 import * as z from "zod";
-import * as answers from "../answers.ts";
+import * as schemas from "../answers.ts";
 import { type CtlError, usageError } from "../ctl_error.ts";
 import { formatTable } from "../table.ts";
 import { ApiCommand, type CommandResult, readJsonFile } from "./api_command.ts";
 
 const CATEGORY = "Objects";
-const FILE_HELP = 'JSON file with the object, "-" for standard input';
+const FILE_DESCRIPTION = 'JSON file with the object, or "-" for standard input';
 
 /** `list [KIND]`. */
 export class ListCommand extends ApiCommand {
   static override paths = [["list"]];
   static override usage = clipanion.Command.Usage({
     category: CATEGORY,
-    description: "List the objects with their versions",
+    description: "List the configuration objects with their versions",
     examples: [["List the cost shares", "guavatidectl list cost-share"]],
   });
 
   kind = clipanion.Option.String({ name: "kind", required: false });
 
-  protected override async work(): CommandResult {
+  protected override async run(): CommandResult {
     const query = this.kind === undefined
       ? ""
       : `?${new URLSearchParams({ kind: this.kind })}`;
     const listed = await this.call({
       method: "GET",
       path: `/v1/objects${query}`,
-      schema: answers.listAnswer,
+      schema: schemas.objectListSchema,
     });
     return listed.map((json) => ({
       json,
@@ -45,30 +45,32 @@
   }
 }
 
-/** A command on one object. */
+/** A command on a single object. */
 abstract class ObjectCommand extends ApiCommand {
   object = clipanion.Option.String({ name: "KIND/NAME" });
 
+  /** The object's API path; a usage error unless it reads KIND/NAME. */
   protected objectPath(): neverthrow.Result<string, CtlError> {
     const [kind, name, ...rest] = this.object.split("/");
     if (!kind || !name || rest.length > 0) {
-      const message = `"${this.object}": name an object as KIND/NAME, such ` +
+      const message = `Invalid object "${this.object}": use KIND/NAME, such ` +
         "as cost-share/availability-split";
       return neverthrow.err(usageError(message));
     }
-    const parts = [kind, name].map(encodeURIComponent);
-    return neverthrow.ok(`/v1/objects/${parts.join("/")}`);
+    const segments = [kind, name].map(encodeURIComponent);
+    return neverthrow.ok(`/v1/objects/${segments.join("/")}`);
   }
 
-  protected async read(
+  /** Fetches the object with its version. */
+  protected async fetchObject(
     path: string,
   ): Promise<
-    neverthrow.Result<z.infer<typeof answers.draftAnswer>, CtlError>
+    neverthrow.Result<z.infer<typeof schemas.draftSchema>, CtlError>
   > {
     return await this.call({
       method: "GET",
       path,
-      schema: answers.draftAnswer,
+      schema: schemas.draftSchema,
     });
   }
 }
@@ -78,17 +80,17 @@
   static override paths = [["get"]];
   static override usage = clipanion.Command.Usage({
     category: CATEGORY,
-    description: "Print an object; its version goes to standard error",
+    description: "Print an object, and its version to standard error",
     examples: [["Get a split", "guavatidectl get cost-share/split"]],
   });
 
-  protected override async work(): CommandResult {
+  protected override async run(): CommandResult {
     const path = this.objectPath();
     if (path.isErr()) return neverthrow.err(path.error);
-    const read = await this.read(path.value);
-    return read.map((json) => {
-      // Kept off standard output, so that it can be saved, edited and sent
-      // back as it is.
+    const fetched = await this.fetchObject(path.value);
+    return fetched.map((json) => {
+      // On standard error, so that standard output holds only the object and
+      // can be edited and passed back to `edit --file`.
       if (!this.isJson) this.context.stderr.write(`version ${json.version}\n`);
       return { json, text: `${JSON.stringify(json.object, null, 2)}\n` };
     });
@@ -100,7 +102,7 @@
   static override paths = [["create"]];
   static override usage = clipanion.Command.Usage({
     category: CATEGORY,
-    description: "Create an object that is not there yet",
+    description: "Create an object; refused when it exists already",
     examples: [[
       "Create an availability zone",
       'echo \'{"region":"dakar"}\' | guavatidectl create place/yoff --file -',
@@ -109,10 +111,10 @@
 
   file = clipanion.Option.String("--file", {
     required: true,
-    description: FILE_HELP,
+    description: FILE_DESCRIPTION,
   });
 
-  protected override async work(): CommandResult {
+  protected override async run(): CommandResult {
     const path = this.objectPath();
     if (path.isErr()) return neverthrow.err(path.error);
     const body = readJsonFile(this.file);
@@ -122,7 +124,7 @@
       path: path.value,
       body: body.value,
       isCreation: true,
-      schema: answers.draftAnswer,
+      schema: schemas.draftSchema,
     });
     return created.map((json) => ({
       json,
@@ -136,35 +138,36 @@
   static override paths = [["edit"]];
   static override usage = clipanion.Command.Usage({
     category: CATEGORY,
-    description: "Edit an object on the version you have seen",
-    details: "With --set, the fields are set on the object as it stands; " +
-      "name --version as well to be sure that it is the one you have seen. " +
-      "Exit code 3 says that another operator was faster.",
+    description: "Edit an object, unless its version has changed",
+    details:
+      "With --set, the fields are set on the current object; add --version " +
+      "to refuse the edit when the object has changed since you read it. " +
+      "Exit code 3 means that the object has changed in the meantime.",
     examples: [[
       "Set one field",
       "guavatidectl edit service/availability --set timeoutMs=1500",
     ]],
   });
 
-  file = clipanion.Option.String("--file", { description: FILE_HELP });
+  file = clipanion.Option.String("--file", { description: FILE_DESCRIPTION });
   set = clipanion.Option.Array("--set", [], {
-    description: "FIELD=JSON, may be repeated",
+    description: "Field to set, as FIELD=JSON; may be repeated",
   });
   version = clipanion.Option.String("--version", {
-    description: "Version that the edit is made on",
+    description: "Version that the edit is based on, as `get` prints it",
   });
 
-  protected override async work(): CommandResult {
+  protected override async run(): CommandResult {
     const path = this.objectPath();
     if (path.isErr()) return neverthrow.err(path.error);
-    const edit = await this.#prepare(path.value);
+    const edit = await this.#prepareEdit(path.value);
     if (edit.isErr()) return neverthrow.err(edit.error);
     const edited = await this.call({
       method: "PUT",
       path: path.value,
       body: edit.value.body,
       ifMatch: edit.value.version,
-      schema: answers.draftAnswer,
+      schema: schemas.draftSchema,
     });
     return edited.map((json) => ({
       json,
@@ -172,7 +175,7 @@
     }));
   }
 
-  async #prepare(
+  async #prepareEdit(
     path: string,
   ): Promise<neverthrow.Result<{ body: unknown; version: string }, CtlError>> {
     if ((this.file === undefined) === (this.set.length === 0)) {
@@ -181,15 +184,16 @@
     if (this.file !== undefined) {
       const { version } = this;
       if (version === undefined) {
-        const message = "Name --version, as `get` has printed it";
+        const message =
+          "--version is missing: use the version that `get` prints";
         return neverthrow.err(usageError(message));
       }
       return readJsonFile(this.file).map((body) => ({ body, version }));
     }
     const fields = parseFields(this.set);
     if (fields.isErr()) return neverthrow.err(fields.error);
-    const read = await this.read(path);
-    return read.map(({ object, version }) => ({
+    const fetched = await this.fetchObject(path);
+    return fetched.map(({ object, version }) => ({
       body: { ...object, ...fields.value },
       version: this.version ?? version,
     }));
@@ -201,15 +205,15 @@
   static override paths = [["delete"]];
   static override usage = clipanion.Command.Usage({
     category: CATEGORY,
-    description: "Delete an object on the version you have seen",
+    description: "Delete an object, unless its version has changed",
   });
 
   version = clipanion.Option.String("--version", {
     required: true,
-    description: "Version that `get` has printed",
+    description: "Version of the object, as `get` prints it",
   });
 
-  protected override async work(): CommandResult {
+  protected override async run(): CommandResult {
     const path = this.objectPath();
     if (path.isErr()) return neverthrow.err(path.error);
     const deleted = await this.call({
@@ -225,18 +229,19 @@
   }
 }
 
+/** Parses `FIELD=JSON` pairs; a usage error for the first invalid one. */
 function parseFields(
   pairs: readonly string[],
 ): neverthrow.Result<Record<string, unknown>, CtlError> {
   const fields: Record<string, unknown> = {};
   for (const pair of pairs) {
-    const at = pair.indexOf("=");
+    const separator = pair.indexOf("=");
     try {
-      if (at < 1) throw new Error("no field name");
-      fields[pair.slice(0, at)] = JSON.parse(pair.slice(at + 1));
+      if (separator < 1) throw new Error("Field name is missing");
+      fields[pair.slice(0, separator)] = JSON.parse(pair.slice(separator + 1));
     } catch {
-      const message = `--set "${pair}": write FIELD=JSON, with texts in ` +
-        "double quotes";
+      const message = `Invalid --set "${pair}": use FIELD=JSON, with strings ` +
+        "in double quotes";
       return neverthrow.err(usageError(message));
     }
   }
--- a/packages/ctl/src/commands/publish_commands.ts
+++ b/packages/ctl/src/commands/publish_commands.ts
@@ -1,7 +1,7 @@
 /** Commands on the whole set: check, diff, publish, history, config. */
 import * as clipanion from "clipanion";
 import * as neverthrow from "neverthrow";
-import * as answers from "../answers.ts";
+import * as schemas from "../answers.ts";
 import { type CtlError, EXIT_CODES } from "../ctl_error.ts";
 import { formatTable } from "../table.ts";
 import { ApiCommand, type CommandResult } from "./api_command.ts";
@@ -13,18 +13,19 @@
   static override paths = [["check"]];
   static override usage = clipanion.Command.Usage({
     category: CATEGORY,
-    description: "Check the whole set; exit code 4 when something is wrong",
+    description:
+      "Validate the whole set of objects; exit code 4 when it is invalid",
   });
 
-  protected override async work(): CommandResult {
+  protected override async run(): CommandResult {
     const checked = await this.call({
       method: "GET",
       path: "/v1/check",
-      schema: answers.checkAnswer,
+      schema: schemas.checkSchema,
     });
     return checked.map((json) => ({
       json,
-      text: findingsText(json.findings),
+      text: formatFindings(json.findings),
       exitCode: json.findings.length === 0
         ? EXIT_CODES.ok
         : EXIT_CODES.findings,
@@ -37,20 +38,21 @@
   static override paths = [["diff"]];
   static override usage = clipanion.Command.Usage({
     category: CATEGORY,
-    description: "Show what a publish would change, with the tag to publish",
+    description:
+      "Show what a publish would change, and the tag to publish with",
   });
 
-  protected override async work(): CommandResult {
-    const compared = await this.call({
+  protected override async run(): CommandResult {
+    const diff = await this.call({
       method: "GET",
       path: "/v1/diff",
-      schema: answers.diffAnswer,
+      schema: schemas.diffSchema,
     });
-    return compared.map((json) => ({
+    return diff.map((json) => ({
       json,
       text: `from revision ${json.currentRevision}\n` +
-        json.changes.map(changeText).join("") +
-        findingsText(json.findings) + `tag ${json.tag}\n`,
+        json.changes.map(formatChange).join("") +
+        formatFindings(json.findings) + `tag ${json.tag}\n`,
     }));
   }
 }
@@ -60,37 +62,39 @@
   static override paths = [["publish"]];
   static override usage = clipanion.Command.Usage({
     category: CATEGORY,
-    description: "Put the whole set in force at every entry VM",
-    details: "With --tag, as `diff` has printed it, the set is published " +
-      "only if nobody has edited it since. Without, it is published as it " +
-      "stands. Exit code 3 says that somebody was faster, 4 that the set " +
-      "was refused, 7 that nobody knows: look at `history` then.",
+    description: "Publish all objects to every entry VM as a new revision",
+    details:
+      "With the --tag that `diff` prints, the objects are published only if " +
+      "none has been edited since. Without it, the current objects are " +
+      "published. Exit code 3 means an edit in the meantime, 4 that the " +
+      "objects are invalid, 7 an unknown result: check `history` then.",
   });
 
   tag = clipanion.Option.String("--tag", {
-    description: "Tag that `diff` has printed",
+    description: "Tag of the objects to publish, as `diff` prints it",
   });
 
-  protected override async work(): CommandResult {
-    const tag = await this.#tag();
+  protected override async run(): CommandResult {
+    const tag = await this.#resolveTag();
     if (tag.isErr()) return neverthrow.err(tag.error);
     const published = await this.call({
       method: "POST",
       path: "/v1/publish",
       ifMatch: tag.value,
-      schema: answers.publishAnswer,
+      schema: schemas.publishedRevisionSchema,
     });
     return published
       .map((json) => ({ json, text: `revision ${json.revision} published\n` }))
-      .mapErr(withFindings);
+      .mapErr(appendFindings);
   }
 
-  async #tag(): Promise<neverthrow.Result<string, CtlError>> {
+  /** The option's tag, or that of the current objects. */
+  async #resolveTag(): Promise<neverthrow.Result<string, CtlError>> {
     if (this.tag !== undefined) return neverthrow.ok(this.tag);
     const checked = await this.call({
       method: "GET",
       path: "/v1/check",
-      schema: answers.checkAnswer,
+      schema: schemas.checkSchema,
     });
     return checked.map(({ tag }) => tag);
   }
@@ -104,13 +108,13 @@
     description: "Show past publishes and drains, newest first",
   });
 
-  protected override async work(): CommandResult {
-    const read = await this.call({
+  protected override async run(): CommandResult {
+    const response = await this.call({
       method: "GET",
       path: "/v1/history",
-      schema: answers.historyAnswer,
+      schema: schemas.historySchema,
     });
-    return read.map((json) => ({
+    return response.map((json) => ({
       json,
       text: formatTable(
         ["REVISION", "BY", "AT", "CHANGES"],
@@ -118,7 +122,7 @@
           entry.revision,
           entry.publishedBy,
           entry.publishedAt,
-          changesText(entry.changes, entry.changeCount),
+          formatChangeSummary(entry.changes, entry.changeCount),
         ]),
       ),
     }));
@@ -130,55 +134,64 @@
   static override paths = [["config"]];
   static override usage = clipanion.Command.Usage({
     category: CATEGORY,
-    description: "Print the configuration in force at the VM that is asked",
+    description: "Print the configuration that the contacted VM applies",
   });
 
-  protected override async work(): CommandResult {
-    const read = await this.call({
+  protected override async run(): CommandResult {
+    const response = await this.call({
       method: "GET",
       path: "/v1/config",
-      schema: answers.configAnswer,
+      schema: schemas.configSchema,
     });
-    return read.map((json) => ({
+    return response.map((json) => ({
       json,
       text: `${JSON.stringify(json, null, 2)}\n`,
     }));
   }
 }
 
-function findingsText(findings: readonly answers.FindingAnswer[]): string {
+function formatFindings(findings: readonly schemas.Finding[]): string {
   if (findings.length === 0) return "nothing stands against publishing\n";
-  return findings.map(findingText).join("");
+  return findings.map(formatFinding).join("");
 }
 
-function findingText(finding: answers.FindingAnswer): string {
+function formatFinding(finding: schemas.Finding): string {
   const { object, field, kind, message, remedy } = finding;
-  const place = [object, field].filter((part) => part !== "").join(" ");
-  return `${place || "(whole set)"}: ${kind}. ${message}. ${remedy}\n`;
+  const location = [object, field].filter((part) => part !== "").join(" ");
+  return `${location || "(whole set)"}: ${kind}. ${message}. ${remedy}\n`;
 }
 
-type Change = { change: string; object: string; fields: readonly Field[] };
-type Field = { field: string; from?: string; to?: string };
+type ObjectChange = {
+  change: string;
+  object: string;
+  fields: readonly FieldChange[];
+};
+type FieldChange = { field: string; from?: string; to?: string };
 
-function changeText({ change, object, fields }: Change): string {
+function formatChange({ change, object, fields }: ObjectChange): string {
   const lines = fields.map(({ field, from, to }) =>
     `  ${field}: ${from ?? "(none)"} -> ${to ?? "(none)"}\n`
   );
   return `${change} ${object}\n${lines.join("")}`;
 }
 
-function changesText(changes: readonly string[], count: number): string {
-  const more = count - changes.length;
-  return changes.join(", ") + (more > 0 ? ` and ${more} more` : "");
+/** Lists the changes; the API leaves some out when `count` is higher. */
+function formatChangeSummary(
+  changes: readonly string[],
+  count: number,
+): string {
+  const omittedCount = count - changes.length;
+  return changes.join(", ") +
+    (omittedCount > 0 ? ` and ${omittedCount} more` : "");
 }
 
-/** Appends the findings to the message, as the refusal alone helps nobody. */
-function withFindings(error: CtlError): CtlError {
+/** Appends the findings, because the API's message doesn't list them. */
+function appendFindings(error: CtlError): CtlError {
   if (error.exitCode !== EXIT_CODES.findings) return error;
   const { details } = error;
-  const parsed = answers.checkAnswer.shape.findings
+  const parsed = schemas.checkSchema.shape.findings
     .safeParse((details as { findings?: unknown }).findings);
   if (!parsed.success) return error;
-  const message = `${error.message}\n${findingsText(parsed.data).trimEnd()}`;
+  const message = `${error.message}\n${formatFindings(parsed.data).trimEnd()}`;
   return { ...error, message };
 }
--- a/packages/ctl/src/commands/request_commands.ts
+++ b/packages/ctl/src/commands/request_commands.ts
@@ -1,8 +1,8 @@
-/** Tell from log lines what became of requests. */
+/** Commands that analyze the entry VMs' request logs from standard input. */
 import * as clipanion from "clipanion";
 import { EXIT_CODES } from "../ctl_error.ts";
-import { historyOf } from "../request_history.ts";
-import { lossesIn } from "../request_losses.ts";
+import { explainRequest } from "../request_history.ts";
+import { summarizeFailures } from "../request_losses.ts";
 import { formatTable } from "../table.ts";
 
 /** `explain ID < logs`. */
@@ -10,7 +10,7 @@
   static override paths = [["explain"]];
   static override usage = clipanion.Command.Usage({
     category: "Requests",
-    description: "Print what the log lines on standard input say of a request",
+    description: "Print the log lines on standard input that explain a request",
     examples: [[
       "Explain a request from the logs of all entry VMs",
       "cat vm-*.log | guavatidectl explain 9c41d07be2a35f68",
@@ -20,11 +20,11 @@
   id = clipanion.Option.String({ name: "id" });
 
   override async execute(): Promise<number> {
-    const lines = historyOf(this.id, await readAll(this.context.stdin));
+    const lines = explainRequest(this.id, await readAll(this.context.stdin));
     if (lines.length === 0) {
       this.context.stderr.write(
-        `guavatidectl: no line names request "${this.id}"; give the logs of ` +
-          "all entry VMs of that time; ordinary answers are sampled\n",
+        `guavatidectl: no line has request "${this.id}": pass the logs of ` +
+          "all entry VMs of that time; successful requests are sampled\n",
       );
       return EXIT_CODES.unknown;
     }
@@ -38,18 +38,20 @@
   static override paths = [["losses"]];
   static override usage = clipanion.Command.Usage({
     category: "Requests",
-    description: "Count requests that ended badly, by second, route and reason",
+    description: "Count failed requests by second, route and reason",
     examples: [[
-      "Say what the logs of all entry VMs tell of lost requests",
+      "Count failed requests in the logs of all entry VMs",
       "cat vm-*.log | guavatidectl losses",
     ]],
   });
 
   override async execute(): Promise<number> {
-    const { losses, unlisted } = lossesIn(await readAll(this.context.stdin));
+    const { groups, omittedCount } = summarizeFailures(
+      await readAll(this.context.stdin),
+    );
     this.context.stdout.write(formatTable(
       ["SECOND", "COUNT", "ROUTE", "STATUS", "MEAN MS", "REASON"],
-      losses.map(({ second, count, route, status, meanTookMs, reason }) => [
+      groups.map(({ second, count, route, status, meanTookMs, reason }) => [
         second,
         count,
         route,
@@ -58,9 +60,9 @@
         reason,
       ]),
     ));
-    if (unlisted > 0) {
+    if (omittedCount > 0) {
       this.context.stdout.write(
-        `${unlisted} more ended badly without a line of their own\n`,
+        `${omittedCount} more ended badly without a line of their own\n`,
       );
     }
     return 0;
--- a/packages/ctl/src/commands/state_commands.ts
+++ b/packages/ctl/src/commands/state_commands.ts
@@ -1,6 +1,6 @@
-/** Commands that show what is in force: vms, servers, owners, moves, audit. */
+/** Commands that show the current state: vms, servers, owners, moves, audit. */
 import * as clipanion from "clipanion";
-import * as answers from "../answers.ts";
+import * as schemas from "../answers.ts";
 import { formatTable } from "../table.ts";
 import { ApiCommand, type CommandResult } from "./api_command.ts";
 
@@ -11,16 +11,16 @@
   static override paths = [["vms"]];
   static override usage = clipanion.Command.Usage({
     category: CATEGORY,
-    description: "Show the revision that each entry VM has in force",
+    description: "Show the revision that each entry VM applies",
   });
 
-  protected override async work(): CommandResult {
-    const read = await this.call({
+  protected override async run(): CommandResult {
+    const response = await this.call({
       method: "GET",
       path: "/v1/vms",
-      schema: answers.vmsAnswer,
+      schema: schemas.vmsSchema,
     });
-    return read.map((json) => ({
+    return response.map((json) => ({
       json,
       text: formatTable(
         ["VM", "REVISION", "HEARD MS AGO"],
@@ -38,23 +38,23 @@
     description: "Show the backend servers and their states",
   });
 
-  protected override async work(): CommandResult {
-    const read = await this.call({
+  protected override async run(): CommandResult {
+    const response = await this.call({
       method: "GET",
       path: "/v1/servers",
-      schema: answers.serversAnswer,
+      schema: schemas.serversSchema,
     });
-    return read.map((json) => ({
+    return response.map((json) => ({
       json,
       text: formatTable(
         ["SERVER", "SERVICE", "ZONE", "ADDRESS", "STATE", "DRAINED BY"],
-        json.servers.map((each) => [
-          each.server,
-          each.service,
-          each.zone,
-          `${each.host}:${each.port}`,
-          each.state,
-          each.drain?.operator,
+        json.servers.map((server) => [
+          server.server,
+          server.service,
+          server.zone,
+          `${server.host}:${server.port}`,
+          server.state,
+          server.drain?.operator,
         ]),
       ),
     }));
@@ -66,24 +66,26 @@
   static override paths = [["owners"]];
   static override usage = clipanion.Command.Usage({
     category: CATEGORY,
-    description: "Show which server owns which slice, or one key",
+    description: "Show the owner of each slice of a service, or of one key",
     examples: [["One key", "guavatidectl owners availability --key booth-7"]],
   });
 
   service = clipanion.Option.String({ name: "service" });
-  key = clipanion.Option.String("--key", { description: "Only this key" });
+  key = clipanion.Option.String("--key", {
+    description: "Show only this key's owner",
+  });
 
-  protected override work(): CommandResult {
+  protected override run(): CommandResult {
     const path = `/v1/owners/${encodeURIComponent(this.service)}`;
     return this.key === undefined
-      ? this.#slices(path)
-      : this.#owner(`${path}?${new URLSearchParams({ key: this.key })}`);
+      ? this.#listSlices(path)
+      : this.#showKeyOwner(`${path}?${new URLSearchParams({ key: this.key })}`);
   }
 
-  async #slices(path: string): CommandResult {
-    const schema = answers.slicesAnswer;
-    const read = await this.call({ method: "GET", path, schema });
-    return read.map((json) => ({
+  async #listSlices(path: string): CommandResult {
+    const schema = schemas.slicesSchema;
+    const response = await this.call({ method: "GET", path, schema });
+    return response.map((json) => ({
       json,
       text: `revision ${json.revision}\n` + formatTable(
         ["SLICE", "STATE", "SERVER", "FENCE", "FROM"],
@@ -98,10 +100,10 @@
     }));
   }
 
-  async #owner(path: string): CommandResult {
-    const schema = answers.keyOwnerAnswer;
-    const read = await this.call({ method: "GET", path, schema });
-    return read.map((json) => {
+  async #showKeyOwner(path: string): CommandResult {
+    const schema = schemas.keyOwnerSchema;
+    const response = await this.call({ method: "GET", path, schema });
+    return response.map((json) => {
       const { kind, server, slice, fence } = json.owner;
       return {
         json,
@@ -114,44 +116,44 @@
   }
 }
 
-/** A command that prints the newest lines of a journal. */
-abstract class LinesCommand extends ApiCommand {
+/** A command that prints the newest entries of a journal. */
+abstract class JournalCommand extends ApiCommand {
   limit = clipanion.Option.String("--limit", "100", {
-    description: "Number of lines (100)",
+    description: "Number of entries (default: 100)",
   });
 
-  protected query(): string {
+  protected limitQuery(): string {
     return `?${new URLSearchParams({ limit: this.limit })}`;
   }
 }
 
 /** `moves`. */
-export class MovesCommand extends LinesCommand {
+export class MovesCommand extends JournalCommand {
   static override paths = [["moves"]];
   static override usage = clipanion.Command.Usage({
     category: CATEGORY,
-    description: "Show moves of slices and their reasons, newest first",
+    description: "Show handovers of slices and their reasons, newest first",
   });
 
-  protected override async work(): CommandResult {
-    const read = await this.call({
+  protected override async run(): CommandResult {
+    const response = await this.call({
       method: "GET",
-      path: `/v1/moves${this.query()}`,
-      schema: answers.movesAnswer,
+      path: `/v1/moves${this.limitQuery()}`,
+      schema: schemas.handoverStepsSchema,
     });
-    return read.map((json) => ({
+    return response.map((json) => ({
       json,
       text: formatTable(
         ["AT", "SERVICE", "REVISION", "SLICE", "STEP", "FROM", "TO", "REASON"],
-        json.lines.map((line) => [
-          line.at,
-          line.service,
-          line.revision,
-          line.slice,
-          line.step,
-          line.from.join(","),
-          line.to,
-          line.reason,
+        json.lines.map((entry) => [
+          entry.at,
+          entry.service,
+          entry.revision,
+          entry.slice,
+          entry.step,
+          entry.from.join(","),
+          entry.to,
+          entry.reason,
         ]),
       ),
     }));
@@ -159,31 +161,31 @@
 }
 
 /** `audit`. */
-export class AuditCommand extends LinesCommand {
+export class AuditCommand extends JournalCommand {
   static override paths = [["audit"]];
   static override usage = clipanion.Command.Usage({
     category: CATEGORY,
-    description: "Show changes by operators, newest first",
+    description: "Show the audit log of operators' changes, newest first",
   });
 
-  protected override async work(): CommandResult {
-    const read = await this.call({
+  protected override async run(): CommandResult {
+    const response = await this.call({
       method: "GET",
-      path: `/v1/audit${this.query()}`,
-      schema: answers.auditAnswer,
+      path: `/v1/audit${this.limitQuery()}`,
+      schema: schemas.auditLogSchema,
     });
-    return read.map((json) => ({
+    return response.map((json) => ({
       json,
       text: formatTable(
         ["AT", "OPERATOR", "ACTION", "OBJECT", "RESULT", "DETAIL", "VM"],
-        json.lines.map((line) => [
-          line.at,
-          line.operator,
-          line.action,
-          line.object,
-          line.result,
-          line.detail,
-          line.vm,
+        json.lines.map((entry) => [
+          entry.at,
+          entry.operator,
+          entry.action,
+          entry.object,
+          entry.result,
+          entry.detail,
+          entry.vm,
         ]),
       ),
     }));
--- a/packages/ctl/src/ctl_error.ts
+++ b/packages/ctl/src/ctl_error.ts
@@ -1,35 +1,38 @@
-/** Errors of the command line and the exit codes that scripts read. */
+/** Errors and exit codes of the command line. */
 
-/** Exit codes, one for each thing that a script would tell apart. */
+/** Exit codes, one for each failure that a script handles differently. */
 export const EXIT_CODES = {
   ok: 0,
-  /** The API refused the request for another reason than those below. */
+  /** The API refused the request for a reason not listed below. */
   refused: 1,
-  /** The command line itself was wrong. */
+  /** Invalid command, option or input file. */
   usage: 2,
-  /** Another operator was faster: get, look and redo. */
+  /** The version or tag is outdated: fetch it again and redo the change. */
   conflict: 3,
-  /** Something stands against publishing the set. */
+  /** The set of objects is invalid and can't be published. */
   findings: 4,
-  /** The token is unknown or lacks a right. */
+  /** The token is unknown or lacks a permission. */
   denied: 5,
-  /** The API or the platform's store could not be reached; nothing was done. */
+  /** The API or the platform's store is unreachable; nothing was changed. */
   unavailable: 6,
-  /** Nobody said whether the change took effect: look before repeating it. */
+  /**
+   * The change may have been applied: check before retrying it. `explain` exits
+   * with this code when no log line has the request.
+   */
   unknown: 7,
 } as const;
 
-/** An error that ends a command. */
+/** An error that ends a command. `kind` is the API's or the client's own. */
 export interface CtlError {
   readonly kind: string;
-  /** What was seen and what to do. */
+  /** What failed, and the remedy. */
   readonly message: string;
   readonly exitCode: number;
-  /** The API's own error, for `--json`. */
+  /** The API's error object, printed with `--json`. */
   readonly details?: unknown;
 }
 
-/** A mistake on the command line. */
+/** Creates an error for an invalid command line. */
 export function usageError(message: string): CtlError {
   return { kind: "usage", message, exitCode: EXIT_CODES.usage };
 }
--- a/packages/ctl/src/log_line.ts
+++ b/packages/ctl/src/log_line.ts
@@ -1,28 +1,31 @@
-/** Lines of the log of an entry process. */
+/** Parses the JSON log lines of entry processes. */
 import * as z from "zod";
 
-const lineSchema = z.looseObject({
+const logLineSchema = z.looseObject({
   time: z.string(),
   part: z.string(),
   sentence: z.string(),
 });
 
-/** One line of a log, with where it came from. */
+/** A parsed log line. */
 export interface LogLine {
+  /** Milliseconds since the Unix epoch. */
   readonly timeMs: number;
+  /** The original line, with any prefix. */
   readonly text: string;
+  /** All fields of the JSON object. */
   readonly fields: Readonly<Record<string, unknown>>;
 }
 
 /**
- * The line as it was written; undefined for one that is not of such a log. Text
- * before the JSON, as a collector puts there, is kept.
+ * Parses a line; undefined when it is not an entry process's log line. Text
+ * before the JSON object, such as a log collector's prefix, is allowed.
  */
-export function parseLine(line: string): LogLine | undefined {
+export function parseLogLine(line: string): LogLine | undefined {
   const brace = line.indexOf("{");
   if (brace < 0) return undefined;
   try {
-    const parsed = lineSchema.safeParse(JSON.parse(line.slice(brace)));
+    const parsed = logLineSchema.safeParse(JSON.parse(line.slice(brace)));
     if (!parsed.success) return undefined;
     return {
       timeMs: Date.parse(parsed.data.time),
@@ -30,7 +33,7 @@
       fields: parsed.data,
     };
   } catch {
-    // A line of another program, or one that was cut off.
+    // Another program's line, or a truncated one.
     return undefined;
   }
 }
--- a/packages/ctl/src/main.ts
+++ b/packages/ctl/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The `guavatidectl` binary. */
+/** Entry point of the `guavatidectl` binary. */
 import * as clipanion from "clipanion";
 import { runCli } from "./cli.ts";
 
--- a/packages/ctl/src/mod.ts
+++ b/packages/ctl/src/mod.ts
@@ -1,4 +1,4 @@
-/** The operators' command line and its client, for other programs. */
+/** The operators' command line and its admin API client. */
 export * from "./api_client.ts";
 export * from "./cli.ts";
 export * from "./ctl_error.ts";
--- a/packages/ctl/src/request_history.ts
+++ b/packages/ctl/src/request_history.ts
@@ -1,54 +1,66 @@
 /**
- * Puts together, from the log lines of many entry processes, what became of
- * one request and what the processes believed of the servers that it met.
+ * Selects, from the logs of many entry processes, the lines that explain the
+ * outcome of one request: its own, and what the processes logged about the
+ * servers it was sent to.
  */
-import { type LogLine, parseLine } from "./log_line.ts";
+import { type LogLine, parseLogLine } from "./log_line.ts";
 
-/** Lines about a server count when they are at most this old. */
-const CONTEXT_MS = 10_000;
-/** And at most this much later: an answer may come after the news. */
-const AFTER_MS = 1_000;
+/** Context lines are included from this long before the request arrived. */
+const CONTEXT_BEFORE_MS = 10_000;
+/** And until this long after it ended: its cause may be logged after it. */
+const CONTEXT_AFTER_MS = 1_000;
 
 /**
- * Lines that explain a request, in order: its own, and those about the servers
- * it was sent to, the owners of its service's keys and the platform's store.
- * Lines that are not JSON are left out.
+ * Lines that explain a request, ordered by time: its own, and those about the
+ * servers it was sent to, the configuration, the platform's store and zone
+ * evacuations. Lines that are not JSON are skipped; empty for an unknown ID.
  */
-export function historyOf(id: string, log: string): LogLine[] {
-  const lines = log.split("\n").map(parseLine).filter((it) => it !== undefined);
-  const own = lines.filter(({ fields }) => fields["id"] === id);
-  if (own.length === 0) return [];
-  const servers = serversIn(own);
-  const fromMs = Math.min(...own.map(startMs)) - CONTEXT_MS;
-  const toMs = Math.max(...own.map(({ timeMs }) => timeMs)) + AFTER_MS;
+export function explainRequest(id: string, log: string): LogLine[] {
+  const lines = log.split("\n").map(parseLogLine).filter((line) =>
+    line !== undefined
+  );
+  const requestLines = lines.filter(({ fields }) => fields["id"] === id);
+  if (requestLines.length === 0) return [];
+  const servers = attemptedServers(requestLines);
+  const fromMs = Math.min(...requestLines.map(arrivalTimeMs)) -
+    CONTEXT_BEFORE_MS;
+  const toMs = Math.max(...requestLines.map(({ timeMs }) => timeMs)) +
+    CONTEXT_AFTER_MS;
   return lines
     .filter((line) =>
-      own.includes(line) ||
-      line.timeMs <= toMs && isAboutZone(line) ||
-      line.timeMs >= fromMs && line.timeMs <= toMs && isAbout(line, servers)
+      requestLines.includes(line) ||
+      line.timeMs <= toMs && isZoneEvacuation(line) ||
+      line.timeMs >= fromMs && line.timeMs <= toMs && isContextOf(line, servers)
     )
     .sort((a, b) => a.timeMs - b.timeMs);
 }
 
-function startMs({ timeMs, fields }: LogLine): number {
+/** Arrival of the request, which is logged when it has ended. */
+function arrivalTimeMs({ timeMs, fields }: LogLine): number {
   return timeMs - (Number(fields["tookMs"]) || 0);
 }
 
-/** Servers that the request was sent to: `server ...: end; server ...`. */
-function serversIn(own: readonly LogLine[]): Set<string> {
-  const sends = own.flatMap(({ fields }) =>
+/** Servers in the field `sends`: `SERVER ...: OUTCOME ...; SERVER ...`. */
+function attemptedServers(requestLines: readonly LogLine[]): Set<string> {
+  const attempts = requestLines.flatMap(({ fields }) =>
     String(fields["sends"] ?? "").split("; ")
   );
-  return new Set(sends.map((send) => send.split(" ")[0]!).filter(Boolean));
+  return new Set(
+    attempts.map((attempt) => attempt.split(" ")[0]!).filter(Boolean),
+  );
 }
 
-/** Evacuations are told at any age: they last as long as operators wish. */
-function isAboutZone({ fields }: LogLine): boolean {
+/** Included at any age: an evacuation lasts until an operator ends it. */
+function isZoneEvacuation({ fields }: LogLine): boolean {
   return fields["part"] === "member" && fields["zone"] !== undefined &&
     fields["server"] === undefined;
 }
 
-function isAbout(
+/**
+ * Whether the line is about one of the servers, the store, the configuration or
+ * the process. Lines of other requests are not.
+ */
+function isContextOf(
   { fields }: LogLine,
   servers: ReadonlySet<string>,
 ): boolean {
--- a/packages/ctl/src/request_losses.ts
+++ b/packages/ctl/src/request_losses.ts
@@ -1,56 +1,61 @@
-/** Counts, from log lines, which requests ended badly, when and why. */
-import { type LogLine, parseLine } from "./log_line.ts";
+/** Groups failed requests in log lines by time, route and reason. */
+import { type LogLine, parseLogLine } from "./log_line.ts";
 
-/** Requests of one second and route that ended for one reason. */
-export interface Loss {
+/** Failed requests of one second, route, status and reason. */
+export interface FailureGroup {
+  /** UTC time of day, as `HH:MM:SS`. */
   readonly second: string;
+  /** Empty for refusals that are logged as a count per second. */
   readonly route: string;
   readonly status: string;
-  /** The decision, with its figures left out. */
+  /** The outcome, with each number replaced by `N` so that equal ones group. */
   readonly reason: string;
   count: number;
-  /** Mean time from their arrival to their answer. */
+  /**
+   * Mean time from arrival to response; for refusals that are logged as a count,
+   * the event loop lag.
+   */
   meanTookMs: number;
 }
 
-/** What a log says of requests that ended badly. */
-export interface LossReport {
-  /** In the order of time, the most frequent of a second first. */
-  readonly losses: readonly Loss[];
-  /** Requests whose lines were left out for their number. */
-  readonly unlisted: number;
+/** Failed requests found in a log. */
+export interface FailureReport {
+  /** Ordered by second, then by count, highest first. */
+  readonly groups: readonly FailureGroup[];
+  /** Failed requests whose lines the log's rate limit omitted. */
+  readonly omittedCount: number;
 }
 
-const ENDED_BADLY = "Ended badly.";
-const LEFT_OUT = "Left out lines of requests that ended badly.";
-/** Refusals that have one line a second with their number. */
-const COUNTED = new Set([
+const FAILED_REQUEST = "Ended badly.";
+const OMITTED_LINES = "Left out lines of requests that ended badly.";
+/** Refusals that are logged as one line per second with their count. */
+const AGGREGATED_REFUSALS = new Set([
   "Refuses: the event loop is behind.",
   "Refuses what this VM has read too late.",
 ]);
 
-/** Counts the losses in the log lines of any number of processes. */
-export function lossesIn(log: string): LossReport {
-  const losses = new Map<string, Loss>();
-  let unlisted = 0;
+/** Groups the failed requests in the log lines of any number of processes. */
+export function summarizeFailures(log: string): FailureReport {
+  const groups = new Map<string, FailureGroup>();
+  let omittedCount = 0;
   for (const text of log.split("\n")) {
-    const line = parseLine(text);
+    const line = parseLogLine(text);
     if (line === undefined) continue;
     const { sentence, count } = line.fields;
-    if (sentence === LEFT_OUT) unlisted += Number(count) || 0;
-    const loss = lossOf(line);
-    if (loss !== undefined) add(losses, loss);
+    if (sentence === OMITTED_LINES) omittedCount += Number(count) || 0;
+    const failure = parseFailure(line);
+    if (failure !== undefined) addToGroup(groups, failure);
   }
-  const sorted = [...losses.values()].sort((a, b) =>
+  const sorted = [...groups.values()].sort((a, b) =>
     a.second.localeCompare(b.second) || b.count - a.count
   );
-  return { losses: sorted, unlisted };
+  return { groups: sorted, omittedCount };
 }
 
-function lossOf({ timeMs, fields }: LogLine): Loss | undefined {
+function parseFailure({ timeMs, fields }: LogLine): FailureGroup | undefined {
   const second = new Date(timeMs).toISOString().slice(11, 19);
   const sentence = String(fields["sentence"]);
-  if (COUNTED.has(sentence)) {
+  if (AGGREGATED_REFUSALS.has(sentence)) {
     return {
       second,
       route: "",
@@ -60,7 +65,7 @@
       meanTookMs: Number(fields["lagMs"]) || 0,
     };
   }
-  if (sentence !== ENDED_BADLY) return undefined;
+  if (sentence !== FAILED_REQUEST) return undefined;
   return {
     second,
     route: String(fields["route"] ?? ""),
@@ -71,12 +76,16 @@
   };
 }
 
-function add(losses: Map<string, Loss>, loss: Loss): void {
-  const { second, route, status, reason } = loss;
-  const name = [second, route, status, reason].join(" ");
-  const known = losses.get(name);
-  if (known === undefined) return void losses.set(name, loss);
-  const count = known.count + loss.count;
-  known.meanTookMs += (loss.meanTookMs - known.meanTookMs) * loss.count / count;
-  known.count = count;
+function addToGroup(
+  groups: Map<string, FailureGroup>,
+  failure: FailureGroup,
+): void {
+  const { second, route, status, reason } = failure;
+  const key = [second, route, status, reason].join(" ");
+  const group = groups.get(key);
+  if (group === undefined) return void groups.set(key, failure);
+  const count = group.count + failure.count;
+  group.meanTookMs += (failure.meanTookMs - group.meanTookMs) * failure.count /
+    count;
+  group.count = count;
 }
--- a/packages/ctl/src/table.ts
+++ b/packages/ctl/src/table.ts
@@ -1,6 +1,9 @@
-/** Plain tables that read well and split on runs of two spaces. */
+/** Formats plain-text tables; scripts can split cells on two or more spaces. */
 
-/** Lays out rows under a heading; columns are as wide as their widest cell. */
+/**
+ * Formats a heading and rows as aligned columns. Missing and empty cells are
+ * printed as `-`, so that every row splits into the same number of cells.
+ */
 export function formatTable(
   heading: readonly string[],
   rows: readonly (readonly unknown[])[],
