--- a/packages/ctl/src/commands/api_command.ts
+++ b/packages/ctl/src/commands/api_command.ts
@@ -37,7 +37,7 @@
   tokenFile = clipanion.Option.String("--token-file", {
     env: "GUAVATIDE_TOKEN_FILE",
     description:
-      "File with the bearer token (default: GUAVATIDE_TOKEN's value)",
+      "File with the bearer token; without it, GUAVATIDE_TOKEN is used",
   });
   caFile = clipanion.Option.String("--ca-file", {
     env: "GUAVATIDE_CA_FILE",
--- a/packages/ctl/src/commands/drain_commands.ts
+++ b/packages/ctl/src/commands/drain_commands.ts
@@ -1,6 +1,6 @@
 /** Commands that drain servers and return them to service. */
 import * as clipanion from "clipanion";
-import * as schemas from "../answers.ts";
+import * as schemas from "../api_schemas.ts";
 import { formatTable } from "../table.ts";
 import { ApiCommand, type CommandResult } from "./api_command.ts";
 
--- a/packages/ctl/src/commands/object_commands.ts
+++ b/packages/ctl/src/commands/object_commands.ts
@@ -2,7 +2,7 @@
 import * as clipanion from "clipanion";
 import * as neverthrow from "neverthrow";
 import * as z from "zod";
-import * as schemas from "../answers.ts";
+import * as schemas from "../api_schemas.ts";
 import { type CtlError, usageError } from "../ctl_error.ts";
 import { formatTable } from "../table.ts";
 import { ApiCommand, type CommandResult, readJsonFile } from "./api_command.ts";
--- a/packages/ctl/src/commands/publish_commands.ts
+++ b/packages/ctl/src/commands/publish_commands.ts
@@ -1,7 +1,7 @@
 /** Commands on the whole set: check, diff, publish, history, config. */
 import * as clipanion from "clipanion";
 import * as neverthrow from "neverthrow";
-import * as schemas from "../answers.ts";
+import * as schemas from "../api_schemas.ts";
 import { type CtlError, EXIT_CODES } from "../ctl_error.ts";
 import { formatTable } from "../table.ts";
 import { ApiCommand, type CommandResult } from "./api_command.ts";
--- a/packages/ctl/src/commands/request_commands.ts
+++ b/packages/ctl/src/commands/request_commands.ts
@@ -1,8 +1,8 @@
 /** Commands that analyze the entry VMs' request logs from standard input. */
 import * as clipanion from "clipanion";
 import { EXIT_CODES } from "../ctl_error.ts";
-import { explainRequest } from "../request_history.ts";
-import { summarizeFailures } from "../request_losses.ts";
+import { explainRequest } from "../request_explanation.ts";
+import { summarizeFailures } from "../request_failures.ts";
 import { formatTable } from "../table.ts";
 
 /** `explain ID < logs`. */
--- a/packages/ctl/src/request_history_test.ts
+++ b/packages/ctl/src/request_explanation_test.ts
@@ -1,6 +1,6 @@
 import { expect } from "earl";
 import { test } from "node:test";
-import { explainRequest } from "./request_history.ts";
+import { explainRequest } from "./request_explanation.ts";
 
 function logLine(second: number, fields: Record<string, unknown>): string {
   const time = `2026-01-01T00:00:${String(second).padStart(2, "0")}.000Z`;
--- a/packages/ctl/src/request_losses_test.ts
+++ b/packages/ctl/src/request_failures_test.ts
@@ -1,6 +1,6 @@
 import { expect } from "earl";
 import { test } from "node:test";
-import { summarizeFailures } from "./request_losses.ts";
+import { summarizeFailures } from "./request_failures.ts";
 
 function logLine(second: number, fields: Record<string, unknown>): string {
   const time = `2026-01-01T00:00:${String(second).padStart(2, "0")}.500Z`;
