--- /dev/null
+++ b/packages/ctl/src/request_explanation.ts
@@ -0,0 +1,71 @@
+/**
+ * Selects, from the logs of many entry processes, the lines that explain the
+ * outcome of one request: its own, and what the processes logged about the
+ * servers it was sent to.
+ */
+import { type LogLine, parseLogLine } from "./log_line.ts";
+
+/** Context lines are included from this long before the request arrived. */
+const CONTEXT_BEFORE_MS = 10_000;
+/** And until this long after it ended: its cause may be logged after it. */
+const CONTEXT_AFTER_MS = 1_000;
+
+/**
+ * Lines that explain a request, ordered by time: its own, and those about the
+ * servers it was sent to, the configuration, the platform's store and zone
+ * evacuations. Lines that are not JSON are skipped; empty for an unknown ID.
+ */
+export function explainRequest(id: string, log: string): LogLine[] {
+  const lines = log.split("\n").map(parseLogLine).filter((line) =>
+    line !== undefined
+  );
+  const requestLines = lines.filter(({ fields }) => fields["id"] === id);
+  if (requestLines.length === 0) return [];
+  const servers = attemptedServers(requestLines);
+  const fromMs = Math.min(...requestLines.map(arrivalTimeMs)) -
+    CONTEXT_BEFORE_MS;
+  const toMs = Math.max(...requestLines.map(({ timeMs }) => timeMs)) +
+    CONTEXT_AFTER_MS;
+  return lines
+    .filter((line) =>
+      requestLines.includes(line) ||
+      line.timeMs <= toMs && isZoneEvacuation(line) ||
+      line.timeMs >= fromMs && line.timeMs <= toMs && isContextOf(line, servers)
+    )
+    .sort((a, b) => a.timeMs - b.timeMs);
+}
+
+/** Arrival of the request, which is logged when it has ended. */
+function arrivalTimeMs({ timeMs, fields }: LogLine): number {
+  return timeMs - (Number(fields["tookMs"]) || 0);
+}
+
+/** Servers in the field `sends`: `SERVER ...: OUTCOME ...; SERVER ...`. */
+function attemptedServers(requestLines: readonly LogLine[]): Set<string> {
+  const attempts = requestLines.flatMap(({ fields }) =>
+    String(fields["sends"] ?? "").split("; ")
+  );
+  return new Set(
+    attempts.map((attempt) => attempt.split(" ")[0]!).filter(Boolean),
+  );
+}
+
+/** Included at any age: an evacuation lasts until an operator ends it. */
+function isZoneEvacuation({ fields }: LogLine): boolean {
+  return fields["part"] === "member" && fields["zone"] !== undefined &&
+    fields["server"] === undefined;
+}
+
+/**
+ * Whether the line is about one of the servers, the store, the configuration or
+ * the process. Lines of other requests are not.
+ */
+function isContextOf(
+  { fields }: LogLine,
+  servers: ReadonlySet<string>,
+): boolean {
+  if (fields["id"] !== undefined) return false;
+  const part = fields["part"];
+  if (part === "store" || part === "config" || part === "main") return true;
+  return servers.has(String(fields["server"] ?? fields["to"] ?? ""));
+}
--- /dev/null
+++ b/packages/ctl/src/request_explanation_test.ts
@@ -0,0 +1,64 @@
+import { expect } from "earl";
+import { test } from "node:test";
+import { explainRequest } from "./request_explanation.ts";
+
+function logLine(second: number, fields: Record<string, unknown>): string {
+  const time = `2026-01-01T00:00:${String(second).padStart(2, "0")}.000Z`;
+  return JSON.stringify({ time, level: "info", ...fields });
+}
+
+/**
+ * A request failed without a response. Its own line names the server; only
+ * another VM's line says that the server had been lost just before.
+ */
+test("should find the cause of a lost response in another VM's lines", () => {
+  const log = [
+    logLine(1, { part: "owner", sentence: "Server lost.", server: "i-9" }),
+    "text of another program",
+    logLine(20, { part: "route", sentence: "Answered.", id: "other" }),
+    logLine(21, {
+      part: "route",
+      sentence: "Ended badly.",
+      id: "q1",
+      outcome: "unknown: reset",
+      tookMs: 300,
+      sends: "i-7 fence 3 with 1 there: unknown: reset after 290 ms",
+    }),
+    logLine(20, { part: "owner", sentence: "Server lost.", server: "i-7" }),
+    logLine(20, { part: "member", sentence: "Server seen.", server: "i-8" }),
+  ].join("\n");
+  const sentences = explainRequest("q1", log).map(({ fields }) =>
+    `${fields["sentence"]} ${fields["server"] ?? fields["id"]}`
+  );
+  expect(sentences).toEqual(["Server lost. i-7", "Ended badly. q1"]);
+});
+
+test("should return no lines for an unknown request", () => {
+  expect(
+    explainRequest(
+      "q2",
+      logLine(1, { part: "route", sentence: "x", id: "q1" }),
+    ),
+  )
+    .toEqual([]);
+});
+
+test("should include the evacuation that left no server for a request", () => {
+  const log = [
+    logLine(1, { part: "member", sentence: "Zone is evacuated.", zone: "z2" }),
+    logLine(2, {
+      part: "member",
+      sentence: "Server seen.",
+      server: "i-8",
+      zone: "z2",
+    }),
+    logLine(40, {
+      part: "route",
+      sentence: "Ended badly.",
+      id: "q1",
+      sends: "",
+    }),
+  ].join("\n");
+  expect(explainRequest("q1", log).map(({ fields }) => fields["sentence"]))
+    .toEqual(["Zone is evacuated.", "Ended badly."]);
+});
