--- a/packages/standins/src/proofs/given_up_request_test.ts
+++ b/packages/standins/src/proofs/given_up_request_test.ts
@@ -4,7 +4,7 @@
 import * as net from "node:net";
 import { test } from "node:test";
 import * as timers from "node:timers/promises";
-import { RelayedLink } from "../relay/relayed_link.ts";
+import { TcpRelay } from "../relay/relayed_link.ts";
 
 /** Longer than what was held, or a reset, takes to arrive. */
 const ARRIVAL_MS = 200;
@@ -18,7 +18,7 @@
   });
   await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
   const { port } = server.address() as net.AddressInfo;
-  const relay = new RelayedLink({ host: "127.0.0.1", port });
+  const relay = new TcpRelay({ host: "127.0.0.1", port });
   const link = new ServerConnection({
     host: "127.0.0.1",
     port: await relay.listen(0),
--- a/packages/standins/src/proofs/silent_peer_test.ts
+++ b/packages/standins/src/proofs/silent_peer_test.ts
@@ -4,7 +4,7 @@
 import { PeerLink } from "guavatide/vms/peer_link";
 import { test } from "node:test";
 import * as z from "zod";
-import { RelayedLink } from "../relay/relayed_link.ts";
+import { TcpRelay } from "../relay/relayed_link.ts";
 
 const SECRET = "secret-of-the-peers";
 
@@ -17,7 +17,7 @@
     const door = new PeerDoor({ host: "127.0.0.1", port: 0, secret: SECRET });
     door.register("echo", z.string(), (text) => text);
     const port = await door.listen(lifeCycle);
-    const relay = new RelayedLink({ host: "127.0.0.1", port });
+    const relay = new TcpRelay({ host: "127.0.0.1", port });
     const relayPort = await relay.listen(0);
     const link = new PeerLink(
       { host: "127.0.0.1", port: relayPort },
