--- a/packages/standins/src/backend_server/backend_app.ts
+++ b/packages/standins/src/backend_server/backend_app.ts
@@ -1,6 +1,7 @@
 /**
- * HTTP side of the backend server stand-in: work under `/serve`, the control
- * side under `/control`; `/faults` and `/journal` lie beside the protocol.
+ * HTTP routes of the backend server stand-in: requests under `/serve` and the
+ * control API under `/control`. `/faults` and `/journal` are for tests only and
+ * are not part of the protocol.
  */
 import * as contracts from "@guavatide/contracts";
 import { type Context, Hono, type Next } from "hono";
@@ -21,8 +22,9 @@
 } from "./work_queue.ts";
 
 /**
- * Request header: the caller's name for an operation, for the journal. The
- * router passes on a caller's headers but those of its own prefix.
+ * Request header that carries the caller's operation id, written to the
+ * journal. The router forwards every caller header except those that have the
+ * router's own prefix.
  */
 export const OPERATION_HEADER = "idempotency-key";
 
@@ -30,15 +32,15 @@
 
 type BackendContext = Context<serve.StandInEnv>;
 
-/** What a served request answers. */
+/** Response body of a request that was run. */
 export interface WorkResponseBody {
   readonly server: string;
   readonly requestId: string;
   readonly operationId?: string;
   readonly key?: string;
-  /** The request's body, sent back. */
+  /** The request body, returned unchanged. */
   readonly echo: string;
-  /** Filler as long as the request's `bytes` query asks for. */
+  /** Padding of as many bytes as the request's `bytes` query parameter. */
   readonly filler: string;
 }
 
@@ -50,8 +52,8 @@
   readonly #ownership: OwnershipState;
   readonly #journal: Journal;
   readonly #queue: WorkQueue;
-  readonly #load: LoadHistory;
-  readonly #seenSockets = new WeakSet<object>();
+  readonly #loadHistory: LoadHistory;
+  readonly #knownSockets = new WeakSet<object>();
   #faults: BackendFaults = {};
 
   constructor(
@@ -79,16 +81,16 @@
         settings.seed,
       ),
     });
-    this.#load = new LoadHistory(settings.loadLagMs);
+    this.#loadHistory = new LoadHistory(settings.loadLagMs);
     this.#addRoutes();
   }
 
-  /** Requests that run or wait. */
+  /** Number of running and queued requests. */
   get inFlight(): number {
     return this.#queue.inFlight;
   }
 
-  /** Refuses new work from now on, or takes it again. */
+  /** Starts or stops refusing new requests; accepted requests still finish. */
   setDraining(isDraining: boolean): void {
     this.#queue.isDraining = isDraining;
   }
@@ -97,10 +99,19 @@
     const app = this.hono;
     app.get("/journal", (context) => context.json(this.#journal.entries));
     app.post("/faults", (context) => this.#setFaults(context));
-    app.use("/serve/*", (context, next) => this.#delayLink(context, next));
-    app.use("/control/*", (context, next) => this.#delayLink(context, next));
-    app.all("/serve/*", (context) => this.#work(context));
-    app.post("/control/ownership", (context) => this.#order(context));
+    app.use(
+      "/serve/*",
+      (context, next) => this.#simulateNetwork(context, next),
+    );
+    app.use(
+      "/control/*",
+      (context, next) => this.#simulateNetwork(context, next),
+    );
+    app.all("/serve/*", (context) => this.#serveRequest(context));
+    app.post(
+      "/control/ownership",
+      (context) => this.#applyLeaseCommand(context),
+    );
     app.get("/control/load", (context) => this.#reportLoad(context));
     app.get(
       "/control/held",
@@ -111,11 +122,11 @@
     app.delete("/control/requests/:id", (context) => this.#cancel(context));
   }
 
-  async #delayLink(context: BackendContext, next: Next) {
+  async #simulateNetwork(context: BackendContext, next: Next) {
     const { linkDelayMs, newConnectionMs } = this.#settings;
     const { socket } = context.env.incoming;
-    const connectMs = this.#seenSockets.has(socket) ? 0 : newConnectionMs;
-    this.#seenSockets.add(socket);
+    const connectMs = this.#knownSockets.has(socket) ? 0 : newConnectionMs;
+    this.#knownSockets.add(socket);
     await serve.delay(linkDelayMs + connectMs);
     const isControl = context.req.path.startsWith("/control/");
     if (isControl && this.#faults.controlHangs === true) {
@@ -134,31 +145,31 @@
     return context.json({});
   }
 
-  async #order(context: BackendContext): Promise<Response> {
+  async #applyLeaseCommand(context: BackendContext): Promise<Response> {
     const parsed = contracts.leaseCommandSchema.safeParse(
       await context.req.json(),
     );
     if (!parsed.success) return context.text(parsed.error.message, 400);
-    const isMine = parsed.data.server === this.#settings.server &&
+    const isForThisServer = parsed.data.server === this.#settings.server &&
       parsed.data.service === this.#settings.service;
-    if (!isMine) return context.text("order for another server", 421);
-    const answer = this.#ownership.applyLeaseCommand(
+    if (!isForThisServer) return context.text("order for another server", 421);
+    const ownership = this.#ownership.applyLeaseCommand(
       parsed.data,
       this.#clock.nowMs(),
     );
     const reply: contracts.LeaseCommandReply = {
-      ...answer,
+      ...ownership,
       draining: this.#queue.isDraining,
     };
     return context.json(reply);
   }
 
   #reportLoad(context: BackendContext): Response {
-    const told = this.#load.reportedLoad(this.#clock.nowMs());
+    const sample = this.#loadHistory.reportedLoad(this.#clock.nowMs());
     const report: contracts.LoadReport = {
-      inFlight: told.inFlight,
+      inFlight: sample.inFlight,
       slots: this.#settings.slots,
-      ageMs: told.ageMs,
+      ageMs: sample.ageMs,
       draining: this.#queue.isDraining,
       healthy: true,
       ...this.#faults.load,
@@ -174,13 +185,13 @@
 
   #cancel(context: BackendContext): Response {
     const result = this.#queue.cancel(context.req.param("id") ?? "");
-    this.#noteLoad();
+    this.#recordLoad();
     return context.json({ result });
   }
 
-  async #work(context: BackendContext): Promise<Response> {
+  async #serveRequest(context: BackendContext): Promise<Response> {
     const body = await context.req.text();
-    const request = this.#readRequest(context);
+    const request = this.#parseRequest(context);
     if (request === undefined) {
       return context.text(`missing ${contracts.REQUEST_ID_HEADER}`, 400);
     }
@@ -188,18 +199,20 @@
     outgoing.once("close", () => {
       if (!outgoing.writableFinished) this.#queue.cancel(request.requestId);
     });
-    const working = this.#queue.submit(request);
-    this.#noteLoad();
-    const result = await working;
-    this.#noteLoad();
-    return this.#answer(context, { request, result, body });
+    const pending = this.#queue.submit(request);
+    this.#recordLoad();
+    const result = await pending;
+    this.#recordLoad();
+    return this.#respond(context, { request, result, body });
   }
 
-  #readRequest(context: BackendContext): IncomingRequest | undefined {
+  #parseRequest(context: BackendContext): IncomingRequest | undefined {
     const requestId = context.req.header(contracts.REQUEST_ID_HEADER);
     if (requestId === undefined) return undefined;
-    const stamped = context.req.header(contracts.DEADLINE_STAMP_HEADER);
-    const leftMs = context.req.header(contracts.DEADLINE_HEADER);
+    const stampedDeadline = context.req.header(
+      contracts.DEADLINE_STAMP_HEADER,
+    );
+    const remainingMs = context.req.header(contracts.DEADLINE_HEADER);
     const fence = context.req.header(contracts.FENCE_HEADER);
     return {
       requestId,
@@ -207,29 +220,32 @@
       key: context.req.header(contracts.KEY_HEADER),
       slice: context.req.header(contracts.SLICE_HEADER),
       fence: fence === undefined ? undefined : Number(fence),
-      deadlineMs: leftMs === undefined
+      deadlineMs: remainingMs === undefined
         ? undefined
-        : this.#clock.nowMs() + Number(leftMs),
-      effectDeadlineMs: this.#readStampedDeadline(stamped),
+        : this.#clock.nowMs() + Number(remainingMs),
+      effectDeadlineMs: this.#parseStampedDeadline(stampedDeadline),
     };
   }
 
-  /** A deadline for an earlier run of this process has long passed. */
-  #readStampedDeadline(text: string | undefined): number | undefined {
+  /**
+   * A deadline stamped by another incarnation of this process counts as
+   * passed: its clock reading means nothing to this incarnation.
+   */
+  #parseStampedDeadline(text: string | undefined): number | undefined {
     if (text === undefined) return undefined;
-    const [instance, milliseconds] = text.split("/");
-    const isOurs = instance === this.#ownership.instance;
-    return isOurs ? Number(milliseconds) : -Infinity;
+    const [instance, deadlineMs] = text.split("/");
+    const isCurrent = instance === this.#ownership.instance;
+    return isCurrent ? Number(deadlineMs) : -Infinity;
   }
 
-  async #answer(
+  async #respond(
     context: BackendContext,
     work: { request: IncomingRequest; result: WorkResult; body: string },
   ): Promise<Response> {
     const { request, result } = work;
     await serve.delay(this.#faults.answerLateMs ?? 0);
-    if (this.#take("lostAnswers")) return serve.leaveUnanswered();
-    const id = this.#take("wrongIdAnswers")
+    if (this.#consumeFault("lostAnswers")) return serve.leaveUnanswered();
+    const id = this.#consumeFault("wrongIdAnswers")
       ? `${request.requestId}-other`
       : request.requestId;
     context.header(contracts.REQUEST_ID_HEADER, id);
@@ -246,7 +262,7 @@
       return context.json({ refused: result.refusal }, status);
     }
     const fillerBytes = Number(context.req.query("bytes") ?? "0");
-    const answer: WorkResponseBody = {
+    const responseBody: WorkResponseBody = {
       server: this.#settings.server,
       requestId: request.requestId,
       operationId: request.operationId,
@@ -254,36 +270,38 @@
       echo: work.body,
       filler: "x".repeat(fillerBytes),
     };
-    if (this.#take("truncatedAnswers")) {
-      return truncate(context, { id, text: JSON.stringify(answer) });
+    if (this.#consumeFault("truncatedAnswers")) {
+      return sendTruncated(context, { id, text: JSON.stringify(responseBody) });
     }
-    return context.json(answer);
+    return context.json(responseBody);
   }
 
-  #take(name: "lostAnswers" | "wrongIdAnswers" | "truncatedAnswers"): boolean {
-    const left = this.#faults[name] ?? 0;
-    if (left === 0) return false;
-    this.#faults = { ...this.#faults, [name]: left - 1 };
+  #consumeFault(
+    name: "lostAnswers" | "wrongIdAnswers" | "truncatedAnswers",
+  ): boolean {
+    const remaining = this.#faults[name] ?? 0;
+    if (remaining === 0) return false;
+    this.#faults = { ...this.#faults, [name]: remaining - 1 };
     return true;
   }
 
-  #noteLoad(): void {
-    this.#load.record(this.#queue.inFlight, this.#clock.nowMs());
+  #recordLoad(): void {
+    this.#loadHistory.record(this.#queue.inFlight, this.#clock.nowMs());
   }
 }
 
-/** Sends half of the announced body, then cuts the connection. */
-function truncate(
+/** Sends half of the announced body, then closes the connection. */
+function sendTruncated(
   context: BackendContext,
-  answer: { readonly id: string; readonly text: string },
+  response: { readonly id: string; readonly text: string },
 ): Response {
   const { outgoing, incoming } = context.env;
   outgoing.writeHead(200, {
     "content-type": "application/json",
-    "content-length": Buffer.byteLength(answer.text),
-    [contracts.REQUEST_ID_HEADER]: answer.id,
+    "content-length": Buffer.byteLength(response.text),
+    [contracts.REQUEST_ID_HEADER]: response.id,
   });
-  const half = answer.text.slice(0, answer.text.length / 2);
+  const half = response.text.slice(0, response.text.length / 2);
   outgoing.write(half, () => incoming.socket.destroy());
   return serve.leaveUnanswered();
 }
--- a/packages/standins/src/backend_server/backend_main.ts
+++ b/packages/standins/src/backend_server/backend_main.ts
@@ -1,4 +1,4 @@
-/** Process that stands in for one backend server. */
+/** Entry point of the process that stands in for one backend server. */
 import { MonotonicClock } from "guavatide/utils/clock";
 import * as crypto from "node:crypto";
 import * as serve from "../http/serve.ts";
@@ -13,20 +13,20 @@
     clock: new MonotonicClock(),
     instance: crypto.randomUUID(),
   });
-  const listening = await serve.listen(app.hono, {
+  const listener = await serve.listen(app.hono, {
     port: settings.port,
     host: settings.host,
   });
-  listening.server.maxConnections = settings.connectionLimit;
+  listener.server.maxConnections = settings.connectionLimit;
   serve.stopOnSignal(async () => {
     app.setDraining(true);
     await serve.delay(settings.drainGraceMs);
     while (app.inFlight > 0) await serve.delay(IDLE_CHECK_MS);
-    // The last answer leaves before the connections are closed.
+    // Leaves time to send the last response before closing the connections.
     await serve.delay(settings.linkDelayMs + IDLE_CHECK_MS);
-    await listening.close();
+    await listener.close();
   });
-  serve.printReady({ port: listening.port });
+  serve.printReady({ port: listener.port });
 }
 
 await main();
--- a/packages/standins/src/backend_server/journal.ts
+++ b/packages/standins/src/backend_server/journal.ts
@@ -1,21 +1,24 @@
 /**
- * What a backend server ran, for counting afterwards: a request run twice,
- * two owners of a key at one moment, one told as not run that ran. Each line
- * is written before the next step, so that a killed server's journal is whole.
+ * Journal of the requests that a backend server ran. Tests read it to find a
+ * request that ran twice, a key with two owners at the same time, or a request
+ * that ran although the caller was told that it did not. Each line is written
+ * synchronously before the next step, so that the journal of a killed server
+ * is complete.
  */
 import type { Clock, ServerRefusal } from "@guavatide/contracts";
 import * as fs from "node:fs";
 
 /**
- * A step of a request. `end` is the moment of its effect; `abandoned` ran
- * without effect; a `start` alone belongs to a server that was lost.
+ * A step in the processing of a request. `end`: its effect was committed.
+ * `abandoned`: it ran without effect. A `start` without a later step means
+ * that the server failed while the request was running.
  */
 export type JournalStep = "start" | "end" | "abandoned" | "refused";
 
-/** What the journal notes of a request. */
+/** Request fields that the journal records. */
 export interface JournaledRequest {
   readonly requestId: string;
-  /** The caller's name for the operation, the same for each attempt. */
+  /** The caller's operation id, the same for every attempt. */
   readonly operationId: string | undefined;
   readonly key: string | undefined;
   readonly slice: string | undefined;
@@ -27,7 +30,7 @@
   readonly server: string;
   readonly step: JournalStep;
   readonly refusal?: ServerRefusal;
-  /** CLOCK_MONOTONIC, the same for every process of the machine. */
+  /** CLOCK_MONOTONIC, shared by all processes of the machine. */
   readonly monotonicMs: number;
   readonly wallMs: number;
 }
@@ -42,14 +45,14 @@
 /** Options of {@link Journal.append}. */
 export interface AppendOptions {
   /**
-   * The very time by which the step was decided. A time read afresh could
-   * come from after a pause that followed the decision.
+   * The clock reading on which the step was decided. A later reading could
+   * include a pause of the process after the decision.
    */
   readonly nowMs: number;
   readonly refusal?: ServerRefusal;
 }
 
-/** The journal of one server, in memory and, if wished, in a file. */
+/** The journal of one server, in memory and optionally in a file. */
 export class Journal {
   readonly #server: string;
   readonly #file: number | undefined;
@@ -60,16 +63,16 @@
     const { server, file, clock } = options;
     this.#server = server;
     this.#file = file === undefined ? undefined : fs.openSync(file, "a");
-    const machineMs = Number(process.hrtime.bigint()) / 1e6;
-    this.#clockOffsetMs = machineMs - clock.nowMs();
+    const monotonicMs = Number(process.hrtime.bigint()) / 1e6;
+    this.#clockOffsetMs = monotonicMs - clock.nowMs();
   }
 
-  /** Every entry of this run of the process. */
+  /** All entries of this incarnation of the process. */
   get entries(): readonly JournalEntry[] {
     return this.#entries;
   }
 
-  /** Notes one step. */
+  /** Appends one step. */
   append(
     step: JournalStep,
     request: JournaledRequest,
@@ -89,7 +92,7 @@
   }
 }
 
-/** Reads a journal file; a last line that was cut is left out. */
+/** Reads a journal file; skips a last line that is incomplete. */
 export function readJournalFile(file: string): JournalEntry[] {
   if (!fs.existsSync(file)) return [];
   const lines = fs.readFileSync(file, "utf8").split("\n");
--- a/packages/standins/src/backend_server/load_history.ts
+++ b/packages/standins/src/backend_server/load_history.ts
@@ -1,11 +1,11 @@
-/** A server's load as it was some time ago, for a report that lags. */
+/** Delayed view of a server's load, for load reports that lag behind. */
 
 interface LoadSample {
   readonly sinceMs: number;
   readonly inFlight: number;
 }
 
-/** Load over the last lag. */
+/** Load samples as far back as the lag. */
 export class LoadHistory {
   readonly #lagMs: number;
   #samples: LoadSample[] = [{ sinceMs: -Infinity, inFlight: 0 }];
@@ -14,21 +14,21 @@
     this.#lagMs = lagMs;
   }
 
-  /** Notes the load from now on. */
+  /** Records the load that applies from `nowMs` on. */
   record(inFlight: number, nowMs: number): void {
     this.#samples.push({ sinceMs: nowMs, inFlight });
-    this.#forget(nowMs);
+    this.#dropOldSamples(nowMs);
   }
 
-  /** The load that the report tells now. */
+  /** The load to report at `nowMs`: the load one lag earlier. */
   reportedLoad(
     nowMs: number,
   ): { readonly inFlight: number; readonly ageMs: number } {
-    this.#forget(nowMs);
+    this.#dropOldSamples(nowMs);
     return { inFlight: this.#samples[0]!.inFlight, ageMs: this.#lagMs };
   }
 
-  #forget(nowMs: number): void {
+  #dropOldSamples(nowMs: number): void {
     const asOfMs = nowMs - this.#lagMs;
     let first = 0;
     while (
--- a/packages/standins/src/backend_server/ownership_state.ts
+++ b/packages/standins/src/backend_server/ownership_state.ts
@@ -1,7 +1,7 @@
 /**
- * What a backend server that checks fences knows of its ownership, and what
- * it may run. A decision without input or output: each method takes the
- * server's monotonic time.
+ * Slice leases of a backend server that checks fencing tokens, and the rules
+ * for which requests it may run. Does no I/O and reads no clock: callers pass
+ * the server's monotonic time.
  */
 import type {
   LeaseCommand,
@@ -12,26 +12,26 @@
 
 /** Options of {@link OwnershipState}. */
 export interface OwnershipStateOptions {
-  /** Drawn anew at each start of the process. */
+  /** Incarnation id, new at each start of the process. */
   readonly instance: string;
   readonly checksFences: boolean;
 }
 
-/** The part of a reply that ownership decides. */
+/** The part of a lease command reply that depends on ownership. */
 export type OwnershipReply = Omit<LeaseCommandReply, "draining">;
 
 interface Lease {
   readonly fence: number;
-  /** On the server's own clock. */
+  /** On the server's monotonic clock. */
   leaseEndMs: number;
 }
 
-/** Slices held, their leases and the requests that run in them. */
+/** Slice leases and the number of requests that run in each slice. */
 export class OwnershipState {
   readonly #options: OwnershipStateOptions;
-  readonly #holds = new Map<SliceId, Lease>();
-  /** Holds that were let go while requests of theirs were running. */
-  readonly #lettingGo = new Map<SliceId, Lease>();
+  readonly #leases = new Map<SliceId, Lease>();
+  /** Leases that were released while requests were still running. */
+  readonly #releasing = new Map<SliceId, Lease>();
   readonly #running = new Map<SliceId, number>();
   #revision = 0;
 
@@ -39,100 +39,104 @@
     this.#options = options;
   }
 
-  /** Drawn anew at each start of the process. */
+  /** Incarnation id, new at each start of the process. */
   get instance(): string {
     return this.#options.instance;
   }
 
-  /** Applies an order and answers it. */
-  applyLeaseCommand(order: LeaseCommand, nowMs: number): OwnershipReply {
-    if (order.revision < this.#revision) return this.#answer(false, nowMs);
-    this.#revision = order.revision;
-    this.#letGo(order.slices);
-    const leaseEndMs = this.#leaseEndOf(order, nowMs);
-    if (leaseEndMs === undefined) return this.#answer(false, nowMs);
-    for (const slice of order.slices) this.#hold(slice, leaseEndMs);
-    return this.#answer(true, nowMs);
+  /** Applies a lease command and returns the reply. */
+  applyLeaseCommand(command: LeaseCommand, nowMs: number): OwnershipReply {
+    if (command.revision < this.#revision) return this.#reply(false, nowMs);
+    this.#revision = command.revision;
+    this.#releaseUnlisted(command.slices);
+    const leaseEndMs = this.#leaseEndOf(command, nowMs);
+    if (leaseEndMs === undefined) return this.#reply(false, nowMs);
+    for (const slice of command.slices) this.#grantOrRenew(slice, leaseEndMs);
+    return this.#reply(true, nowMs);
   }
 
-  /** Whether a request may run now for this slice at this fence. */
+  /** Whether a request for this slice and fencing token may start now. */
   mayStart(slice: SliceId, fence: number, nowMs: number): boolean {
     if (!this.#options.checksFences) return true;
-    const hold = this.#holds.get(slice);
-    if (hold === undefined) return false;
-    return hold.fence === fence && nowMs < hold.leaseEndMs;
+    const lease = this.#leases.get(slice);
+    if (lease === undefined) return false;
+    return lease.fence === fence && nowMs < lease.leaseEndMs;
   }
 
   /**
-   * Whether a request that runs may take its effect now. One whose slice was
-   * let go meanwhile may until its lease ends: whoever took the slice waits
-   * for the word that nothing is in flight, or for that end.
+   * Whether a running request may commit its effect now. A request whose slice
+   * was released in the meantime may commit until the lease expires: the new
+   * owner starts only after this server has reported that no request is in
+   * flight, or after that expiry.
    */
   mayCommit(slice: SliceId, fence: number, nowMs: number): boolean {
     if (this.mayStart(slice, fence, nowMs)) return true;
-    const hold = this.#lettingGo.get(slice);
-    if (hold === undefined) return false;
-    return hold.fence === fence && nowMs < hold.leaseEndMs;
+    const lease = this.#releasing.get(slice);
+    if (lease === undefined) return false;
+    return lease.fence === fence && nowMs < lease.leaseEndMs;
   }
 
-  /** Counts a request that begins to run. */
+  /** Counts a request that starts running. */
   begin(slice: SliceId): void {
     this.#running.set(slice, (this.#running.get(slice) ?? 0) + 1);
   }
 
-  /** Counts a request that has ended. */
+  /** Counts a request that has finished running. */
   end(slice: SliceId): void {
-    const left = (this.#running.get(slice) ?? 1) - 1;
-    if (left > 0) {
-      this.#running.set(slice, left);
+    const remaining = (this.#running.get(slice) ?? 1) - 1;
+    if (remaining > 0) {
+      this.#running.set(slice, remaining);
       return;
     }
     this.#running.delete(slice);
-    this.#lettingGo.delete(slice);
+    this.#releasing.delete(slice);
   }
 
-  /** Slices with a lease that has not ended. */
+  /** Slices with a lease that has not expired. */
   heldSlices(nowMs: number): SliceId[] {
-    return [...this.#holds.entries()]
-      .filter(([, hold]) => nowMs < hold.leaseEndMs)
+    return [...this.#leases.entries()]
+      .filter(([, lease]) => nowMs < lease.leaseEndMs)
       .map(([slice]) => slice);
   }
 
   /**
-   * Undefined when the order can't give a lease: no stamp, a stamp of another
-   * run, a stamp from the future or one whose lease has ended on its way.
+   * Undefined when the command can't grant a lease: it has no stamp, a stamp
+   * of another incarnation or a stamp in the future, or the lease expired
+   * before the command arrived.
    */
-  #leaseEndOf(order: LeaseCommand, nowMs: number): number | undefined {
-    if (order.stampMs === undefined) return undefined;
-    if (order.stampInstance !== this.#options.instance) return undefined;
-    if (order.stampMs > nowMs) return undefined;
-    const leaseEndMs = order.stampMs + order.leaseMs;
+  #leaseEndOf(command: LeaseCommand, nowMs: number): number | undefined {
+    if (command.stampMs === undefined) return undefined;
+    if (command.stampInstance !== this.#options.instance) return undefined;
+    if (command.stampMs > nowMs) return undefined;
+    const leaseEndMs = command.stampMs + command.leaseMs;
     return leaseEndMs > nowMs ? leaseEndMs : undefined;
   }
 
-  /** Letting go is always safe, so it needs no stamp. */
-  #letGo(listed: readonly LeasedSlice[]): void {
-    const fences = new Map(listed.map((held) => [held.slice, held.fence]));
-    for (const [slice, hold] of [...this.#holds]) {
-      if (fences.get(slice) === hold.fence) continue;
-      this.#holds.delete(slice);
-      if (this.#running.has(slice)) this.#lettingGo.set(slice, hold);
+  /** Releasing a slice is always safe, so it needs no valid stamp. */
+  #releaseUnlisted(listed: readonly LeasedSlice[]): void {
+    const fences = new Map(
+      listed.map((leased) => [leased.slice, leased.fence]),
+    );
+    for (const [slice, lease] of [...this.#leases]) {
+      if (fences.get(slice) === lease.fence) continue;
+      this.#leases.delete(slice);
+      if (this.#running.has(slice)) this.#releasing.set(slice, lease);
     }
   }
 
-  /** An older stamp never shortens the lease that a newer one gave. */
-  #hold(listed: LeasedSlice, leaseEndMs: number): void {
-    const present = this.#holds.get(listed.slice);
-    if (present === undefined) {
-      this.#holds.set(listed.slice, { fence: listed.fence, leaseEndMs });
+  /** An older stamp never shortens the lease that a newer one granted. */
+  #grantOrRenew(listed: LeasedSlice, leaseEndMs: number): void {
+    const current = this.#leases.get(listed.slice);
+    if (current === undefined) {
+      this.#leases.set(listed.slice, { fence: listed.fence, leaseEndMs });
       return;
     }
-    present.leaseEndMs = Math.max(present.leaseEndMs, leaseEndMs);
+    current.leaseEndMs = Math.max(current.leaseEndMs, leaseEndMs);
   }
 
-  #answer(isAccepted: boolean, nowMs: number): OwnershipReply {
+  #reply(isAccepted: boolean, nowMs: number): OwnershipReply {
     const releasing = [...this.#running.entries()]
-      .filter(([slice]) => !this.#holds.has(slice))
+      .filter(([slice]) => !this.#leases.has(slice))
       .map(([slice, inFlight]) => ({ slice, inFlight }));
     return {
       instance: this.#options.instance,
--- a/packages/standins/src/backend_server/service_times.ts
+++ b/packages/standins/src/backend_server/service_times.ts
@@ -1,9 +1,9 @@
-/** Draws how long each request runs, from a seed. */
+/** Draws the service time of each request from a seeded generator. */
 import { uniformFloat64 } from "pure-rand/distribution/uniformFloat64";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import type { ServiceTime } from "./settings.ts";
 
-/** Seeded draws of one distribution. */
+/** Seeded sampler of one service time distribution. */
 export class ServiceTimeSampler {
   readonly #distribution: ServiceTime;
   readonly #random: ReturnType<typeof xoroshiro128plus>;
@@ -13,7 +13,7 @@
     this.#random = xoroshiro128plus(seed);
   }
 
-  /** The next time, in milliseconds. */
+  /** The next sample, in milliseconds. */
   nextMs(): number {
     const distribution = this.#distribution;
     switch (distribution.kind) {
@@ -27,7 +27,7 @@
     }
   }
 
-  /** Box and Muller's transform. */
+  /** Standard normal sample by the Box-Muller transform. */
   #normal(): number {
     const radius = Math.sqrt(-2 * Math.log(1 - this.#uniform()));
     return radius * Math.cos(2 * Math.PI * this.#uniform());
--- a/packages/standins/src/backend_server/settings.ts
+++ b/packages/standins/src/backend_server/settings.ts
@@ -19,7 +19,7 @@
     sigma: z.number().min(0),
   }),
 ]);
-/** How long a request runs. */
+/** Distribution of the time that a request runs, in milliseconds. */
 export type ServiceTime = z.infer<typeof serviceTimeSchema>;
 
 /** Schema of {@link BackendSettings}. */
@@ -27,34 +27,35 @@
   server: serverIdSchema,
   service: serviceIdSchema,
   zone: zoneIdSchema,
-  /** 0 takes a free port. */
+  /** 0 picks a free port. */
   port: z.number().int().min(0).max(65535).default(0),
   host: z.string().default("127.0.0.1"),
-  /** Whether a request must name a slice that the server holds. */
+  /** Whether a request must name a slice that the server has a lease for. */
   keyed: z.boolean().default(true),
-  /** Requests that run at once. */
+  /** Maximum number of requests that run concurrently. */
   slots: z.number().int().min(1).default(3),
-  /** Requests that wait for a slot; one more is refused as busy. */
+  /** Maximum number of queued requests; further ones are refused as busy. */
   queueLimit: z.number().int().min(0).default(2),
-  /** Further connections are closed as they come. */
+  /** Maximum number of open connections; further ones are closed at once. */
   connectionLimit: z.number().int().min(1).default(110),
   serviceTimeMs: serviceTimeSchema.default({ kind: "fixed", ms: 5 }),
+  /** Seed of the service time samples. */
   seed: z.number().int().default(1),
-  /** How long after the start the server is cold. */
+  /** Length of the warm-up after the start, during which it is cold. */
   coldStartMs: z.number().min(0).default(0),
-  /** A cold server refuses, or runs slower by `coldSlowFactor`. */
+  /** A cold server refuses, or runs `coldSlowFactor` times slower. */
   coldMode: z.enum(["refuse", "slow"]).default("refuse"),
   coldSlowFactor: z.number().min(1).default(10),
-  /** Delay of a message to or from the server. */
+  /** Simulated one-way network delay. */
   linkDelayMs: z.number().min(0).default(0),
-  /** Delay of the first request of a connection. */
+  /** Simulated connection setup time, added to the first request. */
   newConnectionMs: z.number().min(0).default(0),
   checksFences: z.boolean().default(true),
-  /** How far the load report lies behind. */
+  /** Age of the load that is reported. */
   loadLagMs: z.number().min(0).default(0),
-  /** File for the journal, so that it outlives a killed process. */
+  /** Journal file; it outlives a killed process. */
   journalFile: z.string().optional(),
-  /** After SIGTERM: shortest time to stay and refuse before the end. */
+  /** Minimum time to refuse new requests after SIGTERM before exiting. */
   drainGraceMs: z.number().min(0).default(500),
 });
 /** Settings of one backend server. */
@@ -62,25 +63,25 @@
 
 /** Schema of {@link BackendFaults}. */
 export const backendFaultsSchema = z.strictObject({
-  /** Requests run this many times slower. */
+  /** Factor by which requests run slower. */
   slowFactor: z.number().positive().optional(),
-  /** While true, no run ends. */
+  /** While true, running requests do not finish. */
   holdRuns: z.boolean().optional(),
-  /** Time between the end of a run and its answer. */
+  /** Delay between the end of a request and its response. */
   answerLateMs: z.number().min(0).optional(),
-  /** The next answers that bear another request's id. */
+  /** Number of next responses that carry a wrong request id. */
   wrongIdAnswers: z.number().int().min(0).optional(),
-  /** The next answers that are cut in the middle. */
+  /** Number of next responses that are cut off halfway through the body. */
   truncatedAnswers: z.number().int().min(0).optional(),
-  /** The next answers that never come; the request has run. */
+  /** Number of next requests that run but get no response. */
   lostAnswers: z.number().int().min(0).optional(),
-  /** What the load report claims, whatever is true. */
+  /** Overrides fields of the load report. */
   load: z.strictObject({
     inFlight: z.number().int().min(0).optional(),
     ageMs: z.number().min(0).optional(),
     healthy: z.boolean().optional(),
   }).optional(),
-  /** Control calls are never answered. */
+  /** Whether control calls get no response. */
   controlHangs: z.boolean().optional(),
 });
 /** Faults in force, set over `POST /faults`. */
--- a/packages/standins/src/backend_server/work_queue.ts
+++ b/packages/standins/src/backend_server/work_queue.ts
@@ -1,8 +1,8 @@
 /**
- * Runs requests in a fixed number of slots with a short queue. Refuses by
- * deadline, drain, cold start and ownership, and checks ownership again when
- * a request leaves the queue and before its effect: the process may have been
- * stopped in between, and another server may own the key by then.
+ * Runs requests in a fixed number of slots with a short queue. Refuses requests
+ * because of deadline, drain, cold start or ownership. Checks ownership again
+ * when a request leaves the queue and before it commits its effect: the process
+ * may have been paused in between, and another server may own the key by then.
  */
 import type { Clock, ServerRefusal, SliceId } from "@guavatide/contracts";
 import type { Journal, JournaledRequest } from "./journal.ts";
@@ -12,20 +12,23 @@
 
 const MAX_REMEMBERED_CANCELLATIONS = 10_000;
 
-/** A request that has arrived. */
+/** A request as received. */
 export interface IncomingRequest extends JournaledRequest {
-  /** On the server's clock; undefined without one. */
+  /** On the server's clock; undefined when the request has none. */
   readonly deadlineMs: number | undefined;
-  /** The same, given by the sender on the server's clock: holds to the end. */
+  /**
+   * Deadline that the sender stamped on the server's clock. Also checked before
+   * the effect is committed.
+   */
   readonly effectDeadlineMs?: number;
 }
 
-/** How a request ended. */
+/** Outcome of a request. */
 export type WorkResult =
   | { readonly kind: "ran" }
   | { readonly kind: "refused"; readonly refusal: ServerRefusal };
 
-/** What a cancellation met. */
+/** Outcome of a cancellation. */
 export type CancelResult = "removed" | "running" | "unknown";
 
 interface PendingRequest {
@@ -42,16 +45,16 @@
   readonly serviceTimes: ServiceTimeSampler;
 }
 
-/** Slots and queue of one server. */
+/** Execution slots and queue of one server. */
 export class WorkQueue {
   readonly #options: WorkQueueOptions;
   readonly #startedMs: number;
-  readonly #waiting: PendingRequest[] = [];
+  readonly #queue: PendingRequest[] = [];
   readonly #runningIds = new Set<string>();
   readonly #cancelledIds = new Set<string>();
-  readonly #held: PendingRequest[] = [];
+  readonly #heldRuns: PendingRequest[] = [];
   #holdsRuns = false;
-  /** Requests run this many times slower. */
+  /** Factor by which requests run slower. */
   slowFactor = 1;
   isDraining = false;
 
@@ -60,77 +63,77 @@
     this.#startedMs = options.clock.nowMs();
   }
 
-  /** Requests that run or wait. */
+  /** Number of running and queued requests. */
   get inFlight(): number {
-    return this.#runningIds.size + this.#waiting.length;
+    return this.#runningIds.size + this.#queue.length;
   }
 
-  /** Fault control: while set, no run ends. */
-  setHoldRuns(holds: boolean): void {
-    this.#holdsRuns = holds;
-    if (holds) return;
-    for (const work of this.#held.splice(0)) this.#finish(work);
+  /** Fault injection: while set, running requests do not finish. */
+  setHoldRuns(isHeld: boolean): void {
+    this.#holdsRuns = isHeld;
+    if (isHeld) return;
+    for (const held of this.#heldRuns.splice(0)) this.#finish(held);
   }
 
-  /** Runs the request as soon as a slot is free, or refuses it. */
+  /** Runs the request when a slot is free, or refuses it. */
   submit(request: IncomingRequest): Promise<WorkResult> {
-    const refusal = this.#refusalOnArrival(request);
+    const refusal = this.#admissionRefusal(request);
     if (refusal !== undefined) {
       return Promise.resolve(this.#refuse(request, refusal));
     }
     return new Promise((resolve) => {
-      this.#waiting.push({ request, resolve: resolve });
-      this.#startWaiting();
+      this.#queue.push({ request, resolve });
+      this.#startQueued();
     });
   }
 
   /**
-   * Cancels a request that has not started. An id that is not known is kept:
-   * the cancellation may have overtaken its request.
+   * Cancels a request that has not started. Remembers an unknown id, since the
+   * cancellation may have overtaken its request.
    */
   cancel(requestId: string): CancelResult {
     if (this.#runningIds.has(requestId)) return "running";
-    const index = this.#waiting.findIndex((waiting) =>
-      waiting.request.requestId === requestId
+    const index = this.#queue.findIndex((pending) =>
+      pending.request.requestId === requestId
     );
-    const waiting = this.#waiting[index];
-    if (waiting === undefined) {
-      this.#rememberCancelled(requestId);
+    const pending = this.#queue[index];
+    if (pending === undefined) {
+      this.#rememberCancellation(requestId);
       return "unknown";
     }
-    this.#waiting.splice(index, 1);
-    waiting.resolve(this.#refuse(waiting.request, "deadline"));
+    this.#queue.splice(index, 1);
+    pending.resolve(this.#refuse(pending.request, "deadline"));
     return "removed";
   }
 
-  #rememberCancelled(requestId: string): void {
+  #rememberCancellation(requestId: string): void {
     this.#cancelledIds.add(requestId);
     if (this.#cancelledIds.size <= MAX_REMEMBERED_CANCELLATIONS) return;
     const oldest = this.#cancelledIds.values().next().value;
     if (oldest !== undefined) this.#cancelledIds.delete(oldest);
   }
 
-  #refusalOnArrival(request: IncomingRequest): ServerRefusal | undefined {
+  #admissionRefusal(request: IncomingRequest): ServerRefusal | undefined {
     const { settings } = this.#options;
     if (this.isDraining) return "draining";
     if (this.#isCold() && settings.coldMode === "refuse") return "cold";
     if (this.#cancelledIds.has(request.requestId)) return "deadline";
     const isFull = this.#runningIds.size >= settings.slots &&
-      this.#waiting.length >= settings.queueLimit;
+      this.#queue.length >= settings.queueLimit;
     if (isFull) return "busy";
-    return this.#refusalNow(request, this.#options.clock.nowMs());
+    return this.#deadlineOrOwnerRefusal(request, this.#options.clock.nowMs());
   }
 
-  #refusalNow(
+  #deadlineOrOwnerRefusal(
     request: IncomingRequest,
     nowMs: number,
   ): ServerRefusal | undefined {
     if (nowMs >= (request.deadlineMs ?? Infinity)) return "deadline";
     if (nowMs >= (request.effectDeadlineMs ?? Infinity)) return "deadline";
-    return this.#ownsKeyOf(request, nowMs) ? undefined : "not-owner";
+    return this.#isOwner(request, nowMs) ? undefined : "not-owner";
   }
 
-  #ownsKeyOf(request: IncomingRequest, nowMs: number): boolean {
+  #isOwner(request: IncomingRequest, nowMs: number): boolean {
     const { settings, ownership } = this.#options;
     if (!settings.keyed || !settings.checksFences) return true;
     if (request.slice === undefined || request.fence === undefined) {
@@ -139,7 +142,7 @@
     return ownership.mayStart(request.slice as SliceId, request.fence, nowMs);
   }
 
-  #mayTakeEffect(request: IncomingRequest, nowMs: number): boolean {
+  #mayCommit(request: IncomingRequest, nowMs: number): boolean {
     if (nowMs >= (request.effectDeadlineMs ?? Infinity)) return false;
     const { settings, ownership } = this.#options;
     if (!settings.keyed || !settings.checksFences) return true;
@@ -147,46 +150,46 @@
     return ownership.mayCommit(slice as SliceId, fence!, nowMs);
   }
 
-  #startWaiting(): void {
+  #startQueued(): void {
     while (this.#runningIds.size < this.#options.settings.slots) {
-      const next = this.#waiting.shift();
+      const next = this.#queue.shift();
       if (next === undefined) return;
       const nowMs = this.#options.clock.nowMs();
-      const refusal = this.#refusalNow(next.request, nowMs);
+      const refusal = this.#deadlineOrOwnerRefusal(next.request, nowMs);
       if (refusal === undefined) this.#run(next, nowMs);
       else next.resolve(this.#refuse(next.request, refusal));
     }
   }
 
-  #run(work: PendingRequest, nowMs: number): void {
-    const { request } = work;
-    const { ownership, journal, serviceTimes: times } = this.#options;
+  #run(pending: PendingRequest, nowMs: number): void {
+    const { request } = pending;
+    const { ownership, journal, serviceTimes: serviceTimes } = this.#options;
     this.#runningIds.add(request.requestId);
     if (request.slice !== undefined) ownership.begin(request.slice as SliceId);
     journal.append("start", request, { nowMs });
     const coldFactor = this.#isCold()
       ? this.#options.settings.coldSlowFactor
       : 1;
-    const runMs = times.nextMs() * this.slowFactor * coldFactor;
-    setTimeout(() => this.#finish(work), runMs);
+    const runMs = serviceTimes.nextMs() * this.slowFactor * coldFactor;
+    setTimeout(() => this.#finish(pending), runMs);
   }
 
-  #finish(work: PendingRequest): void {
+  #finish(pending: PendingRequest): void {
     if (this.#holdsRuns) {
-      this.#held.push(work);
+      this.#heldRuns.push(pending);
       return;
     }
-    const { request } = work;
+    const { request } = pending;
     const { ownership, journal, clock } = this.#options;
     const nowMs = clock.nowMs();
-    const ownsStill = this.#mayTakeEffect(request, nowMs);
-    journal.append(ownsStill ? "end" : "abandoned", request, { nowMs });
+    const mayCommit = this.#mayCommit(request, nowMs);
+    journal.append(mayCommit ? "end" : "abandoned", request, { nowMs });
     this.#runningIds.delete(request.requestId);
     if (request.slice !== undefined) ownership.end(request.slice as SliceId);
-    work.resolve(
-      ownsStill ? { kind: "ran" } : { kind: "refused", refusal: "not-owner" },
+    pending.resolve(
+      mayCommit ? { kind: "ran" } : { kind: "refused", refusal: "not-owner" },
     );
-    this.#startWaiting();
+    this.#startQueued();
   }
 
   #refuse(request: IncomingRequest, refusal: ServerRefusal): WorkResult {
