--- a/packages/standins/src/platform_store/object_table.ts
+++ b/packages/standins/src/platform_store/object_table.ts
@@ -1,6 +1,6 @@
 /**
- * Named objects with versions, conditional updates and a log of changes: the
- * state of the stand-in of the platform's store.
+ * State of the stand-in for the platform's store: named objects with versions,
+ * conditional writes and a change log for watches.
  */
 import {
   STORE_VALUE_LIMIT_BYTES,
@@ -12,7 +12,7 @@
 
 const MAX_LOG_EVENTS = 10_000;
 
-/** What became of a write. */
+/** Outcome of a write. */
 export type WriteOutcome =
   | { readonly kind: "written"; readonly version: string }
   | { readonly kind: "conflict" }
@@ -23,25 +23,25 @@
   readonly sequence: number;
   readonly name: string;
   readonly object?: StoredObject;
-  /** A fault control: the event is never told. */
+  /** Fault injection: no watch receives the event. */
   readonly isSkipped: boolean;
 }
 
-/** The objects and the log of their changes. */
+/** The objects and their change log. */
 export class ObjectTable {
   readonly #objects = new Map<string, StoredObject>();
   readonly #listeners = new Set<() => void>();
   #log: LoggedEvent[] = [];
   #sequence = 0;
-  #firstTold = 1;
+  #firstRetained = 1;
   #eventsToSkip = 0;
 
-  /** The object, or undefined. */
+  /** The object, or undefined when there is none. */
   get(name: string): StoredObject | undefined {
     return this.#objects.get(name);
   }
 
-  /** Every object whose name begins with `prefix`, and where to watch on. */
+  /** Objects whose name starts with `prefix`, and the cursor to watch from. */
   list(prefix: string): { objects: StoredObject[]; cursor: string } {
     const objects = [...this.#objects.values()]
       .filter((object) => object.name.startsWith(prefix))
@@ -54,7 +54,7 @@
     if (Buffer.byteLength(value) > STORE_VALUE_LIMIT_BYTES) {
       return { kind: "too-large" };
     }
-    if (!this.#holds(name, condition)) return { kind: "conflict" };
+    if (!this.#isMet(name, condition)) return { kind: "conflict" };
     const version = `v${this.#sequence + 1}`;
     const object = { name, version, value };
     this.#objects.set(name, object);
@@ -65,20 +65,20 @@
   /** Deletes the object if the condition holds. */
   delete(name: string, condition: WriteCondition): WriteOutcome {
     if (!this.#objects.has(name)) return { kind: "not-found" };
-    if (!this.#holds(name, condition)) return { kind: "conflict" };
+    if (!this.#isMet(name, condition)) return { kind: "conflict" };
     this.#objects.delete(name);
     this.#append(name, undefined);
     return { kind: "written", version: `v${this.#sequence}` };
   }
 
-  /** Events after `cursor`; a reset when the log no longer reaches back. */
+  /** Events after `cursor`; a reset when the log no longer contains them. */
   eventsAfter(prefix: string, cursor: string): WatchBatch {
     const after = /^\d+$/.test(cursor) ? Number(cursor) : -1;
-    const now = String(this.#sequence);
-    if (after + 1 < this.#firstTold || after > this.#sequence) {
-      return { cursor: now, events: [], reset: true };
+    const head = String(this.#sequence);
+    if (after + 1 < this.#firstRetained || after > this.#sequence) {
+      return { cursor: head, events: [], reset: true };
     }
-    const first = this.#log[0]?.sequence ?? this.#firstTold;
+    const first = this.#log[0]?.sequence ?? this.#firstRetained;
     const events: WatchEvent[] = this.#log
       .slice(Math.max(0, after + 1 - first))
       .filter((event) => !event.isSkipped)
@@ -88,37 +88,37 @@
         name,
         object,
       }));
-    return { cursor: now, events, reset: false };
+    return { cursor: head, events, reset: false };
   }
 
-  /** Calls back on each change until the returned function is called. */
+  /** Calls `callback` on each change; returns a function that unsubscribes. */
   onChange(callback: () => void): () => void {
     this.#listeners.add(callback);
     return () => this.#listeners.delete(callback);
   }
 
-  /** Fault control: the next events are never told to any watch. */
+  /** Fault injection: no watch receives the next `count` events. */
   skipEvents(count: number): void {
     this.#eventsToSkip = count;
   }
 
-  /** Fault control: forgets the log, so that every watch is reset. */
+  /** Fault injection: discards the log, so that every watch is reset. */
   compactLog(): void {
     this.#log = [];
     this.#sequence++;
-    this.#firstTold = this.#sequence + 1;
-    this.#tellListeners();
+    this.#firstRetained = this.#sequence + 1;
+    this.#notifyListeners();
   }
 
-  #holds(name: string, condition: WriteCondition): boolean {
-    const present = this.#objects.get(name);
+  #isMet(name: string, condition: WriteCondition): boolean {
+    const current = this.#objects.get(name);
     switch (condition.kind) {
       case "any":
         return true;
       case "absent":
-        return present === undefined;
+        return current === undefined;
       case "version":
-        return present?.version === condition.version;
+        return current?.version === condition.version;
     }
   }
 
@@ -129,12 +129,12 @@
     this.#log.push({ sequence: this.#sequence, name, object, isSkipped });
     if (this.#log.length > MAX_LOG_EVENTS) {
       this.#log = this.#log.slice(-MAX_LOG_EVENTS / 2);
-      this.#firstTold = this.#log[0]!.sequence;
+      this.#firstRetained = this.#log[0]!.sequence;
     }
-    this.#tellListeners();
+    this.#notifyListeners();
   }
 
-  #tellListeners(): void {
+  #notifyListeners(): void {
     for (const listener of [...this.#listeners]) listener();
   }
 }
--- a/packages/standins/src/platform_store/store_app.ts
+++ b/packages/standins/src/platform_store/store_app.ts
@@ -1,7 +1,7 @@
 /**
- * HTTP side of the store stand-in. Objects under `/objects`, a long poll at
- * `/watch`; `/faults` and `/counters` lie beside the protocol and stay
- * reachable in every fault.
+ * HTTP routes of the store stand-in: objects under `/objects` and a long poll
+ * at `/watch`. `/faults` and `/counters` are for tests only, are not part of
+ * the protocol and are not subject to injected faults.
  */
 import type { WriteCondition } from "@guavatide/contracts";
 import { type Context, Hono, type Next } from "hono";
@@ -11,7 +11,7 @@
 
 type StoreContext = Context<serve.StandInEnv>;
 
-/** Calls by kind since the start; a waiting watch is one. */
+/** Number of calls by kind since the start; a long poll counts once. */
 export interface StoreCounters {
   get: number;
   list: number;
@@ -37,8 +37,8 @@
     const app = this.hono;
     app.get("/counters", (context) => context.json(this.counters));
     app.post("/faults", (context) => this.#setFaults(context));
-    // Covers "/objects" itself, too.
-    app.use("/objects/*", (context, next) => this.#suffer(context, next));
+    // This pattern also matches "/objects" itself.
+    app.use("/objects/*", (context, next) => this.#injectFaults(context, next));
     app.get("/objects", (context) => this.#list(context));
     app.get("/objects/:name", (context) => this.#get(context));
     app.put("/objects/:name", (context) => this.#put(context));
@@ -57,19 +57,19 @@
     return context.json({});
   }
 
-  async #suffer(
+  async #injectFaults(
     context: StoreContext,
     next: Next,
   ): Promise<Response | undefined> {
-    this.#count(context);
-    const outage = this.#outageAnswer(context);
+    this.#countCall(context);
+    const outage = this.#outageResponse(context);
     if (outage !== undefined) return outage;
     await serve.delay(this.faults.delayMs);
     if (this.faults.consumeFailure()) return context.text("failed", 503);
     await next();
   }
 
-  #outageAnswer(context: StoreContext): Response | undefined {
+  #outageResponse(context: StoreContext): Response | undefined {
     switch (this.faults.outage) {
       case "refuse":
         return serve.cutConnection(context);
@@ -80,7 +80,7 @@
     }
   }
 
-  #count(context: StoreContext): void {
+  #countCall(context: StoreContext): void {
     const method = context.req.method;
     if (method === "PUT") this.counters.put++;
     else if (method === "DELETE") this.counters.delete++;
@@ -104,15 +104,15 @@
     const value = await context.req.text();
     const condition = conditionOf(context);
     const outcome = this.table.put(nameOf(context), value, condition);
-    return this.#answerWrite(context, outcome);
+    return this.#respondToWrite(context, outcome);
   }
 
   #delete(context: StoreContext): Response {
     const outcome = this.table.delete(nameOf(context), conditionOf(context));
-    return this.#answerWrite(context, outcome);
+    return this.#respondToWrite(context, outcome);
   }
 
-  #answerWrite(context: StoreContext, outcome: WriteOutcome): Response {
+  #respondToWrite(context: StoreContext, outcome: WriteOutcome): Response {
     switch (outcome.kind) {
       case "conflict":
         return context.text("another version", 412);
@@ -132,14 +132,14 @@
 
   async #watch(context: StoreContext): Promise<Response> {
     this.counters.watch++;
-    const outage = this.#outageAnswer(context);
+    const outage = this.#outageResponse(context);
     if (outage !== undefined) return outage;
     const prefix = context.req.query("prefix") ?? "";
     const cursor = context.req.query("cursor") ?? "";
     const waitMs = Number(context.req.query("waitMs") ?? "0");
     await this.#waitForEvent(context, { prefix, cursor, waitMs });
-    const outageSince = this.#outageAnswer(context);
-    if (outageSince !== undefined) return outageSince;
+    const outageAfterWait = this.#outageResponse(context);
+    if (outageAfterWait !== undefined) return outageAfterWait;
     if (this.faults.watch === "silent") return serve.leaveUnanswered();
     if (this.faults.watch === "empty") {
       return context.json({ cursor, events: [], reset: false });
@@ -155,19 +155,19 @@
     return new Promise((resolve) => {
       function finish(): void {
         clearTimeout(timer);
-        stopListening();
+        unsubscribe();
         resolve();
       }
-      function look(): void {
+      function checkEvents(): void {
         const batch = table.eventsAfter(watch.prefix, watch.cursor);
         if (batch.reset || batch.events.length > 0) finish();
       }
       const timer = setTimeout(finish, watch.waitMs);
-      const stopListening = table.onChange(() => {
-        if (this.faults.watch === "normal") look();
+      const unsubscribe = table.onChange(() => {
+        if (this.faults.watch === "normal") checkEvents();
       });
       context.env.incoming.socket.once("close", finish);
-      if (this.faults.watch === "normal") look();
+      if (this.faults.watch === "normal") checkEvents();
     });
   }
 }
--- a/packages/standins/src/platform_store/store_faults.ts
+++ b/packages/standins/src/platform_store/store_faults.ts
@@ -1,43 +1,43 @@
-/** Faults of the store stand-in, set over `POST /faults`. */
+/** Fault injection of the store stand-in, set with `POST /faults`. */
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import { uniformFloat64 } from "pure-rand/distribution/uniformFloat64";
 import * as z from "zod";
 
-/** Schema of {@link StoreFaultSettings}. A field that is absent stays as is. */
+/** Schema of {@link StoreFaultSettings}. Absent fields keep their value. */
 export const storeFaultSettingsSchema = z.strictObject({
-  /** `refuse` cuts each call's connection; `hang` never answers. */
+  /** `refuse` closes the connection of each call; `hang` never responds. */
   outage: z.enum(["none", "refuse", "hang"]).optional(),
-  /** Time added to each call but the watch. */
+  /** Delay added to each call except watches. */
   delayMs: z.number().min(0).optional(),
-  /** The next writes take effect, then their connection is cut. */
+  /** Number of next writes that take effect but whose connection is closed. */
   loseRepliesOfWrites: z.number().int().min(0).optional(),
-  /** Share of writes whose reply is lost after they took effect. */
+  /** Probability that a write takes effect but its reply is lost. */
   loseReplyProbability: z.number().min(0).max(1).optional(),
-  /** Seed of that draw. */
+  /** Seed of the random generator for `loseReplyProbability`. */
   seed: z.number().int().optional(),
-  /** The next calls that are answered 503 without effect. */
+  /** Number of next calls that get status 503 and have no effect. */
   failCalls: z.number().int().min(0).optional(),
-  /** The next writes that take effect and are answered 503. */
+  /** Number of next writes that take effect but get status 503. */
   failWritesAfterEffect: z.number().int().min(0).optional(),
-  /** `silent` never answers a watch; `empty` answers without its events. */
+  /** `silent`: watches get no response; `empty`: responses omit all events. */
   watch: z.enum(["normal", "silent", "empty"]).optional(),
-  /** The next changes that no watch is told of. */
+  /** Number of next changes that no watch receives. */
   skipEvents: z.number().int().min(0).optional(),
-  /** Forgets the log of changes, so that every watch is reset. */
+  /** Discards the change log, so that every watch is reset. */
   forgetLog: z.boolean().optional(),
 });
-/** Settings of the faults. */
+/** Injected faults. */
 export type StoreFaultSettings = z.infer<typeof storeFaultSettingsSchema>;
 
-/** What happens to the reply of a write. */
+/** Fault applied to the reply of a write. */
 export type WriteReplyFault = "none" | "lose" | "fail";
 
-/** The faults in force; each call asks what becomes of it. */
+/** The active faults, and the counters of those that affect the next calls. */
 export class StoreFaults {
   #settings: StoreFaultSettings = {};
   #random = xoroshiro128plus(1);
 
-  /** Merges new settings into those in force. */
+  /** Merges new settings into the active ones. */
   set(settings: StoreFaultSettings): void {
     this.#settings = { ...this.#settings, ...settings };
     if (settings.seed !== undefined) {
@@ -57,15 +57,15 @@
     return this.#settings.watch ?? "normal";
   }
 
-  /** Whether this call fails before it has any effect. */
+  /** Whether this call fails before it has an effect. Counts down the fault. */
   consumeFailure(): boolean {
-    const left = this.#settings.failCalls ?? 0;
-    if (left === 0) return false;
-    this.#settings = { ...this.#settings, failCalls: left - 1 };
+    const remaining = this.#settings.failCalls ?? 0;
+    if (remaining === 0) return false;
+    this.#settings = { ...this.#settings, failCalls: remaining - 1 };
     return true;
   }
 
-  /** What becomes of the reply of a write that took effect. */
+  /** Fault for the reply of a write that took effect. Counts down the fault. */
   consumeWriteReplyFault(): WriteReplyFault {
     const toLose = this.#settings.loseRepliesOfWrites ?? 0;
     if (toLose > 0) {
--- a/packages/standins/src/vm_list/vm_list_app.ts
+++ b/packages/standins/src/vm_list/vm_list_app.ts
@@ -1,6 +1,7 @@
 /**
- * Stand-in of the platform's VM list. `POST /vms` sets the list and
- * `POST /vms/change` edits it; `GET /vms` tells it late.
+ * HTTP routes of the stand-in for the platform's VM list. `POST /vms` replaces
+ * the list, `POST /vms/change` edits it, and `GET /vms` returns it as it was
+ * one configured lag earlier.
  */
 import { listedVmSchema, vmListSnapshotSchema } from "@guavatide/contracts";
 import type { Clock, ListedVm, VmListSnapshot } from "@guavatide/contracts";
@@ -10,20 +11,20 @@
 
 type ListContext = Context<serve.StandInEnv>;
 
-/** Schema of the faults set over `POST /faults`. */
+/** Schema of {@link VmListFaults}, set with `POST /faults`. */
 export const vmListFaultsSchema = z.strictObject({
-  /** `refuse` cuts each call's connection; `hang` never answers. */
+  /** `refuse` closes the connection of each call; `hang` never responds. */
   outage: z.enum(["none", "refuse", "hang"]).optional(),
-  /** How far `GET /vms` lies behind what was set. */
+  /** Delay until a change is visible in `GET /vms`. */
   lagMs: z.number().min(0).optional(),
 });
-/** Faults of the VM list. */
+/** Injected faults of the VM list. */
 export type VmListFaults = z.infer<typeof vmListFaultsSchema>;
 
-/** Schema of an edit: lines are named by `vm` or `server`. */
+/** Schema of an edit. An entry's name is its `vm` or `server`. */
 export const vmListChangeSchema = z.strictObject({
   put: z.array(listedVmSchema).default([]),
-  /** Names of lines to drop. */
+  /** Names of entries to remove. */
   drop: z.array(z.string()).default([]),
 });
 
@@ -48,14 +49,14 @@
     this.hono.post("/faults", (context) => this.#setFaults(context));
   }
 
-  /** The list as it is told now. */
+  /** The list that `GET /vms` returns now. */
   visibleSnapshot(): VmListSnapshot {
     const asOfMs = this.#clock.nowMs() - (this.#faults.lagMs ?? 0);
-    const known = this.#history.filter((entry) => entry.sinceMs <= asOfMs);
-    return known.at(-1)!.snapshot;
+    const visible = this.#history.filter((entry) => entry.sinceMs <= asOfMs);
+    return visible.at(-1)!.snapshot;
   }
 
-  /** Sets the list; it is told after the lag. */
+  /** Replaces the list; visible after the lag. */
   set(snapshot: VmListSnapshot): void {
     this.#history.push({ sinceMs: this.#clock.nowMs(), snapshot });
     this.#history = this.#history.slice(-1000);
@@ -79,10 +80,10 @@
     if (!parsed.success) return context.text(parsed.error.message, 400);
     const replaced = new Set([
       ...parsed.data.drop,
-      ...parsed.data.put.map(nameOf),
+      ...parsed.data.put.map(idOf),
     ]);
     const kept = this.#history.at(-1)!.snapshot.vms
-      .filter((line) => !replaced.has(nameOf(line)));
+      .filter((vm) => !replaced.has(idOf(vm)));
     this.set({ vms: [...kept, ...parsed.data.put] });
     return context.json({});
   }
@@ -95,6 +96,6 @@
   }
 }
 
-function nameOf(line: ListedVm): string {
-  return line.vm ?? line.server ?? "";
+function idOf(listed: ListedVm): string {
+  return listed.vm ?? listed.server ?? "";
 }
