--- a/packages/standins/src/processes/child_program.ts
+++ b/packages/standins/src/processes/child_program.ts
@@ -1,6 +1,6 @@
 /**
- * Starts programs of this project as child processes, for the demo, the bench
- * and the proofs. Shipped code never starts a process.
+ * Starts programs of this project as child processes, for the demo, benchmarks
+ * and end-to-end tests. Shipped code never starts a process.
  */
 import * as childProcess from "node:child_process";
 import * as readline from "node:readline";
@@ -10,23 +10,25 @@
 
 /** Options of {@link ChildProgram.start}. */
 export interface StartOptions {
-  /** Name in errors. */
+  /** Name used in error messages. */
   readonly name: string;
-  /** Built script to run with Node. */
+  /** Path of the compiled script to run with Node. */
   readonly script: string;
   readonly args: readonly string[];
   /**
-   * Whether a line of output says that the program is ready. By default the
-   * first line that is a JSON object with a `port`.
+   * Whether a line of output is the ready line. By default, the first line that
+   * looks like a JSON object with a `port`.
    */
   readonly isReady?: (line: string) => boolean;
+  /** 15 000 ms by default. */
   readonly readyTimeoutMs?: number;
-  /** Called with each line, besides being kept. */
+  /** Called with each line of output. */
   readonly onLine?: (line: string) => void;
+  /** Added to the environment of this process. */
   readonly env?: Readonly<Record<string, string>>;
 }
 
-/** How a program ended. */
+/** Exit code and signal of a program. */
 export interface ProgramExit {
   readonly code: number | null;
   readonly signal: NodeJS.Signals | null;
@@ -34,37 +36,37 @@
 
 const runningChildren = new Set<childProcess.ChildProcess>();
 
-// A harness that fails half-way would otherwise leave its processes behind,
-// and every later figure on the machine would be taken beside them.
+// If the test harness fails, processes that it leaves behind would take CPU time
+// and distort later measurements on the machine.
 process.on("exit", () => {
   for (const child of runningChildren) child.kill("SIGKILL");
 });
 
-/** A running child process of ours. */
+/** A child process that runs a program of this project. */
 export class ChildProgram {
   readonly name: string;
   readonly #child: childProcess.ChildProcess;
   readonly #lines: string[] = [];
-  readonly #ended: Promise<ProgramExit>;
+  readonly #exited: Promise<ProgramExit>;
   #readyLine = "";
-  #end: ProgramExit | undefined;
+  #exit: ProgramExit | undefined;
 
   private constructor(name: string, child: childProcess.ChildProcess) {
     this.name = name;
     this.#child = child;
     runningChildren.add(child);
-    this.#ended = new Promise((resolve) => {
+    this.#exited = new Promise((resolve) => {
       child.once("close", (code, signal) => {
         runningChildren.delete(child);
-        this.#end = { code, signal };
-        resolve(this.#end);
+        this.#exit = { code, signal };
+        resolve(this.#exit);
       });
     });
   }
 
   /**
-   * Starts a program and waits for its ready line. Errors: rejects when it
-   * ends or stays silent until the deadline; it is killed then.
+   * Starts a program and waits for its ready line. Errors: kills the program
+   * and rejects when it exits first or is not ready before the timeout.
    */
   static async start(options: StartOptions): Promise<ChildProgram> {
     const child = childProcess.spawn(
@@ -89,53 +91,53 @@
     return this.#child.pid!;
   }
 
-  /** Lines of standard output and standard error so far. */
+  /** Most recent lines of standard output and error, up to 20 000. */
   get lines(): readonly string[] {
     return this.#lines;
   }
 
-  /** The line by which the program said that it is ready. */
+  /** The ready line that the program printed. */
   get readyLine(): string {
     return this.#readyLine;
   }
 
-  /** The port named by the ready line of a stand-in. */
+  /** The port in the ready line of a stand-in. */
   get port(): number {
     return (JSON.parse(this.#readyLine) as { port: number }).port;
   }
 
   get hasExited(): boolean {
-    return this.#end !== undefined;
+    return this.#exit !== undefined;
   }
 
-  /** Resolves when the process has ended and its output is read. */
+  /** Resolves when the process has exited and its output has been read. */
   exited(): Promise<ProgramExit> {
-    return this.#ended;
+    return this.#exited;
   }
 
-  /** Sends a signal to this process alone. */
+  /** Sends a signal to this process, not to its process group. */
   kill(signal: NodeJS.Signals): void {
     if (!this.hasExited) this.#child.kill(signal);
   }
 
-  /** Stops the process in its tracks: SIGSTOP. */
+  /** Pauses the process with SIGSTOP. */
   freeze(): void {
     this.kill("SIGSTOP");
   }
 
-  /** Lets a frozen process run again: SIGCONT. */
+  /** Resumes a paused process with SIGCONT. */
   wake(): void {
     this.kill("SIGCONT");
   }
 
-  /** Asks the process to end; kills it after the deadline. */
+  /** Sends SIGTERM, and SIGKILL after the timeout; waits for the exit. */
   async stop(timeoutMs: number): Promise<ProgramExit> {
     this.kill("SIGTERM");
     this.wake();
     const timer = setTimeout(() => this.kill("SIGKILL"), timeoutMs);
-    const end = await this.#ended;
+    const exit = await this.#exited;
     clearTimeout(timer);
-    return end;
+    return exit;
   }
 
   #waitUntilReady(options: StartOptions): Promise<void> {
@@ -143,11 +145,11 @@
     const timeoutMs = options.readyTimeoutMs ?? DEFAULT_READY_TIMEOUT_MS;
     return new Promise((resolve, reject) => {
       const timer = setTimeout(
-        () => reject(this.#notReady(`not ready within ${timeoutMs} ms`)),
+        () => reject(this.#startError(`not ready within ${timeoutMs} ms`)),
         timeoutMs,
       );
       const onLine = (line: string) => {
-        this.#keep(line);
+        this.#keepLine(line);
         options.onLine?.(line);
         if (this.#readyLine !== "" || !isReady(line)) return;
         this.#readyLine = line;
@@ -157,24 +159,24 @@
       for (const stream of [this.#child.stdout!, this.#child.stderr!]) {
         readline.createInterface({ input: stream }).on("line", onLine);
       }
-      this.#ended.then(() => {
+      this.#exited.then(() => {
         clearTimeout(timer);
-        reject(this.#notReady("it ended"));
+        reject(this.#startError("it exited"));
       });
     });
   }
 
-  #keep(line: string): void {
+  #keepLine(line: string): void {
     this.#lines.push(line);
     if (this.#lines.length > MAX_KEPT_LINES) {
       this.#lines.splice(0, MAX_KEPT_LINES / 2);
     }
   }
 
-  #notReady(why: string): Error {
+  #startError(reason: string): Error {
     const tail = this.#lines.slice(-10).join("\n");
     return new Error(
-      `"${this.name}" did not start, ${why}; mend what its output says:\n${tail}`,
+      `"${this.name}" did not start, ${reason}; fix the error in its output:\n${tail}`,
     );
   }
 }
--- a/packages/standins/src/processes/mod.ts
+++ b/packages/standins/src/processes/mod.ts
@@ -1,3 +1,3 @@
-/** Starts programs and stand-ins as child processes, on the test bench. */
+/** Starts programs and stand-ins as child processes for tests and demos. */
 export * from "./child_program.ts";
 export * from "./stand_ins.ts";
--- a/packages/standins/src/processes/stand_ins.ts
+++ b/packages/standins/src/processes/stand_ins.ts
@@ -1,57 +1,57 @@
-/** Starts the stand-in processes and speaks to their controls. */
+/** Starts stand-in processes and calls their HTTP APIs. */
 import * as url from "node:url";
 import * as undici from "undici";
 import type { BackendSettings } from "../backend_server/settings.ts";
 import { ChildProgram } from "./child_program.ts";
 
-/** The stand-ins that run as processes of their own. */
+/** Script paths, relative to `src`, of the stand-ins that are processes. */
 export type StandInScript =
   | "platform_store/store_main"
   | "vm_list/vm_list_main"
   | "backend_server/backend_main"
   | "relay/relay_main";
 
-/** Settings of a backend server; what is left out has its default. */
+/** Settings of a backend server; omitted fields take their defaults. */
 export type BackendSettingsInput =
   & Pick<BackendSettings, "server" | "service" | "zone">
   & Partial<BackendSettings>;
 
-/** Starts one stand-in with its JSON argument. */
+/** Starts a stand-in process with its JSON argument. Errors: rejects. */
 export function startStandIn(
-  kind: StandInScript,
+  script: StandInScript,
   argument: object,
 ): Promise<ChildProgram> {
-  const script = url.fileURLToPath(
-    new URL(`../${kind}.js`, import.meta.url),
+  const scriptPath = url.fileURLToPath(
+    new URL(`../${script}.js`, import.meta.url),
   );
   return ChildProgram.start({
-    name: kind,
-    script,
+    name: script,
+    script: scriptPath,
     args: [JSON.stringify(argument)],
   });
 }
 
-/** The address of a stand-in's HTTP side. */
+/** The HTTP origin of a local port. */
 export function originOf(port: number): string {
   return `http://127.0.0.1:${port}`;
 }
 
-/** Posts JSON to a stand-in's control. Errors: rejects on another status. */
+/** Posts JSON to a stand-in. Errors: rejects unless the status is 200. */
 export async function postJson(url: string, body: object): Promise<unknown> {
   const response = await undici.request(url, {
     method: "POST",
     headers: { "content-type": "application/json" },
     body: JSON.stringify(body),
   });
-  return await readAnswer(url, response);
+  return await readJson(url, response);
 }
 
-/** Gets JSON from a stand-in's control. Errors: rejects on another status. */
+/** Gets JSON from a stand-in. Errors: rejects unless the status is 200. */
 export async function getJson(url: string): Promise<unknown> {
-  return await readAnswer(url, await undici.request(url));
+  return await readJson(url, await undici.request(url));
 }
 
-async function readAnswer(
+async function readJson(
   url: string,
   response: undici.Dispatcher.ResponseData,
 ): Promise<unknown> {
--- a/packages/standins/src/relay/relay_app.ts
+++ b/packages/standins/src/relay/relay_app.ts
@@ -1,4 +1,4 @@
-/** HTTP control of a relay process: its links and their faults. */
+/** HTTP API of a relay process: opens TCP relays and sets their faults. */
 import { type Context, Hono } from "hono";
 import * as z from "zod";
 import type * as serve from "../http/serve.ts";
@@ -6,17 +6,17 @@
 
 type RelayContext = Context<serve.StandInEnv>;
 
-const newLinkSchema = z.strictObject({
+const openRelaySchema = z.strictObject({
   targetHost: z.string().default("127.0.0.1"),
   targetPort: z.number().int().min(1).max(65535),
-  /** 0 takes a free port. */
+  /** 0 picks a free port. */
   port: z.number().int().min(0).max(65535).default(0),
 });
 
-/** The routes of a relay process; a link is named by its port. */
+/** Routes of a relay process; a TCP relay is identified by its port. */
 export class RelayApp {
   readonly hono = new Hono<serve.StandInEnv>();
-  readonly #links = new Map<string, TcpRelay>();
+  readonly #relays = new Map<string, TcpRelay>();
 
   constructor() {
     this.hono.post("/links", (context) => this.#open(context));
@@ -26,27 +26,27 @@
     );
   }
 
-  /** Closes every link. */
+  /** Closes all TCP relays. */
   async close(): Promise<void> {
-    for (const link of this.#links.values()) await link.close();
+    for (const relay of this.#relays.values()) await relay.close();
   }
 
   async #open(context: RelayContext): Promise<Response> {
-    const parsed = newLinkSchema.safeParse(await context.req.json());
+    const parsed = openRelaySchema.safeParse(await context.req.json());
     if (!parsed.success) return context.text(parsed.error.message, 400);
     const { targetHost, targetPort } = parsed.data;
-    const link = new TcpRelay({ host: targetHost, port: targetPort });
-    const port = await link.listen(parsed.data.port);
-    this.#links.set(String(port), link);
+    const relay = new TcpRelay({ host: targetHost, port: targetPort });
+    const port = await relay.listen(parsed.data.port);
+    this.#relays.set(String(port), relay);
     return context.json({ port });
   }
 
   async #setFaults(context: RelayContext): Promise<Response> {
-    const link = this.#links.get(context.req.param("port") ?? "");
-    if (link === undefined) return context.text("no such link", 404);
+    const relay = this.#relays.get(context.req.param("port") ?? "");
+    if (relay === undefined) return context.text("no such link", 404);
     const parsed = relayFaultsSchema.safeParse(await context.req.json());
     if (!parsed.success) return context.text(parsed.error.message, 400);
-    link.setFaults(parsed.data);
-    return context.json({ connections: link.connectionCount });
+    relay.setFaults(parsed.data);
+    return context.json({ connections: relay.connectionCount });
   }
 }
--- a/packages/standins/src/relay/relayed_link.ts
+++ b/packages/standins/src/relay/relayed_link.ts
@@ -1,7 +1,7 @@
 /**
- * A TCP relay between two ends that can cut, delay or lose what passes. A
- * connection that is muted stays open at both ends, as when something between
- * them has lost track of it.
+ * TCP relay that can reset connections and delay or discard the data that it
+ * forwards. A connection whose data is discarded stays open at both ends, as
+ * when a firewall or NAT between them has lost its connection state.
  */
 import * as net from "node:net";
 import * as z from "zod";
@@ -9,12 +9,12 @@
 /** Schema of {@link RelayFaults}. */
 export const relayFaultsSchema = z.strictObject({
   /**
-   * `pass`: forwards. `cut`: closes connections and refuses new ones.
-   * `silent`: present connections forward nothing for good, new ones work.
-   * `mute`: no connection forwards anything while it lasts, and what was sent
-   * meanwhile is lost. `mute-to-target` and `mute-to-client`: one way only.
-   * `hold`: what was sent meanwhile arrives when it ends, unless its sender has
-   * reset the connection.
+   * `pass`: forwards data. `cut`: resets all connections, also new ones.
+   * `silent`: open connections discard data permanently, new ones work.
+   * `mute`: all connections discard data; one that has discarded some never
+   * forwards in that direction again. `mute-to-target` and `mute-to-client`:
+   * the same, in one direction. `hold`: buffers data and delivers it when the
+   * mode changes, unless the sender has reset the connection.
    */
   mode: z.enum([
     "pass",
@@ -25,15 +25,15 @@
     "mute-to-client",
     "hold",
   ]).optional(),
-  /** Delay of each piece, each way. */
+  /** Delay of each chunk, in each direction. */
   delayMs: z.number().min(0).optional(),
 });
-/** What a link does to its connections. */
+/** Faults that a relay injects into its connections. */
 export type RelayFaults = z.infer<typeof relayFaultsSchema>;
 
 type Direction = "to-target" | "to-client";
 
-/** Where a link leads. */
+/** Address to which a relay connects. */
 export interface RelayTarget {
   readonly host: string;
   readonly port: number;
@@ -42,9 +42,9 @@
 interface RelayedConnection {
   readonly client: net.Socket;
   readonly target: net.Socket;
-  /** Once silent or once a piece was lost, for good. */
+  /** Directions in which all further data is discarded. */
   readonly blackholed: Set<Direction>;
-  /** What waits for the end of a hold, in its order. */
+  /** Chunks buffered during `hold`, in order of arrival. */
   held: HeldChunk[];
 }
 
@@ -53,7 +53,7 @@
   readonly deliver: () => void;
 }
 
-/** One listening port and its connections to one target. */
+/** One listening port whose connections are relayed to one target. */
 export class TcpRelay {
   readonly #target: RelayTarget;
   readonly #server: net.Server;
@@ -65,7 +65,7 @@
     this.#server = net.createServer((client) => this.#accept(client));
   }
 
-  /** Opens the port; 0 takes a free one. Returns it. */
+  /** Opens the port and returns it; 0 picks a free one. Errors: rejects. */
   listen(port: number): Promise<number> {
     return new Promise((resolve, reject) => {
       this.#server.once("error", reject);
@@ -76,22 +76,22 @@
     });
   }
 
-  /** Connections open now. */
+  /** Number of open connections. */
   get connectionCount(): number {
     return this.#connections.size;
   }
 
-  /** Merges new faults into those in force. */
+  /** Merges new faults into the active ones. */
   setFaults(faults: RelayFaults): void {
     this.#faults = { ...this.#faults, ...faults };
-    if (faults.mode === "cut") this.#cutAll();
-    if (faults.mode === "silent") this.#silenceAll();
-    if (this.#faults.mode !== "hold") this.#handOnAll();
+    if (faults.mode === "cut") this.#resetAll();
+    if (faults.mode === "silent") this.#blackholeAll();
+    if (this.#faults.mode !== "hold") this.#deliverHeld();
   }
 
-  /** Closes the port and every connection. */
+  /** Closes the port and resets all connections. */
   close(): Promise<void> {
-    this.#cutAll();
+    this.#resetAll();
     return new Promise((resolve) => this.#server.close(() => resolve()));
   }
 
@@ -117,58 +117,58 @@
     const isToTarget = direction === "to-target";
     const from = isToTarget ? connection.client : connection.target;
     const to = isToTarget ? connection.target : connection.client;
-    from.on("data", (piece) => {
-      this.#pass(connection, direction, () => to.write(piece));
+    from.on("data", (chunk) => {
+      this.#deliverOrDiscard(connection, direction, () => to.write(chunk));
     });
     from.on("error", () => {
-      // A sender that resets its connection has nothing more on the way.
-      connection.held = connection.held.filter((it) =>
-        it.direction !== direction
+      // A reset discards the sender's data that has not been delivered.
+      connection.held = connection.held.filter((chunk) =>
+        chunk.direction !== direction
       );
     });
     from.on("close", () => {
-      this.#pass(connection, direction, () => {
+      this.#deliverOrDiscard(connection, direction, () => {
         to.destroy();
         this.#connections.delete(connection);
       });
     });
   }
 
-  /** Loses the piece, or hands it on after the delay. */
-  #pass(
+  /** Discards the chunk, buffers it or delivers it after the delay. */
+  #deliverOrDiscard(
     connection: RelayedConnection,
     direction: Direction,
-    handOn: () => void,
+    deliver: () => void,
   ): void {
-    if (this.#isMuted(direction)) connection.blackholed.add(direction);
+    if (this.#isDiscarding(direction)) connection.blackholed.add(direction);
     if (connection.blackholed.has(direction)) return;
     if (this.#faults.mode === "hold") {
-      connection.held.push({ direction, deliver: handOn });
+      connection.held.push({ direction, deliver });
       return;
     }
     const delayMs = this.#faults.delayMs ?? 0;
-    if (delayMs === 0) handOn();
-    else setTimeout(handOn, delayMs);
+    if (delayMs === 0) deliver();
+    else setTimeout(deliver, delayMs);
   }
 
-  #isMuted(direction: Direction): boolean {
+  #isDiscarding(direction: Direction): boolean {
     const mode = this.#faults.mode;
     return mode === "mute" || mode === `mute-${direction}`;
   }
 
-  #handOnAll(): void {
+  #deliverHeld(): void {
     for (const connection of this.#connections) {
-      for (const { deliver: handOn } of connection.held.splice(0)) handOn();
+      for (const { deliver } of connection.held.splice(0)) deliver();
     }
   }
 
-  #silenceAll(): void {
+  #blackholeAll(): void {
     for (const connection of this.#connections) {
       connection.blackholed.add("to-target").add("to-client");
     }
   }
 
-  #cutAll(): void {
+  #resetAll(): void {
     for (const { client, target } of this.#connections) {
       client.resetAndDestroy();
       target.destroy();
