--- a/packages/standins/src/administration/config_delivery_main.ts
+++ b/packages/standins/src/administration/config_delivery_main.ts
@@ -1,12 +1,14 @@
 /**
- * Measures how long an accepted cost split takes to be in force at every entry
- * VM, on separate processes: from the publisher's answer until each VM names
- * the revision. Two partners race on each edit first; exactly one must be told
- * of the conflict. Prints one JSON line.
+ * Measures how long a published cost split takes to be in force at every entry
+ * VM, with each VM in its own process: from the response to the publish call
+ * until every VM reports the revision. Before each publish, two operators edit
+ * the same version of the object; exactly one of them must get a conflict.
+ * Prints one JSON line.
  *
- * --vms 9, --publishes 20, --store-away to cut the store off right after each
- * publish is accepted, --zones 0 for so many more places of 4 KB each, to go
- * over the store's limit for one value.
+ * Options and defaults: `--vms 9`, `--publishes 20`. `--store-away` makes the
+ * store unavailable after each accepted publish. `--zones 0` replaces the zones
+ * by so many zones of 4 KB each, so that the configuration exceeds the store's
+ * limit for one value.
  */
 import * as hdr from "hdr-histogram-js";
 import * as timers from "node:timers/promises";
@@ -16,10 +18,11 @@
 import * as processes from "../processes/mod.ts";
 import { OperatorClient, tokenSettings } from "./operator.ts";
 
-const DEADLINE_MS = 20_000;
-const POLL_MS = 5;
-const SPLIT = "/v1/objects/cost-share/availability-split";
+const TIMEOUT_MS = 20_000;
+const POLL_INTERVAL_MS = 5;
+const SPLIT_PATH = "/v1/objects/cost-share/availability-split";
 
+/** Region name that makes each zone object 4 KB long. */
 const LONG_REGION = "r".repeat(4000);
 
 const { values } = util.parseArgs({
@@ -64,23 +67,23 @@
 async function measure(deployment: LocalDeployment): Promise<object> {
   const origins = [...deployment.entries.values()]
     .map((entry) => processes.originOf(entry.ports.administration));
-  const watchers = origins.map((origin) => new OperatorClient("ana", origin));
-  await untilInForce(watchers, 1);
-  await createGuest(watchers[0]!);
-  const everywhere = hdr.build({ numberOfSignificantValueDigits: 3 });
+  const operators = origins.map((origin) => new OperatorClient("ana", origin));
+  await waitUntilInForce(operators, 1);
+  await createGuestPartner(operators[0]!);
+  const delaysMs = hdr.build({ numberOfSignificantValueDigits: 3 });
   const conflicts: number[] = [];
   for (let round = 0; round < publishes; round++) {
-    const ana = watchers[round % watchers.length]!;
+    const ana = operators[round % operators.length]!;
     const blas = new OperatorClient(
       "blas",
       origins[(round + 1) % origins.length]!,
     );
-    conflicts.push(await race(ana, blas, round));
+    conflicts.push(await raceEdits(ana, blas, round));
     const revision = await ana.publish();
     const acceptedMs = performance.now();
     if (isStoreAway) await deployment.setFaults("store", { outage: "refuse" });
-    await untilInForce(watchers, revision);
-    everywhere.recordValue(Math.ceil(performance.now() - acceptedMs));
+    await waitUntilInForce(operators, revision);
+    delaysMs.recordValue(Math.ceil(performance.now() - acceptedMs));
     if (isStoreAway) await deployment.setFaults("store", { outage: "none" });
   }
   return {
@@ -90,15 +93,15 @@
     isStoreAway,
     roundsWithOneConflict: conflicts.filter((count) => count === 1).length,
     inForceEverywhereMs: {
-      p50: everywhere.getValueAtPercentile(50),
-      p99: everywhere.getValueAtPercentile(99),
-      max: everywhere.maxValue,
+      p50: delaysMs.getValueAtPercentile(50),
+      p99: delaysMs.getValueAtPercentile(99),
+      max: delaysMs.maxValue,
     },
   };
 }
 
-/** The second partner of the split. */
-async function createGuest(operator: OperatorClient): Promise<void> {
+/** Creates the second partner of the split. */
+async function createGuestPartner(operator: OperatorClient): Promise<void> {
   const body = { requestsPerSecond: 100, burstRequests: 10 };
   await operator.call("PUT", "/v1/objects/partner/guest", {
     body,
@@ -106,42 +109,42 @@
   });
 }
 
-/** Both edit the version they have seen; returns how many were refused. */
-async function race(
+/** Lets both operators edit the same version; returns the number of conflicts. */
+async function raceEdits(
   ana: OperatorClient,
   blas: OperatorClient,
   round: number,
 ): Promise<number> {
-  const { etag, body } = await ana.call("GET", SPLIT);
-  const answers = await Promise.all(
+  const { etag, body } = await ana.call("GET", SPLIT_PATH);
+  const responses = await Promise.all(
     [ana, blas].map((operator, index) =>
-      operator.call("PUT", SPLIT, {
+      operator.call("PUT", SPLIT_PATH, {
         ifMatch: etag,
         body: { ...body.object, shares: sharesOf(round, index) },
       })
     ),
   );
-  return answers.filter((answer) => answer.status === 412).length;
+  return responses.filter((response) => response.status === 412).length;
 }
 
-/** A split that differs from the last round's and from the other editor's. */
+/** Shares that differ from those of the last round and of the other editor. */
 function sharesOf(round: number, editor: number): object[] {
   const percent = 1 + (2 * round + editor) % 99;
   const parts = [{ partner: "kayfa", percent: 100 - percent }];
   return [...parts, { partner: "guest", percent }];
 }
 
-async function untilInForce(
-  watchers: readonly OperatorClient[],
+async function waitUntilInForce(
+  operators: readonly OperatorClient[],
   revision: number,
 ): Promise<void> {
-  await Promise.all(watchers.map(async (watcher) => {
-    const until = performance.now() + DEADLINE_MS;
+  await Promise.all(operators.map(async (operator) => {
+    const endMs = performance.now() + TIMEOUT_MS;
     while (true) {
-      const { body } = await watcher.call("GET", "/v1/vms");
+      const { body } = await operator.call("GET", "/v1/vms");
       if (body.vms[0].revision >= revision) return;
-      if (performance.now() > until) throw new Error("Not in force in time");
-      await timers.setTimeout(POLL_MS);
+      if (performance.now() > endMs) throw new Error("Not in force in time");
+      await timers.setTimeout(POLL_INTERVAL_MS);
     }
   }));
 }
--- a/packages/standins/src/administration/operator.ts
+++ b/packages/standins/src/administration/operator.ts
@@ -1,7 +1,7 @@
-/** An operator who calls the administration API, for trials on this machine. */
+/** Client of the administration API that acts as one operator, for tests. */
 import * as crypto from "node:crypto";
 
-/** Token settings of an operator with all rights for the given partners. */
+/** Entry of the token settings: all rights for the given partners. */
 export function tokenSettings(
   operator: string,
   partners: "*" | readonly string[],
@@ -13,12 +13,12 @@
   return { tokenSha256, operator, partners, rights };
 }
 
-/** The bearer token of an operator of a trial. */
+/** The bearer token of a test operator. */
 export function tokenOf(operator: string): string {
   return `token-of-${operator}`;
 }
 
-/** What the API answered. */
+/** Response of the administration API. */
 export interface ApiResponse {
   readonly status: number;
   readonly etag: string | undefined;
@@ -29,13 +29,13 @@
 /** Options of {@link OperatorClient.call}. */
 export interface OperatorCallOptions {
   readonly body?: unknown;
-  /** Value of If-Match, quotes included. */
+  /** Value of `If-Match`, including the quotes. */
   readonly ifMatch?: string;
-  /** Only create. */
+  /** Sends `If-None-Match: *`, so that the call only creates. */
   readonly onlyIfAbsent?: boolean;
 }
 
-/** One operator at one entry VM's administration port. */
+/** Calls one entry VM's administration API as one operator. */
 export class OperatorClient {
   readonly name: string;
   readonly #origin: string;
@@ -45,6 +45,7 @@
     this.#origin = origin;
   }
 
+  /** Sends one request; resolves for any status. Errors: rejects. */
   async call(
     method: string,
     path: string,
@@ -55,22 +56,22 @@
     });
     if (options.ifMatch !== undefined) headers.set("if-match", options.ifMatch);
     if (options.onlyIfAbsent) headers.set("if-none-match", "*");
-    const answer = await fetch(`${this.#origin}${path}`, {
+    const response = await fetch(`${this.#origin}${path}`, {
       method,
       headers,
       body: options.body === undefined
         ? undefined
         : JSON.stringify(options.body),
     });
-    const text = await answer.text();
+    const text = await response.text();
     return {
-      status: answer.status,
-      etag: answer.headers.get("etag") ?? undefined,
+      status: response.status,
+      etag: response.headers.get("etag") ?? undefined,
       body: text === "" ? undefined : JSON.parse(text),
     };
   }
 
-  /** Publishes the drafts as they stand; returns the new revision. */
+  /** Publishes all drafts; returns the new revision. Errors: rejects. */
   async publish(): Promise<number> {
     const { body: checked } = await this.call("GET", "/v1/check");
     const ifMatch = `"${checked.tag}"`;
@@ -78,7 +79,9 @@
       ifMatch,
     });
     if (status !== 200) {
-      throw new Error(`Publish answered ${status}: ${JSON.stringify(body)}`);
+      throw new Error(
+        `Publish returned status ${status}: ${JSON.stringify(body)}`,
+      );
     }
     return body.revision;
   }
--- a/packages/standins/src/demo/demo_main.ts
+++ b/packages/standins/src/demo/demo_main.ts
@@ -1,6 +1,7 @@
 /**
- * Runs a scaled choice of both deployments' services on this machine, shows
- * one request answered and prints what to try next. Ends on Ctrl-C.
+ * Demo: runs the services of both customers' deployments, scaled down, on this
+ * machine, sends requests through two entry VMs and prints commands to try
+ * next. Runs until Ctrl-C.
  */
 import * as contracts from "@guavatide/contracts";
 import * as plans from "../deployment/deployment_plan.ts";
@@ -19,47 +20,51 @@
     .map((service) => ({ ...service, servers: 4 })),
 };
 
-function say(line: string): void {
+function printLine(line: string): void {
   process.stdout.write(`${line}\n`);
 }
 
-async function askUntilAnswered(
+async function requestUntilAnswered(
   deployment: LocalDeployment,
   vm: string,
 ): Promise<Response> {
   const deadline = Date.now() + WAIT_TIMEOUT_MS;
-  const address = `${deployment.callerUrl(vm)}/s/availability/slots`;
+  const url = `${deployment.callerUrl(vm)}/s/availability/slots`;
   while (true) {
-    const answer = await fetch(address, {
+    const response = await fetch(url, {
       headers: { [contracts.KEY_HEADER]: "booth-17" },
     });
     const isAnswered =
-      answer.headers.get(contracts.OUTCOME_HEADER) === "answered";
-    if (isAnswered || Date.now() > deadline) return answer;
-    await answer.text();
+      response.headers.get(contracts.OUTCOME_HEADER) === "answered";
+    if (isAnswered || Date.now() > deadline) return response;
+    await response.text();
     await new Promise((resolve) => setTimeout(resolve, RETRY_INTERVAL_MS));
   }
 }
 
-function sayNext(deployment: LocalDeployment): void {
+function printNextSteps(deployment: LocalDeployment): void {
   const callers = deployment.callerUrl("entry-1");
   const metrics = deployment.metricsUrl("entry-1");
-  say("Try next, in another shell:");
-  say(`  curl -i -H 'guavatide-key: booth-17' ${callers}/s/availability/slots`);
-  say(`  curl -i -X POST -d '{}' ${callers}/s/reservations/bookings`);
-  say(`  curl ${metrics}/metrics`);
-  say("As an operator:");
-  say(`  export GUAVATIDE_URL=${deployment.administrationUrl("entry-2")}`);
-  say(`  export GUAVATIDE_TOKEN=${LOCAL_OPERATOR_TOKEN}`);
-  say("  npx guavatidectl get cost-share/availability-split");
-  say(
+  printLine("Try next, in another shell:");
+  printLine(
+    `  curl -i -H 'guavatide-key: booth-17' ${callers}/s/availability/slots`,
+  );
+  printLine(`  curl -i -X POST -d '{}' ${callers}/s/reservations/bookings`);
+  printLine(`  curl ${metrics}/metrics`);
+  printLine("As an operator:");
+  printLine(
+    `  export GUAVATIDE_URL=${deployment.administrationUrl("entry-2")}`,
+  );
+  printLine(`  export GUAVATIDE_TOKEN=${LOCAL_OPERATOR_TOKEN}`);
+  printLine("  npx guavatidectl get cost-share/availability-split");
+  printLine(
     "  npx guavatidectl edit cost-share/availability-split --set " +
       `'shares=[{"partner":"kayfa","percent":60},` +
       `{"partner":"bitacora","percent":40}]'`,
   );
-  say("  npx guavatidectl diff && npx guavatidectl publish");
-  say("  npx guavatidectl drain availability-1 --reason 'new release'");
-  say("  npx guavatidectl owners availability && npx guavatidectl moves");
+  printLine("  npx guavatidectl diff && npx guavatidectl publish");
+  printLine("  npx guavatidectl drain availability-1 --reason 'new release'");
+  printLine("  npx guavatidectl owners availability && npx guavatidectl moves");
 }
 
 async function main(): Promise<void> {
@@ -68,24 +73,28 @@
   const stop = async () => {
     if (isStopping) return;
     isStopping = true;
-    say("Stopping; requests in flight end first.");
+    printLine("Stopping; requests in flight end first.");
     await deployment.stop();
     process.exit(0);
   };
   process.once("SIGINT", () => void stop());
   process.once("SIGTERM", () => void stop());
-  say(`store and VM list: ${deployment.storeUrl} ${deployment.vmListUrl}`);
+  printLine(
+    `store and VM list: ${deployment.storeUrl} ${deployment.vmListUrl}`,
+  );
   for (const [vm, entry] of deployment.entries) {
-    say(`${vm} pid ${entry.program.pid}: ${deployment.callerUrl(vm)}`);
+    printLine(`${vm} pid ${entry.program.pid}: ${deployment.callerUrl(vm)}`);
   }
   for (const vm of [...deployment.entries.keys()].slice(0, 2)) {
-    const answer = await askUntilAnswered(deployment, vm);
-    const outcome = answer.headers.get(contracts.OUTCOME_HEADER);
-    say(`GET /s/availability/slots for key booth-17 through ${vm}:`);
-    say(`  status ${answer.status}, ${outcome}: ${await answer.text()}`);
+    const response = await requestUntilAnswered(deployment, vm);
+    const outcome = response.headers.get(contracts.OUTCOME_HEADER);
+    printLine(`GET /s/availability/slots for key booth-17 through ${vm}:`);
+    printLine(
+      `  status ${response.status}, ${outcome}: ${await response.text()}`,
+    );
   }
-  sayNext(deployment);
-  say("Ctrl-C ends everything.");
+  printNextSteps(deployment);
+  printLine("Ctrl-C ends everything.");
 }
 
 await main();
--- a/packages/standins/src/deployment/deployment_plan.ts
+++ b/packages/standins/src/deployment/deployment_plan.ts
@@ -1,6 +1,6 @@
 /**
- * What a local deployment consists of: services, their backend servers and
- * the entry VMs, in the brief's sizes or a scaled choice of them.
+ * Plans of local deployments: services, their backend servers and the entry
+ * VMs, at the full size of a customer's deployment or scaled down.
  */
 import type * as contracts from "@guavatide/contracts";
 import type { ServiceTime } from "../backend_server/settings.ts";
@@ -11,29 +11,29 @@
   readonly servers: number;
   readonly slots: number;
   readonly keyed: boolean;
-  /** False for servers that do not check who orders them. */
+  /** False for servers that do not check fencing tokens. True by default. */
   readonly checksFences?: boolean;
   readonly serviceTimeMs?: ServiceTime;
 }
 
-/** One customer's deployment. */
+/** The deployment of one customer. */
 export interface DeploymentPlan {
-  /** Owner of every service. */
+  /** Owner of all services. */
   readonly partner: string;
-  /** Partners who may take a share of the costs. */
+  /** Other partners to create, for example to share costs with. */
   readonly otherPartners?: readonly string[];
   readonly region: string;
   readonly zones: readonly string[];
   readonly entryVms: number;
   readonly services: readonly PlannedService[];
-  /** One way, between any two processes that the stand-ins delay. */
+  /** One-way network delay that the backend servers simulate. */
   readonly linkDelayMs: number;
   readonly connectionsPerServer: number;
   readonly imbalanceWeight: number;
   readonly churnWeight: number;
 }
 
-/** Kayfa Booths, Dakar, in the brief's sizes. */
+/** Kayfa Booths, Dakar, at full size. */
 export const KAYFA: DeploymentPlan = {
   partner: "kayfa",
   region: "dakar",
@@ -50,7 +50,7 @@
   churnWeight: 1,
 };
 
-/** Bitácora Metano Anáhuac, central Mexico, in the brief's sizes. */
+/** Bitácora Metano Anáhuac, central Mexico, at full size. */
 export const BITACORA: DeploymentPlan = {
   partner: "bitacora",
   region: "central-mexico",
@@ -67,7 +67,10 @@
   churnWeight: 4,
 };
 
-/** The same plan with fewer entry VMs and servers. */
+/**
+ * The plan with `entryVms` entry VMs and at most `maxServersPerService` backend
+ * servers for each service.
+ */
 export function scalePlan(
   plan: DeploymentPlan,
   options: { readonly entryVms: number; readonly maxServersPerService: number },
@@ -82,7 +85,7 @@
   };
 }
 
-/** The configuration objects that a plan stands for. */
+/** The configuration objects that a plan needs. */
 export function toConfigObjects(
   plan: DeploymentPlan,
 ): contracts.ConfigObject[] {
--- a/packages/standins/src/deployment/first_publish.ts
+++ b/packages/standins/src/deployment/first_publish.ts
@@ -1,6 +1,6 @@
 /**
- * Publishes configuration without an entry VM, through the same drafts and
- * the same publisher that the administration API uses.
+ * Publishes configuration directly to the store, without an entry VM, with the
+ * same draft store and publisher that the administration API uses.
  */
 import * as contracts from "@guavatide/contracts";
 import * as configuration from "guavatide/configuration/mod";
@@ -8,9 +8,9 @@
 
 const TIMEOUT_MS = 5_000;
 const CALL_TIMEOUT_MS = 1_000;
-const OPERATOR = "local-deployment";
+const OPERATOR_NAME = "local-deployment";
 
-/** Writes the objects as drafts and publishes them. Errors: rejects. */
+/** Publishes the objects as the initial configuration. Errors: rejects. */
 export async function publishInitial(
   store: contracts.PlatformStore,
   objects: readonly contracts.ConfigObject[],
@@ -20,39 +20,42 @@
 
 /** Options of {@link publishAdditional}. */
 export interface PublishAdditionalOptions {
-  /** Highest revision known to be in force. */
+  /** Highest configuration revision known to be in force. */
   readonly knownRevision: number;
 }
 
-/** Adds objects and publishes; returns the revision. Errors: rejects. */
+/**
+ * Creates drafts of the objects and publishes them. Returns the new revision.
+ * Errors: rejects.
+ */
 export async function publishAdditional(
   store: contracts.PlatformStore,
   objects: readonly contracts.ConfigObject[],
   options: PublishAdditionalOptions,
 ): Promise<number> {
-  const times = {
+  const storeOptions = {
     store,
     clock: new MonotonicClock(),
     timeoutMs: TIMEOUT_MS,
     callTimeoutMs: CALL_TIMEOUT_MS,
     now: () => new Date().toISOString(),
   };
-  const drafts = new configuration.DraftStore(times);
+  const drafts = new configuration.DraftStore(storeOptions);
   for (const object of objects) {
-    const created = await drafts.create(object, OPERATOR);
+    const created = await drafts.create(object, OPERATOR_NAME);
     if (created.isErr()) throw new Error(created.error.message);
   }
   const publisher = new configuration.Publisher({
-    ...times,
-    vm: OPERATOR as contracts.VmId,
+    ...storeOptions,
+    vm: OPERATOR_NAME as contracts.VmId,
     drafts,
-    reader: new configuration.ConfigReader(times),
+    reader: new configuration.ConfigReader(storeOptions),
     valueLimitBytes: contracts.STORE_VALUE_LIMIT_BYTES,
   });
   const plan = await publisher.plan();
   if (plan.isErr()) throw new Error(plan.error.message);
   const published = await publisher.publish({
-    operator: OPERATOR,
+    operator: OPERATOR_NAME,
     tag: plan.value.tag,
     knownRevision: options.knownRevision,
     forbidden: () => [],
--- a/packages/standins/src/deployment/local_deployment.ts
+++ b/packages/standins/src/deployment/local_deployment.ts
@@ -1,7 +1,7 @@
 /**
- * Starts a whole deployment on this machine as separate processes: store, VM
- * list, backend servers and entry VMs, for the demo, the bench and the
- * proofs. Every process is ended by `stop`.
+ * Starts a complete deployment on this machine as separate processes: store,
+ * VM list, backend servers and entry VMs. For the demo, benchmarks and
+ * end-to-end tests. `stop` ends all processes.
  */
 import type * as contracts from "@guavatide/contracts";
 import * as platform from "guavatide/platform/mod";
@@ -18,7 +18,7 @@
 
 const STOP_TIMEOUT_MS = 20_000;
 const PEER_SECRET = "local-deployment-secret";
-/** Bearer token of the one operator of a local deployment. */
+/** Bearer token of the only operator of a local deployment. */
 export const LOCAL_OPERATOR_TOKEN = "local-operator-token";
 
 /** A running entry VM. */
@@ -43,13 +43,13 @@
   readonly entrySettings?: Readonly<Record<string, unknown>>;
   /** Merged into each backend server's settings. */
   readonly backendSettings?: Partial<BackendSettings>;
-  /** Replaces the store's address for entry VMs, for example by a relay. */
+  /** Store URL for an entry VM, for example that of a relay to the store. */
   readonly storeUrlFor?: (vm: string, storeUrl: string) => Promise<string>;
-  /** Lag of the VM list. */
+  /** Lag of the VM list; 0 by default. */
   readonly vmListLagMs?: number;
-  /** Folder in which each backend server keeps its journal. */
+  /** Folder for the journals of the backend servers; none by default. */
   readonly journalFolder?: string;
-  /** Replaces a backend server's listed port, for example by a relay's. */
+  /** Port of a backend server in the VM list, for example that of a relay. */
   readonly listedPortFor?: (server: string, port: number) => Promise<number>;
 }
 
@@ -69,7 +69,10 @@
     this.#folder = fs.mkdtempSync(path.join(os.tmpdir(), "guavatide-"));
   }
 
-  /** Starts every process of the plan. Errors: rejects, all ended. */
+  /**
+   * Starts all processes of the plan. Errors: ends those already started and
+   * rejects.
+   */
   static async start(
     options: LocalDeploymentOptions,
   ): Promise<LocalDeployment> {
@@ -91,27 +94,30 @@
     return processes.originOf(this.#vmList!.port);
   }
 
-  /** Where callers reach an entry VM. */
+  /** URL at which an entry VM serves callers. */
   callerUrl(vm: string): string {
     return processes.originOf(this.entries.get(vm)!.ports.callers);
   }
 
-  /** Where monitoring reaches an entry VM. */
+  /** URL at which an entry VM serves metrics. */
   metricsUrl(vm: string): string {
     return processes.originOf(this.entries.get(vm)!.ports.metrics);
   }
 
-  /** Where operators reach an entry VM. */
+  /** URL at which an entry VM serves the administration API. */
   administrationUrl(vm: string): string {
     return processes.originOf(this.entries.get(vm)!.ports.administration);
   }
 
-  /** Sets faults of the store, the VM list or one backend server. */
+  /**
+   * Sets faults of the store (`store`), the VM list (`vm-list`) or the backend
+   * server with this id. Errors: rejects.
+   */
   async setFaults(target: "store" | "vm-list" | string, faults: object) {
     await processes.postJson(`${this.#controlUrl(target)}/faults`, faults);
   }
 
-  /** Starts a backend server and lists it. */
+  /** Starts a backend server and adds it to the VM list. */
   async startServer(
     argument: processes.BackendSettingsInput,
   ): Promise<LocalServer> {
@@ -129,25 +135,25 @@
     return server;
   }
 
-  /** Where a backend server keeps its journal, if it does. */
+  /** Path of a backend server's journal; undefined without a folder. */
   journalFileOf(server: string): string | undefined {
     const { journalFolder } = this.#options;
     if (journalFolder === undefined) return undefined;
     return path.join(journalFolder, `${server}.jsonl`);
   }
 
-  /** Restarts an ended backend server on its old port. */
+  /** Restarts an exited backend server on its previous port. */
   async restartServer(id: string): Promise<void> {
     const server = this.servers.get(id)!;
     await this.startServer({ ...server.argument, port: server.port });
   }
 
-  /** Puts a backend server on the VM list. */
+  /** Adds a backend server to the VM list or updates its entry. */
   async addToVmList(id: string, state: "live" | "leaving"): Promise<void> {
     const { argument, port } = this.servers.get(id)!;
     const { server, service, zone } = argument;
     const listedPort = await this.#options.listedPortFor?.(id, port) ?? port;
-    await this.#changeList({
+    await this.#changeVmList({
       put: [{
         kind: "backend",
         server,
@@ -160,14 +166,17 @@
     });
   }
 
-  /** Takes a VM or a backend server off the list. */
+  /** Removes an entry VM or a backend server from the VM list. */
   async removeFromVmList(id: string): Promise<void> {
-    await this.#changeList({ drop: [id] });
+    await this.#changeVmList({ drop: [id] });
   }
 
-  /** Starts an entry VM and lists it; a known one keeps its ports. */
+  /**
+   * Starts an entry VM and adds it to the VM list. One that was started before
+   * reuses its ports where possible.
+   */
   async startEntry(vm: string, zone: string): Promise<LocalEntryVm> {
-    const program = await this.#runEntry(vm, zone);
+    const program = await this.#startEntryProgram(vm, zone);
     const ready = JSON.parse(program.readyLine) as { ready: wire.EntryPorts };
     const entry: LocalEntryVm = {
       vm: vm as contracts.VmId,
@@ -176,7 +185,7 @@
       ports: ready.ready,
     };
     this.entries.set(vm, entry);
-    await this.#changeList({
+    await this.#changeVmList({
       put: [{
         kind: "entry",
         vm,
@@ -190,21 +199,25 @@
   }
 
   /**
-   * The system may have given a lost VM's port to some outgoing connection
-   * meanwhile; the VM then comes back on others, as the list and beats tell.
+   * The operating system may have assigned a port of an exited VM to an outgoing
+   * connection. The VM then restarts on other ports, which its peers learn from
+   * the VM list and the heartbeats.
    */
-  async #runEntry(vm: string, zone: string): Promise<processes.ChildProgram> {
+  async #startEntryProgram(
+    vm: string,
+    zone: string,
+  ): Promise<processes.ChildProgram> {
     const ports = this.entries.get(vm)?.ports;
     try {
-      return await this.#runEntryOn(vm, zone, ports);
+      return await this.#startEntryProgramOn(vm, zone, ports);
     } catch (error) {
       const isPortTaken = String(error).includes("EADDRINUSE");
       if (ports === undefined || !isPortTaken) throw error;
-      return await this.#runEntryOn(vm, zone, undefined);
+      return await this.#startEntryProgramOn(vm, zone, undefined);
     }
   }
 
-  async #runEntryOn(
+  async #startEntryProgramOn(
     vm: string,
     zone: string,
     ports: wire.EntryPorts | undefined,
@@ -220,13 +233,13 @@
     });
   }
 
-  /** Ends every process; what does not end in time is killed. */
+  /** Stops all processes; kills those that do not exit within 20 s. */
   async stop(): Promise<void> {
-    const all = [
+    const programs = [
       ...[...this.entries.values()].map((entry) => entry.program),
       ...[...this.servers.values()].map((server) => server.program),
     ];
-    await Promise.all(all.map((program) => program.stop(STOP_TIMEOUT_MS)));
+    await Promise.all(programs.map((program) => program.stop(STOP_TIMEOUT_MS)));
     await this.#store?.stop(STOP_TIMEOUT_MS);
     await this.#vmList?.stop(STOP_TIMEOUT_MS);
     fs.rmSync(this.#folder, { recursive: true, force: true });
@@ -240,22 +253,22 @@
     this.#vmList = await processes.startStandIn("vm_list/vm_list_main", {
       lagMs: this.#options.vmListLagMs ?? 0,
     });
-    await this.#publish();
+    await this.#publishConfig();
     await Promise.all(
-      this.#serverArguments().map((argument) => this.startServer(argument)),
+      this.#plannedServers().map((argument) => this.startServer(argument)),
     );
     await Promise.all(
-      this.#entryNames().map(({ vm, zone }) => this.startEntry(vm, zone)),
+      this.#plannedEntries().map(({ vm, zone }) => this.startEntry(vm, zone)),
     );
   }
 
-  async #publish(): Promise<void> {
+  async #publishConfig(): Promise<void> {
     const store = new platform.HttpPlatformStore(this.storeUrl);
     await publishing.publishInitial(store, plans.toConfigObjects(this.plan));
     await store.close();
   }
 
-  #serverArguments(): processes.BackendSettingsInput[] {
+  #plannedServers(): processes.BackendSettingsInput[] {
     return this.plan.services.flatMap((service) =>
       Array.from({ length: service.servers }, (_, index) => ({
         server: `${service.name}-${index + 1}` as contracts.ServerId,
@@ -275,7 +288,7 @@
     );
   }
 
-  #entryNames(): { vm: string; zone: string }[] {
+  #plannedEntries(): { vm: string; zone: string }[] {
     return Array.from({ length: this.plan.entryVms }, (_, index) => ({
       vm: `entry-${index + 1}`,
       zone: this.#zoneAt(index),
@@ -315,7 +328,7 @@
     return processes.originOf(this.servers.get(target)!.port);
   }
 
-  async #changeList(change: object): Promise<void> {
+  async #changeVmList(change: object): Promise<void> {
     await processes.postJson(`${this.vmListUrl}/vms/change`, change);
   }
 }
