--- a/packages/standins/src/contract_tests/backend_control_cases.ts
+++ b/packages/standins/src/contract_tests/backend_control_cases.ts
@@ -1,6 +1,6 @@
 /**
- * Contract-test table of a backend server's control side. The server is
- * `s1` of service `availability`, checks fences and holds nothing yet.
+ * Contract tests of a backend server's control API. The server is `s1` of
+ * service `availability`, checks fencing tokens and has no leases yet.
  */
 import type {
   BackendControl,
@@ -18,7 +18,7 @@
   expectOk,
 } from "./contract_case.ts";
 
-/** A server's control side and the control of its faults. */
+/** A client of the server's control API, and the means to inject faults. */
 export interface BackendControlFixture {
   readonly control: BackendControl;
   setFaults(faults: BackendFaults): Promise<void>;
@@ -31,7 +31,7 @@
 const SHORT_CALL = { timeoutMs: 60 };
 const LEASE_MS = 60_000;
 
-/** An order for the whole hash space, without a stamp. */
+/** A lease command for the whole hash space, without a stamp. */
 export function unstampedCommand(revision: number): LeaseCommand {
   return {
     service: "availability" as ServiceId,
@@ -47,28 +47,28 @@
   };
 }
 
-/** The same order with the stamp of an earlier reply. */
+/** The command with the stamp of an earlier reply. */
 export function withStamp(
-  order: LeaseCommand,
+  command: LeaseCommand,
   reply: LeaseCommandReply,
 ): LeaseCommand {
-  return { ...order, stampMs: reply.stampMs, stampInstance: reply.instance };
+  return { ...command, stampMs: reply.stampMs, stampInstance: reply.instance };
 }
 
-/** Every row of the table. */
+/** All rows of the table. */
 export const BACKEND_CONTROL_CASES: readonly BackendCase[] = [
   {
-    name: "should accept an order only with its own stamp",
+    name: "should accept a lease command only with its own stamp",
     async run({ control }) {
       const first = expectOk(
         await control.sendLeaseCommand(unstampedCommand(1), CALL),
       );
       expect(first.accepted).toEqual(false);
-      const order = withStamp(unstampedCommand(1), first);
-      const second = expectOk(await control.sendLeaseCommand(order, CALL));
+      const command = withStamp(unstampedCommand(1), first);
+      const second = expectOk(await control.sendLeaseCommand(command, CALL));
       expect(second.accepted).toEqual(true);
       expect(second.revision).toEqual(1);
-      const foreign = { ...order, stampInstance: "another-run" };
+      const foreign = { ...command, stampInstance: "another-run" };
       expect(expectOk(await control.sendLeaseCommand(foreign, CALL)).accepted)
         .toEqual(
           false,
@@ -76,33 +76,33 @@
     },
   },
   {
-    name: "should answer a stale order with the highest revision it saw",
+    name: "should reply to a stale command with the highest revision it saw",
     async run({ control }) {
-      // A keeper was paused with an order in hand and sends it on waking,
-      // when another has already moved the keys.
+      // An entry VM is paused just before it sends a lease command, and sends
+      // it after another entry VM has already handed the keys over.
       const first = expectOk(
         await control.sendLeaseCommand(unstampedCommand(5), CALL),
       );
       const stale = withStamp(unstampedCommand(4), first);
-      const answer = expectOk(await control.sendLeaseCommand(stale, CALL));
-      expect(answer.accepted).toEqual(false);
-      expect(answer.revision).toEqual(5);
+      const reply = expectOk(await control.sendLeaseCommand(stale, CALL));
+      expect(reply.accepted).toEqual(false);
+      expect(reply.revision).toEqual(5);
     },
   },
   {
-    name: "should refuse an order for another server",
+    name: "should refuse a lease command for another server",
     async run({ control }) {
-      // An address was given to a new server while a keeper still used it for
-      // the old one.
-      const order = { ...unstampedCommand(1), server: "s2" as ServerId };
+      // A new server got the address of an old one, and an entry VM still uses
+      // that address for the old server.
+      const command = { ...unstampedCommand(1), server: "s2" as ServerId };
       expectErrorKind(
-        await control.sendLeaseCommand(order, CALL),
+        await control.sendLeaseCommand(command, CALL),
         "bad-answer",
       );
     },
   },
   {
-    name: "should say that it drains",
+    name: "should report that it is draining",
     async run({ control, drain }) {
       await drain();
       const reply = expectOk(
@@ -113,7 +113,7 @@
     },
   },
   {
-    name: "should pass on a load report even when it misleads",
+    name: "should forward a load report even if it is wrong",
     async run({ control, setFaults }) {
       await setFaults({ load: { inFlight: 99, ageMs: 0, healthy: true } });
       const report = expectOk(await control.load(CALL));
@@ -121,7 +121,7 @@
     },
   },
   {
-    name: "should end a call that hangs by its deadline and recover",
+    name: "should time out a call that hangs, and recover",
     async run({ control, setFaults }) {
       await setFaults({ controlHangs: true });
       expectErrorKind(
--- a/packages/standins/src/contract_tests/backend_work_cases.ts
+++ b/packages/standins/src/contract_tests/backend_work_cases.ts
@@ -1,7 +1,7 @@
 /**
- * Contract-test table of a backend server's work side. The server is `s1` of
- * the keyed service `availability`, with one slot and a queue of one; it
- * checks fences and holds nothing yet.
+ * Contract tests of how a backend server handles requests. The server is `s1`
+ * of the keyed service `availability`, with one slot and a queue of one. It
+ * checks fencing tokens and has no leases yet.
  */
 import * as contracts from "@guavatide/contracts";
 import { expect } from "earl";
@@ -10,25 +10,25 @@
 import { unstampedCommand, withStamp } from "./backend_control_cases.ts";
 import { type ContractCase, expectOk } from "./contract_case.ts";
 
-/** What a work request was answered. */
+/** Response to a request. */
 export interface WorkReply {
   readonly status: number;
   readonly requestId: string | undefined;
   readonly notRun: string | undefined;
-  /** Whole, as JSON. */
+  /** The parsed JSON body. */
   readonly body: { readonly requestId?: string };
 }
 
-/** Options of a work request. */
+/** Options of a request. */
 export interface WorkOptions {
   readonly headers: Readonly<Record<string, string>>;
   readonly signal?: AbortSignal;
 }
 
-/** A server's work side, its control side and its journal. */
+/** Access to the server: requests, control API, faults and journal. */
 export interface WorkFixture {
   readonly control: contracts.BackendControl;
-  /** Sends `POST /serve/x`. Errors: rejects without a whole answer. */
+  /** Sends `POST /serve/x`. Errors: rejects without a complete response. */
   work(options: WorkOptions): Promise<WorkReply>;
   cancel(requestId: string): Promise<void>;
   drain(): Promise<void>;
@@ -41,16 +41,17 @@
 const CALL = { timeoutMs: 10_000 };
 const SLICE = unstampedCommand(1).slices[0]!.slice;
 const SHORT_LEASE_MS = 150;
-const LOOK_EVERY_MS = 2;
-const SEEN_WITHIN_MS = 10_000;
+const POLL_INTERVAL_MS = 2;
+const POLL_TIMEOUT_MS = 10_000;
 
-async function own(fixture: WorkFixture): Promise<void> {
+/** Gives the server a lease for the whole hash space. */
+async function acquireLease(fixture: WorkFixture): Promise<void> {
   const { control } = fixture;
   const reply = expectOk(
     await control.sendLeaseCommand(unstampedCommand(1), CALL),
   );
-  const order = withStamp(unstampedCommand(1), reply);
-  expect(expectOk(await control.sendLeaseCommand(order, CALL)).accepted)
+  const command = withStamp(unstampedCommand(1), reply);
+  expect(expectOk(await control.sendLeaseCommand(command, CALL)).accepted)
     .toEqual(
       true,
     );
@@ -70,22 +71,22 @@
   };
 }
 
-/** Waits until a condition holds; rejects after the deadline. */
-async function until(holds: () => Promise<boolean>): Promise<void> {
-  const endMs = performance.now() + SEEN_WITHIN_MS;
+/** Polls until a condition holds. Errors: rejects after the timeout. */
+async function waitUntil(holds: () => Promise<boolean>): Promise<void> {
+  const endMs = performance.now() + POLL_TIMEOUT_MS;
   while (!await holds()) {
     if (performance.now() > endMs) throw new Error("Not seen in time");
-    await new Promise((resolve) => setTimeout(resolve, LOOK_EVERY_MS));
+    await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS));
   }
 }
 
-function untilInFlight(fixture: WorkFixture, count: number): Promise<void> {
-  return until(async () =>
+function waitForInFlight(fixture: WorkFixture, count: number): Promise<void> {
+  return waitUntil(async () =>
     expectOk(await fixture.control.load(CALL)).inFlight === count
   );
 }
 
-async function startsOf(
+async function countStarts(
   fixture: WorkFixture,
   requestId: string,
 ): Promise<number> {
@@ -95,38 +96,40 @@
   ).length;
 }
 
-/** One request runs and is held; a second one waits behind it. */
-async function fillServer(fixture: WorkFixture, waiting: WorkOptions) {
-  await own(fixture);
+/** Starts one request that does not finish, and queues a second one. */
+async function fillServer(fixture: WorkFixture, queuedOptions: WorkOptions) {
+  await acquireLease(fixture);
   await fixture.setFaults({ holdRuns: true });
   const running = fixture.work({ headers: headersOf("running") });
-  await untilInFlight(fixture, 1);
-  const behind = fixture.work(waiting);
-  // A rejection is looked at later than it comes.
-  behind.catch(() => {});
-  await untilInFlight(fixture, 2);
-  return { running, behind };
+  await waitForInFlight(fixture, 1);
+  const queued = fixture.work(queuedOptions);
+  // Avoids an unhandled rejection: the test awaits the promise only later.
+  queued.catch(() => {});
+  await waitForInFlight(fixture, 2);
+  return { running, queued };
 }
 
-/** Tries until a request has started before the lease was over. */
+/** Repeats until a request has started within a short lease. */
 async function startUnderShortLease(fixture: WorkFixture) {
   for (let attempt = 1;; attempt++) {
     const requestId = `short-${attempt}`;
-    const first = { ...unstampedCommand(1), leaseMs: SHORT_LEASE_MS };
-    const reply = expectOk(await fixture.control.sendLeaseCommand(first, CALL));
-    await fixture.control.sendLeaseCommand(withStamp(first, reply), CALL);
+    const command = { ...unstampedCommand(1), leaseMs: SHORT_LEASE_MS };
+    const reply = expectOk(
+      await fixture.control.sendLeaseCommand(command, CALL),
+    );
+    await fixture.control.sendLeaseCommand(withStamp(command, reply), CALL);
     const running = fixture.work({ headers: headersOf(requestId) });
     const refused = running.then(() => true);
-    const started = untilInFlight(fixture, 1).then(() => false);
+    const started = waitForInFlight(fixture, 1).then(() => false);
     if (!await Promise.race([refused, started])) return { running, requestId };
   }
 }
 
 const REFUSALS: readonly WorkCase[] = [
   {
-    name: "should answer whole and with the request's own id",
+    name: "should respond completely and with the id of the request",
     async run(fixture) {
-      await own(fixture);
+      await acquireLease(fixture);
       const reply = await fixture.work({ headers: headersOf("r1") });
       expect(reply.status).toEqual(200);
       expect(reply.requestId).toEqual("r1");
@@ -134,53 +137,53 @@
     },
   },
   {
-    name: "should refuse a key it does not own, or of another fence",
+    name: "should refuse a key it does not own or with another fencing token",
     async run(fixture) {
       const early = await fixture.work({ headers: headersOf("early") });
       expect(early.notRun).toEqual("not-owner");
-      await own(fixture);
+      await acquireLease(fixture);
       const headers = headersOf("old", { [contracts.FENCE_HEADER]: "2" });
       expect((await fixture.work({ headers })).notRun).toEqual("not-owner");
-      expect(await startsOf(fixture, "old")).toEqual(0);
+      expect(await countStarts(fixture, "old")).toEqual(0);
     },
   },
   {
     name: "should refuse as busy when slots and queue are full",
     async run(fixture) {
-      const { running, behind } = await fillServer(fixture, {
+      const { running, queued } = await fillServer(fixture, {
         headers: headersOf("behind"),
       });
       const refused = await fixture.work({ headers: headersOf("third") });
       expect(refused.notRun).toEqual("busy");
       await fixture.setFaults({ holdRuns: false });
       expect((await running).status).toEqual(200);
-      expect((await behind).status).toEqual(200);
-      expect(await startsOf(fixture, "third")).toEqual(0);
+      expect((await queued).status).toEqual(200);
+      expect(await countStarts(fixture, "third")).toEqual(0);
     },
   },
   {
     name: "should refuse a request whose deadline passed in the queue",
     async run(fixture) {
-      // The caller has given up. Running the request now would book a slot
-      // for a host who was told that the booking failed.
-      const { running, behind } = await fillServer(fixture, {
+      // The caller has given up. Running the request now would make a booking
+      // that the caller believes has failed.
+      const { running, queued } = await fillServer(fixture, {
         headers: headersOf("behind", { [contracts.DEADLINE_HEADER]: "40" }),
       });
       await new Promise((resolve) => setTimeout(resolve, 50));
       await fixture.setFaults({ holdRuns: false });
       await running;
-      expect((await behind).notRun).toEqual("deadline");
-      expect(await startsOf(fixture, "behind")).toEqual(0);
+      expect((await queued).notRun).toEqual("deadline");
+      expect(await countStarts(fixture, "behind")).toEqual(0);
     },
   },
 ];
 
 const TRANSITIONS: readonly WorkCase[] = [
   {
-    name: "should refuse new work while draining and finish what it has",
+    name: "should refuse new requests while draining and finish accepted ones",
     async run(fixture) {
-      // A server that is shut down must cut nobody off.
-      const { running, behind } = await fillServer(fixture, {
+      // A server that shuts down must complete the requests it has accepted.
+      const { running, queued } = await fillServer(fixture, {
         headers: headersOf("behind"),
       });
       await fixture.drain();
@@ -188,33 +191,33 @@
       expect(refused.notRun).toEqual("draining");
       await fixture.setFaults({ holdRuns: false });
       expect((await running).status).toEqual(200);
-      expect((await behind).status).toEqual(200);
+      expect((await queued).status).toEqual(200);
     },
   },
   {
     name: "should check ownership again when a request leaves the queue",
     async run(fixture) {
-      // The key moves while a request waits. Two servers would run work for
-      // one key if the wait did not end in a second look.
-      const { running, behind } = await fillServer(fixture, {
+      // The key is handed over while a request is queued. Without a second
+      // check, two servers would run requests for one key.
+      const { running, queued } = await fillServer(fixture, {
         headers: headersOf("behind"),
       });
-      const taken = { ...unstampedCommand(2), slices: [] };
+      const revocation = { ...unstampedCommand(2), slices: [] };
       const reply = expectOk(
-        await fixture.control.sendLeaseCommand(taken, CALL),
+        await fixture.control.sendLeaseCommand(revocation, CALL),
       );
       expect(reply.releasing).toEqual([{ slice: SLICE, inFlight: 1 }]);
       await fixture.setFaults({ holdRuns: false });
       expect((await running).status).toEqual(200);
-      expect((await behind).notRun).toEqual("not-owner");
-      expect(await startsOf(fixture, "behind")).toEqual(0);
+      expect((await queued).notRun).toEqual("not-owner");
+      expect(await countStarts(fixture, "behind")).toEqual(0);
     },
   },
   {
-    name: "should not let a run take effect once its lease has ended",
+    name: "should not commit a request once its lease has expired",
     async run(fixture) {
-      // The server's process is stopped while it makes a booking. When it
-      // goes on, the key belongs to another, who may have sold the same hour.
+      // The server's process is paused during a booking. When it resumes,
+      // another server owns the key and may have booked the same time slot.
       await fixture.setFaults({ holdRuns: true });
       const { running, requestId } = await startUnderShortLease(fixture);
       await new Promise((resolve) => setTimeout(resolve, SHORT_LEASE_MS));
@@ -227,70 +230,71 @@
     },
   },
   {
-    name: "should refuse a request after its moment on the server's clock",
+    name: "should refuse a request after its deadline on the server's clock",
     async run(fixture) {
-      // The server was frozen with the request in its buffers. Time left
-      // would count anew from waking; the moment on its own clock does not.
-      await own(fixture);
+      // The server was paused with the request in its receive buffers. A
+      // remaining time would start over when it resumes; a deadline on its own
+      // clock does not.
+      await acquireLease(fixture);
       const reply = expectOk(
         await fixture.control.sendLeaseCommand(unstampedCommand(1), CALL),
       );
-      const moments = [
+      const deadlines = [
         { requestId: "late", stamp: `${reply.instance}/${reply.stampMs - 1}` },
         { requestId: "other-run", stamp: `earlier-run/${Infinity}` },
       ];
-      for (const { requestId, stamp } of moments) {
+      for (const { requestId, stamp } of deadlines) {
         const headers = headersOf(requestId, {
           [contracts.DEADLINE_STAMP_HEADER]: stamp,
         });
         expect((await fixture.work({ headers })).notRun).toEqual("deadline");
-        expect(await startsOf(fixture, requestId)).toEqual(0);
+        expect(await countStarts(fixture, requestId)).toEqual(0);
       }
     },
   },
   {
-    name: "should not run a waiting request that was cancelled",
+    name: "should not run a queued request that was cancelled",
     async run(fixture) {
-      const { running, behind } = await fillServer(fixture, {
+      const { running, queued } = await fillServer(fixture, {
         headers: headersOf("behind"),
       });
       await fixture.cancel("behind");
-      expect((await behind).notRun).toEqual("deadline");
+      expect((await queued).notRun).toEqual("deadline");
       await fixture.setFaults({ holdRuns: false });
       await running;
-      expect(await startsOf(fixture, "behind")).toEqual(0);
+      expect(await countStarts(fixture, "behind")).toEqual(0);
     },
   },
   {
     name: "should not run a request whose cancellation overtook it",
     async run(fixture) {
-      // The two go over different connections, so either may come first.
-      await own(fixture);
+      // They use different connections, so either may arrive first.
+      await acquireLease(fixture);
       await fixture.cancel("late");
       const reply = await fixture.work({ headers: headersOf("late") });
       expect(reply.notRun).toEqual("deadline");
-      expect(await startsOf(fixture, "late")).toEqual(0);
+      expect(await countStarts(fixture, "late")).toEqual(0);
     },
   },
   {
-    name: "should not run a waiting request whose connection closed",
+    name: "should not run a queued request whose connection closed",
     async run(fixture) {
       const controller = new AbortController();
-      const { running, behind } = await fillServer(fixture, {
+      const { running, queued } = await fillServer(fixture, {
         headers: headersOf("behind"),
         signal: controller.signal,
       });
       controller.abort();
-      await behind.catch(() => {});
-      await untilInFlight(fixture, 1);
+      await queued.catch(() => {});
+      await waitForInFlight(fixture, 1);
       await fixture.setFaults({ holdRuns: false });
       await running;
-      expect(await startsOf(fixture, "behind")).toEqual(0);
+      expect(await countStarts(fixture, "behind")).toEqual(0);
     },
   },
 ];
 
-/** Every row of the table. */
+/** All rows of the table. */
 export const BACKEND_WORK_CASES: readonly WorkCase[] = [
   ...REFUSALS,
   ...TRANSITIONS,
--- a/packages/standins/src/contract_tests/http_adapters_test.ts
+++ b/packages/standins/src/contract_tests/http_adapters_test.ts
@@ -1,4 +1,4 @@
-/** The HTTP adapters and the stand-ins, against the contract tables. */
+/** Runs the contract tests on the HTTP clients against the stand-ins. */
 import {
   NOT_RUN_HEADER,
   REQUEST_ID_HEADER,
@@ -35,9 +35,9 @@
 for (const row of PLATFORM_STORE_CASES) {
   test(`store: ${row.name}`, async () => {
     const app = new StoreApp();
-    const listening = await serve.listen(app.hono, { port: 0 });
-    const store = new platform.HttpPlatformStore(originOf(listening.port));
-    const faultsUrl = `${originOf(listening.port)}/faults`;
+    const listener = await serve.listen(app.hono, { port: 0 });
+    const store = new platform.HttpPlatformStore(originOf(listener.port));
+    const faultsUrl = `${originOf(listener.port)}/faults`;
     try {
       await row.run({
         store,
@@ -46,7 +46,7 @@
       });
     } finally {
       await store.close();
-      await listening.close();
+      await listener.close();
     }
   });
 }
@@ -54,8 +54,8 @@
 for (const row of VM_LIST_CASES) {
   test(`VM list: ${row.name}`, async () => {
     const app = new VmListApp(new MonotonicClock(), {});
-    const listening = await serve.listen(app.hono, { port: 0 });
-    const origin = originOf(listening.port);
+    const listener = await serve.listen(app.hono, { port: 0 });
+    const origin = originOf(listener.port);
     const list = new platform.HttpVmList(origin);
     try {
       await row.run({
@@ -66,7 +66,7 @@
       });
     } finally {
       await list.close();
-      await listening.close();
+      await listener.close();
     }
   });
 }
@@ -83,8 +83,8 @@
     clock: new MonotonicClock(),
     instance: "run-1",
   });
-  const listening = await serve.listen(app.hono, { port: 0 });
-  const origin = originOf(listening.port);
+  const listener = await serve.listen(app.hono, { port: 0 });
+  const origin = originOf(listener.port);
   const control = new platform.HttpBackendControl(origin);
   return {
     origin,
@@ -101,7 +101,7 @@
     work: (options: WorkOptions) => sendWork(origin, options),
     close: async () => {
       await control.close();
-      await listening.close();
+      await listener.close();
     },
   };
 }
@@ -146,30 +146,30 @@
 }
 
 for (const mode of ["silent", "cut"] as const) {
-  test(`store: should leave a connection that went ${mode}`, async () => {
-    // Something between the entry VM and the store has lost track of the
-    // connections that are open, while new ones work. If the client kept them,
-    // every call would time out although the store is up.
+  test(`store: should replace a connection after the fault "${mode}"`, async () => {
+    // A firewall or NAT between the entry VM and the store drops the state of
+    // open connections, while new ones work. If the client kept using the open
+    // ones, every call would time out although the store is up.
     const app = new StoreApp();
-    const listening = await serve.listen(app.hono, { port: 0 });
-    const link = new TcpRelay({ host: "127.0.0.1", port: listening.port });
+    const listener = await serve.listen(app.hono, { port: 0 });
+    const relay = new TcpRelay({ host: "127.0.0.1", port: listener.port });
     const store = new platform.HttpPlatformStore(
-      originOf(await link.listen(0)),
+      originOf(await relay.listen(0)),
     );
     const options = { timeoutMs: 300, cursor: "0", waitMs: 200 };
     try {
-      const watching = store.watch("a", options);
+      const pendingWatch = store.watch("a", options);
       while (app.counters.watch === 0) await serve.delay(1);
-      link.setFaults({ mode });
+      relay.setFaults({ mode });
       app.table.put("a", "1", { kind: "any" });
-      expectErrorKind(await watching, "unavailable");
-      link.setFaults({ mode: "pass" });
+      expectErrorKind(await pendingWatch, "unavailable");
+      relay.setFaults({ mode: "pass" });
       const next = expectOk(await store.get("a", { timeoutMs: 10_000 }));
       expect(next.value).toEqual("1");
     } finally {
       await store.close();
-      await link.close();
-      await listening.close();
+      await relay.close();
+      await listener.close();
     }
   });
 }
--- a/packages/standins/src/contract_tests/platform_store_cases.ts
+++ b/packages/standins/src/contract_tests/platform_store_cases.ts
@@ -1,7 +1,6 @@
 /**
- * Contract-test table of the platform's store. It runs against any
- * implementation of {@link PlatformStore} whose other side can be given
- * these faults.
+ * Contract tests of the platform's store. They run against any implementation
+ * of {@link PlatformStore} whose server can inject these faults.
  */
 import {
   type PlatformStore,
@@ -18,19 +17,19 @@
   expectOk,
 } from "./contract_case.ts";
 
-/** An empty store and the control of its faults. */
+/** An empty store, and the means to inject faults and count calls. */
 export interface StoreFixture {
   readonly store: PlatformStore;
   setFaults(faults: StoreFaultSettings): Promise<void>;
-  /** Calls that the store has counted. */
+  /** Calls that the server has counted. */
   counters(): Promise<StoreCounters>;
 }
 
 type StoreCase = ContractCase<StoreFixture>;
 
-/** Long enough for a call that is to succeed. */
+/** For calls that must succeed. */
 const CALL = { timeoutMs: 10_000 };
-/** For a call that is to fail. */
+/** For calls that must time out. */
 const SHORT_CALL = { timeoutMs: 60 };
 const ABSENT: WriteCondition = { kind: "absent" };
 const ANY: WriteCondition = { kind: "any" };
@@ -55,7 +54,7 @@
   return expectOk(await fixture.store.list("", CALL)).cursor;
 }
 
-const ORDINARY: readonly StoreCase[] = [
+const BASIC_CASES: readonly StoreCase[] = [
   {
     name: "should read back what was written under its new version",
     async run(fixture) {
@@ -83,7 +82,7 @@
     },
   },
   {
-    name: "should tell a missing object from a missing answer",
+    name: "should report a missing object as not found, not as unavailable",
     async run(fixture) {
       expectErrorKind(await fixture.store.get("none", CALL), "not-found");
       const options = { ...CALL, condition: ANY };
@@ -91,7 +90,7 @@
     },
   },
   {
-    name: "should hold a value of the limit and refuse one byte more",
+    name: "should store a value at the size limit and refuse one byte more",
     async run(fixture) {
       const largest = `"${"x".repeat(STORE_VALUE_LIMIT_BYTES - 2)}"`;
       await put(fixture, "large", largest);
@@ -104,7 +103,7 @@
     },
   },
   {
-    name: "should let a watch wait and tell it of writes and deletions",
+    name: "should let a watch wait and return writes and deletions",
     async run(fixture) {
       const cursor = await cursorOf(fixture);
       const waiting = fixture.store.watch("w/", {
@@ -114,13 +113,13 @@
       });
       await put(fixture, "other", "{}");
       await put(fixture, "w/1", "{}");
-      const told = expectOk(await waiting);
-      expect(told.events.map((event) => event.name)).toEqual(["w/1"]);
+      const batch = expectOk(await waiting);
+      expect(batch.events.map((event) => event.name)).toEqual(["w/1"]);
       await fixture.store.delete("w/1", { ...CALL, condition: ANY });
       const next = expectOk(
         await fixture.store.watch("w/", {
           ...CALL,
-          cursor: told.cursor,
+          cursor: batch.cursor,
           waitMs: 9_000,
         }),
       );
@@ -132,13 +131,13 @@
     async run(fixture) {
       const cursor = await cursorOf(fixture);
       const options = { ...CALL, cursor, waitMs: 20 };
-      const told = expectOk(await fixture.store.watch("w/", options));
-      expect(told.events).toEqual([]);
-      expect(told.reset).toEqual(false);
+      const batch = expectOk(await fixture.store.watch("w/", options));
+      expect(batch.events).toEqual([]);
+      expect(batch.reset).toEqual(false);
     },
   },
   {
-    name: "should count each call once, a waiting watch as one",
+    name: "should count each call once, a long poll too",
     async run(fixture) {
       const cursor = await cursorOf(fixture);
       await put(fixture, "a", "{}");
@@ -156,12 +155,12 @@
   },
 ];
 
-const CONFLICTS: readonly StoreCase[] = [
+const CONFLICT_CASES: readonly StoreCase[] = [
   {
     name: "should let exactly one of many racing writers win",
     async run(fixture) {
-      // Two planners or two operators read the same version and both write.
-      // Were both told that they won, one edit would vanish without a word.
+      // Two leaders or two operators read the same version and both write. If
+      // both writes succeeded, one update would be lost silently.
       const version = await put(fixture, "raced", "0");
       const condition = { kind: "version", version } as const;
       const results = await Promise.all(
@@ -181,11 +180,11 @@
     },
   },
   {
-    name: "should leave the object alone when a condition fails",
+    name: "should leave the object unchanged when a condition fails",
     async run(fixture) {
-      // A writer that was paused comes back with a version of long ago.
+      // A writer that was paused resumes with an outdated version.
       const old = await put(fixture, "kept", "1");
-      const present = await put(fixture, "kept", "2");
+      const current = await put(fixture, "kept", "2");
       const stale = { kind: "version", version: old } as const;
       for (const condition of [ABSENT, stale]) {
         const options = { ...CALL, condition };
@@ -196,18 +195,19 @@
       }
       const options = { ...CALL, condition: stale };
       expectErrorKind(await fixture.store.delete("kept", options), "conflict");
-      expect((await read(fixture, "kept")).version).toEqual(present);
+      expect((await read(fixture, "kept")).version).toEqual(current);
     },
   },
 ];
 
-const FAULTS: readonly StoreCase[] = [
+const FAULT_CASES: readonly StoreCase[] = [
   {
-    name: "should say unavailable when a write took effect without its reply",
+    name:
+      "should return unavailable when the reply of an effective write is lost",
     async run(fixture) {
-      // The connection dies between the store's write and its reply. A client
-      // that said "failed", or wrote again by itself, would let its caller
-      // decide on something that is not so.
+      // The connection breaks between the store's write and its reply. If the
+      // client reported a failed write, or retried by itself, its caller would
+      // act on a wrong result.
       await fixture.setFaults({ loseRepliesOfWrites: 1 });
       const options = { ...CALL, condition: ABSENT };
       const result = await fixture.store.put("lost", "1", options);
@@ -217,9 +217,9 @@
     },
   },
   {
-    name: "should say unavailable on 5xx, whether or not it took effect",
+    name: "should return unavailable on 5xx, whether or not it took effect",
     async run(fixture) {
-      // A proxy of the platform gives 5xx in place of an answer that it lost.
+      // A proxy of the platform returns 5xx when it has lost the response.
       const options = { ...CALL, condition: ABSENT };
       await fixture.setFaults({ failWritesAfterEffect: 1 });
       expectErrorKind(
@@ -236,10 +236,10 @@
     },
   },
   ...(["hang", "refuse"] as const).map((outage): StoreCase => ({
-    name: `should end every kind of call in an outage (${outage}) and recover`,
+    name: `should end calls of all kinds in an outage (${outage}) and recover`,
     async run(fixture) {
-      // The store is away for long. Each call has to end by its deadline, and
-      // the first call afterwards has to meet a connection that works.
+      // The store is unavailable for long. Each call must end by its deadline,
+      // and the first call afterwards must use a connection that works.
       const { store } = fixture;
       await put(fixture, "a", "1");
       await fixture.setFaults({ outage });
@@ -281,10 +281,11 @@
     },
   },
   {
-    name: "should end a watch that went silent, and list what it missed",
+    name:
+      "should time out a watch that gets no response, and list what it missed",
     async run(fixture) {
-      // Something between the two ends has lost track of the connection: no
-      // error comes and no event either. Only the call's deadline shows it.
+      // A firewall or NAT has dropped the connection's state: the client gets
+      // neither an error nor an event. Only the call's deadline detects this.
       const cursor = await cursorOf(fixture);
       await fixture.setFaults({ watch: "silent" });
       await put(fixture, "w/1", "{}");
@@ -295,38 +296,38 @@
     },
   },
   ...(["empty", "skips"] as const).map((fault): StoreCase => ({
-    name: `should list what a watch never told (${fault})`,
+    name: `should list what a watch omitted (${fault})`,
     async run(fixture) {
-      // The watch answers in good order and leaves events out. Nothing in its
-      // answers shows that; a reader has to list from time to time.
+      // The watch responds normally but omits events. Its responses do not show
+      // this, so a client has to list periodically.
       const cursor = await cursorOf(fixture);
       if (fault === "empty") await fixture.setFaults({ watch: "empty" });
       else await fixture.setFaults({ skipEvents: 1 });
       await put(fixture, "w/1", "{}");
       const options = { ...CALL, cursor, waitMs: 20 };
-      const told = expectOk(await fixture.store.watch("w/", options));
-      expect(told.events).toEqual([]);
+      const batch = expectOk(await fixture.store.watch("w/", options));
+      expect(batch.events).toEqual([]);
       const listed = expectOk(await fixture.store.list("w/", CALL));
       expect(listed.objects.length).toEqual(1);
     },
   })),
   {
-    name: "should tell a watch whose events are gone to list anew",
+    name: "should reset a watch whose events are no longer in the log",
     async run(fixture) {
-      // A reader was paused for longer than the store keeps its changes.
+      // A client was paused for longer than the store keeps its change log.
       const cursor = await cursorOf(fixture);
       await put(fixture, "w/1", "{}");
       await fixture.setFaults({ forgetLog: true });
       const options = { ...CALL, cursor, waitMs: 9_000 };
-      const told = expectOk(await fixture.store.watch("w/", options));
-      expect(told.reset).toEqual(true);
+      const batch = expectOk(await fixture.store.watch("w/", options));
+      expect(batch.reset).toEqual(true);
     },
   },
 ];
 
-/** Every row of the table. */
+/** All rows of the table. */
 export const PLATFORM_STORE_CASES: readonly StoreCase[] = [
-  ...ORDINARY,
-  ...CONFLICTS,
-  ...FAULTS,
+  ...BASIC_CASES,
+  ...CONFLICT_CASES,
+  ...FAULT_CASES,
 ];
