--- a/packages/standins/src/administration/config_delivery_main.ts
+++ b/packages/standins/src/administration/config_delivery_main.ts
@@ -16,7 +16,7 @@
 import * as plans from "../deployment/deployment_plan.ts";
 import { LocalDeployment } from "../deployment/local_deployment.ts";
 import * as processes from "../processes/mod.ts";
-import { OperatorClient, tokenSettings } from "./operator.ts";
+import { OperatorClient, tokenSettings } from "./operator_client.ts";
 
 const TIMEOUT_MS = 20_000;
 const POLL_INTERVAL_MS = 5;
--- a/packages/standins/src/backend_server/backend_app.ts
+++ b/packages/standins/src/backend_server/backend_app.ts
@@ -9,7 +9,7 @@
 import { Journal } from "./journal.ts";
 import { LoadHistory } from "./load_history.ts";
 import { OwnershipState } from "./ownership_state.ts";
-import { ServiceTimeSampler } from "./service_times.ts";
+import { ServiceTimeSampler } from "./service_time_sampler.ts";
 import {
   type BackendFaults,
   backendFaultsSchema,
--- a/packages/standins/src/backend_server/work_queue.ts
+++ b/packages/standins/src/backend_server/work_queue.ts
@@ -7,7 +7,7 @@
 import type { Clock, ServerRefusal, SliceId } from "@guavatide/contracts";
 import type { Journal, JournaledRequest } from "./journal.ts";
 import type { OwnershipState } from "./ownership_state.ts";
-import type { ServiceTimeSampler } from "./service_times.ts";
+import type { ServiceTimeSampler } from "./service_time_sampler.ts";
 import type { BackendSettings } from "./settings.ts";
 
 const MAX_REMEMBERED_CANCELLATIONS = 10_000;
--- a/packages/standins/src/contract_tests/http_adapters_test.ts
+++ b/packages/standins/src/contract_tests/http_adapters_test.ts
@@ -20,7 +20,7 @@
 import * as serve from "../http/serve.ts";
 import { StoreApp } from "../platform_store/store_app.ts";
 import { getJson, originOf, postJson } from "../processes/mod.ts";
-import { TcpRelay } from "../relay/relayed_link.ts";
+import { TcpRelay } from "../relay/tcp_relay.ts";
 import { VmListApp } from "../vm_list/vm_list_app.ts";
 import { BACKEND_CONTROL_CASES } from "./backend_control_cases.ts";
 import {
--- a/packages/standins/src/deployment/local_deployment.ts
+++ b/packages/standins/src/deployment/local_deployment.ts
@@ -13,7 +13,7 @@
 import * as url from "node:url";
 import type { BackendSettings } from "../backend_server/settings.ts";
 import * as processes from "../processes/mod.ts";
-import * as publishing from "./first_publish.ts";
+import * as publishing from "./config_publish.ts";
 import * as plans from "./deployment_plan.ts";
 
 const STOP_TIMEOUT_MS = 20_000;
--- a/packages/standins/src/proofs/config_marks.ts
+++ b/packages/standins/src/proofs/config_marks.ts
@@ -5,7 +5,7 @@
  */
 import * as contracts from "@guavatide/contracts";
 import * as platform from "guavatide/platform/mod";
-import { publishAdditional } from "../deployment/first_publish.ts";
+import { publishAdditional } from "../deployment/config_publish.ts";
 import { pause, type ProofCluster } from "./proof_cluster.ts";
 import { OPERATOR_TOKEN } from "./proof_plan.ts";
 
--- a/packages/standins/src/proofs/given_up_request_test.ts
+++ b/packages/standins/src/proofs/given_up_request_test.ts
@@ -4,7 +4,7 @@
 import * as net from "node:net";
 import { test } from "node:test";
 import * as timers from "node:timers/promises";
-import { TcpRelay } from "../relay/relayed_link.ts";
+import { TcpRelay } from "../relay/tcp_relay.ts";
 
 /** Longer than what was held, or a reset, takes to arrive. */
 const ARRIVAL_MS = 200;
--- a/packages/standins/src/proofs/relays.ts
+++ b/packages/standins/src/proofs/relays.ts
@@ -1,6 +1,6 @@
 /** The relay process of a proof: one link for each port that is relayed. */
 import * as processes from "../processes/mod.ts";
-import type { RelayFaults } from "../relay/relayed_link.ts";
+import type { RelayFaults } from "../relay/tcp_relay.ts";
 
 /** Links by name, opened when first asked for. */
 export class Relays {
--- a/packages/standins/src/proofs/silent_peer_test.ts
+++ b/packages/standins/src/proofs/silent_peer_test.ts
@@ -4,7 +4,7 @@
 import { PeerLink } from "guavatide/vms/peer_link";
 import { test } from "node:test";
 import * as z from "zod";
-import { TcpRelay } from "../relay/relayed_link.ts";
+import { TcpRelay } from "../relay/tcp_relay.ts";
 
 const SECRET = "secret-of-the-peers";
 
--- a/packages/standins/src/relay/relay_app.ts
+++ b/packages/standins/src/relay/relay_app.ts
@@ -2,7 +2,7 @@
 import { type Context, Hono } from "hono";
 import * as z from "zod";
 import type * as serve from "../http/serve.ts";
-import { relayFaultsSchema, TcpRelay } from "./relayed_link.ts";
+import { relayFaultsSchema, TcpRelay } from "./tcp_relay.ts";
 
 type RelayContext = Context<serve.StandInEnv>;
 
