--- a/packages/standins/src/bench/bench_peers.ts
+++ b/packages/standins/src/bench/bench_peers.ts
@@ -1,23 +1,23 @@
 /** Links between the bench's entry processes, with the brief's delay. */
 import type * as contracts from "@guavatide/contracts";
-import type { PeerCallOptions, PeerCalls } from "guavatide/requests/peer_calls";
-import type { PeerDoor } from "guavatide/vms/peer_door";
-import { PeerLink } from "guavatide/vms/peer_link";
+import type { PeerCallOptions, PeerRpc } from "guavatide/requests/peer_rpc";
+import type { PeerServer } from "guavatide/vms/peer_server";
+import { PeerClient } from "guavatide/vms/peer_client";
 import * as crypto from "node:crypto";
 import type * as z from "zod";
 import * as serve from "../http/serve.ts";
 import type { EntryArgument, EntrySetup } from "./bench_messages.ts";
 
 /** The shipped peer links to fixed peers. */
-export class BenchPeers implements PeerCalls {
-  readonly self: PeerCalls["self"];
+export class BenchPeers implements PeerRpc {
+  readonly self: PeerRpc["self"];
   readonly #argument: EntryArgument;
-  readonly #door: PeerDoor;
-  readonly #links = new Map<contracts.VmId, PeerLink>();
+  readonly #door: PeerServer;
+  readonly #links = new Map<contracts.VmId, PeerClient>();
   #members: contracts.VmId[] = [];
   #sent = 0;
 
-  constructor(argument: EntryArgument, door: PeerDoor) {
+  constructor(argument: EntryArgument, door: PeerServer) {
     this.#argument = argument;
     this.#door = door;
     this.self = {
@@ -37,7 +37,7 @@
       if (this.#links.has(vm)) continue;
       const address = { host: "127.0.0.1", port };
       const { secret } = this.#argument;
-      this.#links.set(vm, new PeerLink(address, { secret }));
+      this.#links.set(vm, new PeerClient(address, { secret }));
     }
   }
 
--- a/packages/standins/src/measure/slopes_main.ts
+++ b/packages/standins/src/measure/slopes_main.ts
@@ -155,7 +155,7 @@
     vm: SELF.vm,
     random: new SeededRandom(3),
   });
-  made.noteList(listOf(vms), 0);
+  made.noteVmList(listOf(vms), 0);
   for (const { vm } of listOf(vms)) {
     const incarnation = `${vm}-3f0c2a52-9d5b` as contracts.Incarnation;
     made.noteReply(vm!, incarnation, { askedAtMs: 0, nowMs: 0 });
@@ -177,8 +177,8 @@
     let asked = 0;
     const beats = 400;
     const beat = () => {
-      nowMs += membership.DEFAULT_MEMBERSHIP.beatMs;
-      const { targets } = made.beat(nowMs);
+      nowMs += membership.DEFAULT_MEMBERSHIP.heartbeatIntervalMs;
+      const { targets } = made.heartbeat(nowMs);
       asked += targets.length;
       for (const vm of targets) {
         const incarnation = `${vm}-3f0c2a52-9d5b` as contracts.Incarnation;
--- a/packages/standins/src/proofs/silent_peer_test.ts
+++ b/packages/standins/src/proofs/silent_peer_test.ts
@@ -1,7 +1,7 @@
 import { expect } from "earl";
 import { LifeCycle } from "guavatide/utils/life_cycle";
-import { PeerDoor } from "guavatide/vms/peer_door";
-import { PeerLink } from "guavatide/vms/peer_link";
+import { PeerServer } from "guavatide/vms/peer_server";
+import { PeerClient } from "guavatide/vms/peer_client";
 import { test } from "node:test";
 import * as z from "zod";
 import { TcpRelay } from "../relay/tcp_relay.ts";
@@ -14,12 +14,12 @@
     // looks open at both ends; heartbeats over it get no answer. If it were
     // kept, each VM would take the other for lost although both run.
     const lifeCycle = new LifeCycle();
-    const door = new PeerDoor({ host: "127.0.0.1", port: 0, secret: SECRET });
+    const door = new PeerServer({ host: "127.0.0.1", port: 0, secret: SECRET });
     door.register("echo", z.string(), (text) => text);
     const port = await door.listen(lifeCycle);
     const relay = new TcpRelay({ host: "127.0.0.1", port });
     const relayPort = await relay.listen(0);
-    const link = new PeerLink(
+    const link = new PeerClient(
       { host: "127.0.0.1", port: relayPort },
       { secret: SECRET },
     );
