--- a/packages/standins/src/proofs/silent_peer_test.ts
+++ b/packages/standins/src/proofs/silent_peer_test.ts
@@ -4,7 +4,7 @@
 import { PeerClient } from "guavatide/vms/peer_client";
 import { test } from "node:test";
 import * as z from "zod";
-import { RelayedLink } from "../relay/relayed_link.ts";
+import { TcpRelay } from "../relay/tcp_relay.ts";
 
 const SECRET = "secret-of-the-peers";
 
@@ -17,7 +17,7 @@
     const door = new PeerServer({ host: "127.0.0.1", port: 0, secret: SECRET });
     door.register("echo", z.string(), (text) => text);
     const port = await door.listen(lifeCycle);
-    const relay = new RelayedLink({ host: "127.0.0.1", port });
+    const relay = new TcpRelay({ host: "127.0.0.1", port });
     const relayPort = await relay.listen(0);
     const link = new PeerClient(
       { host: "127.0.0.1", port: relayPort },
