--- a/packages/standins/src/proofs/assignment_observer.ts
+++ b/packages/standins/src/proofs/assignment_observer.ts
@@ -1,4 +1,4 @@
-/** Watches an assignment in the store and notes when each revision came. */
+/** Watches an assignment in the store and records when each revision appears. */
 import * as contracts from "@guavatide/contracts";
 import * as platform from "guavatide/platform/mod";
 import { monotonicMs } from "./caller_record.ts";
@@ -6,13 +6,13 @@
 const WAIT_MS = 1000;
 const TIMEOUT_MS = 3000;
 
-/** One revision and when it was first seen. */
+/** One revision and the CLOCK_MONOTONIC time at which it was seen. */
 export interface SeenRevision {
   readonly atMs: number;
   readonly assignment: contracts.Assignment;
 }
 
-/** Notes revisions of one service until it is stopped. */
+/** Records the assignment revisions of one service until it is stopped. */
 export class AssignmentObserver {
   readonly #store: platform.HttpPlatformStore;
   readonly #service: string;
@@ -26,7 +26,7 @@
     this.#running = this.#watch();
   }
 
-  /** Revisions in order. */
+  /** Revisions in the order seen. */
   get seen(): readonly SeenRevision[] {
     return this.#seen;
   }
@@ -48,11 +48,11 @@
       });
       if (batch.isErr()) continue;
       cursor = batch.value.cursor;
-      for (const event of batch.value.events) this.#note(event.object);
+      for (const event of batch.value.events) this.#record(event.object);
     }
   }
 
-  #note(object: contracts.StoredObject | undefined): void {
+  #record(object: contracts.StoredObject | undefined): void {
     if (object === undefined) return;
     const parsed = contracts.assignmentSchema.safeParse(
       JSON.parse(object.value),
--- a/packages/standins/src/proofs/caller_load.ts
+++ b/packages/standins/src/proofs/caller_load.ts
@@ -1,6 +1,6 @@
 /**
- * Callers that send requests to entry VMs without pause and note what they
- * are told. Each worker waits for its answer before the next request.
+ * Closed-loop callers that send requests to entry VMs and record the outcomes.
+ * Each worker waits for its answer before it sends the next request.
  */
 import * as contracts from "@guavatide/contracts";
 import * as undici from "undici";
@@ -9,7 +9,7 @@
 import {
   type CallerRecord,
   monotonicMs,
-  type ToldOutcome,
+  type ReportedOutcome,
 } from "./caller_record.ts";
 
 const CLIENT_GRACE_MS = 3000;
@@ -19,14 +19,14 @@
 /** Options of {@link CallerLoad}. */
 export interface CallerLoadOptions {
   readonly service: string;
-  /** Entry VMs to choose from, asked anew for each request. */
+  /** Entry VMs to choose from, evaluated for each request. */
   readonly entryUrls: () => readonly string[];
   readonly keys: readonly string[];
   readonly workers: number;
   readonly timeoutMs: number;
-  /** Pause of a worker between two requests. */
+  /** Pause of a worker between two requests, in milliseconds. */
   readonly pauseMs: number;
-  /** Prefix of operation ids; must differ between loads. */
+  /** Prefix of operation ids; must be unique among loads. */
   readonly name: string;
 }
 
@@ -46,12 +46,12 @@
     }
   }
 
-  /** What was told so far. */
+  /** Records of all requests so far. */
   get records(): readonly CallerRecord[] {
     return this.#records;
   }
 
-  /** Sends no more, waits for the last answers. */
+  /** Stops sending and waits for the outstanding answers. */
   async stop(): Promise<readonly CallerRecord[]> {
     this.#isStopping = true;
     await Promise.all(this.#workers);
@@ -75,11 +75,11 @@
     const urls = this.#options.entryUrls();
     const entryUrl = urls[number % urls.length]!;
     const key = keys[Math.floor(number / urls.length) % keys.length]!;
-    // Two reads, then three writes.
+    // Two idempotent reads, then three writes.
     const isIdempotent = number % 5 < 2;
     const operationId = `${name}-${number}`;
     const sentMs = monotonicMs();
-    const told = await this.#ask(
+    const result = await this.#request(
       `${entryUrl}/s/${service}/x?bytes=${ANSWER_FILLER_BYTES}`,
       {
         method: isIdempotent ? "GET" : "POST",
@@ -100,11 +100,11 @@
       entryUrl,
       sentMs,
       endMs,
-      ...told,
+      ...result,
     };
   }
 
-  async #ask(
+  async #request(
     url: string,
     request: {
       method: "GET" | "POST";
@@ -161,7 +161,7 @@
   }
 }
 
-function outcomeOfError(error: unknown): ToldOutcome {
+function outcomeOfError(error: unknown): ReportedOutcome {
   const code = (error as { code?: string }).code;
   return code === "ECONNREFUSED" ? "not-connected" : "unknown";
 }
--- a/packages/standins/src/proofs/caller_record.ts
+++ b/packages/standins/src/proofs/caller_record.ts
@@ -1,32 +1,32 @@
-/** What a caller of the proofs sent and was told. */
+/** What a caller of the proofs sent and which outcome it received. */
 
-/** The fate of a request by the caller's knowledge. */
-export type ToldOutcome =
+/** Outcome of a request as the caller sees it. */
+export type ReportedOutcome =
   | "answered"
   | "not-run"
   | "unknown"
   /** The entry VM could not be reached: no byte left the caller. */
   | "not-connected";
 
-/** One request of a caller; times are CLOCK_MONOTONIC. */
+/** One request of a caller; times are CLOCK_MONOTONIC milliseconds. */
 export interface CallerRecord {
   /** Sent as `idempotency-key`; no two requests share it. */
   readonly operationId: string;
   readonly key: string;
   readonly isIdempotent: boolean;
-  /** Where it was sent. */
+  /** Base URL of the entry VM that it was sent to. */
   readonly entryUrl: string;
   readonly sentMs: number;
   readonly endMs: number;
-  readonly outcome: ToldOutcome;
+  readonly outcome: ReportedOutcome;
   readonly reason: string | undefined;
-  /** The server that an answer names. */
+  /** Server named in the answer. */
   readonly server: string | undefined;
-  /** Whether an answer was the request's own and whole. */
+  /** Whether the answer is complete and belongs to this request. */
   readonly isOwnAnswer: boolean;
 }
 
-/** CLOCK_MONOTONIC in milliseconds, the same for every process. */
+/** CLOCK_MONOTONIC in milliseconds; all processes of a machine share it. */
 export function monotonicMs(): number {
   return Number(process.hrtime.bigint()) / 1e6;
 }
--- a/packages/standins/src/proofs/config_marks.ts
+++ b/packages/standins/src/proofs/config_marks.ts
@@ -1,7 +1,7 @@
 /**
- * Tells from outside which configuration an entry VM has in force: each
- * publish of a proof adds a service, and an entry VM answers for a service
- * that it does not know with `unknown-service`.
+ * Finds out from outside which configuration an entry VM has in force. Each
+ * publish of a proof adds a marker service ("mark"); an entry VM that doesn't
+ * know a service answers requests for it with `unknown-service`.
  */
 import * as contracts from "@guavatide/contracts";
 import * as platform from "guavatide/platform/mod";
@@ -9,14 +9,14 @@
 import { pause, type ProofCluster } from "./proof_cluster.ts";
 import { OPERATOR_TOKEN } from "./proof_plan.ts";
 
-const SAMPLE_EVERY_MS = 50;
-const MISSED_TIMEOUT_MS = 2000;
+const SAMPLE_INTERVAL_MS = 50;
+const PROBE_TIMEOUT_MS = 2000;
 
-/** Publishes marks and looks for them at every entry VM. */
+/** Publishes marks and samples every entry VM for them. */
 export class ConfigMarks {
   readonly #cluster: ProofCluster;
   readonly #store: platform.HttpPlatformStore;
-  /** The highest mark seen at each entry VM. */
+  /** Marks seen so far at each entry VM. */
   readonly #seen = new Map<string, Set<string>>();
   readonly #reverts: string[] = [];
   readonly #published: string[] = [];
@@ -38,7 +38,7 @@
     this.#published.push(mark);
   }
 
-  /** Publishes a new mark through an entry VM, as an operator does. */
+  /** Publishes a new mark through the admin API of an entry VM. */
   async publishThrough(vm: string, mark: string): Promise<void> {
     const admin = this.#cluster.administrationUrl(vm);
     for (const object of objectsOf(mark)) {
@@ -57,12 +57,12 @@
     this.#published.push(mark);
   }
 
-  /** Whether an entry VM has a mark in force; undefined if it is silent. */
+  /** Whether an entry VM has a mark in force; undefined if it doesn't answer. */
   async has(vm: string, mark: string): Promise<boolean | undefined> {
     try {
       const url = `${this.#cluster.deployment.callerUrl(vm)}/s/${mark}/x`;
       const response = await fetch(url, {
-        signal: AbortSignal.timeout(MISSED_TIMEOUT_MS),
+        signal: AbortSignal.timeout(PROBE_TIMEOUT_MS),
         headers: { [contracts.TIMEOUT_HEADER]: "50" },
       });
       await response.text();
@@ -91,7 +91,7 @@
     });
   }
 
-  /** Ends the sampling; entry VMs that fell back to an older configuration. */
+  /** Stops sampling and returns each reversion to an older configuration. */
   async finish(): Promise<readonly string[]> {
     this.#isStopping = true;
     await this.#sampling;
@@ -102,7 +102,7 @@
   async #sample(): Promise<void> {
     while (!this.#isStopping) {
       for (const vm of this.#cluster.vms) await this.#sampleVm(vm);
-      await pause(SAMPLE_EVERY_MS);
+      await pause(SAMPLE_INTERVAL_MS);
     }
   }
 
@@ -119,7 +119,7 @@
   }
 }
 
-/** An administration call that must succeed. */
+/** Calls the admin API. Errors: throws if the call fails. */
 async function callAdmin(
   url: string,
   init: RequestInit,
--- a/packages/standins/src/proofs/config_scenarios.ts
+++ b/packages/standins/src/proofs/config_scenarios.ts
@@ -5,8 +5,8 @@
 
 const OUTAGE_MS = 4000;
 
-/** Runs with marks and returns the reverts that were seen. */
-function withMarks(
+/** Runs a scenario with marks and returns the reversions that were seen. */
+function withConfigMarks(
   run: (cluster: ProofCluster, marks: ConfigMarks) => Promise<void>,
 ): ProofScenario["run"] {
   return async (cluster) => {
@@ -24,12 +24,12 @@
 /** Every scenario of this file. */
 export const CONFIG_SCENARIOS: readonly ProofScenario[] = [
   {
-    // An operator is told that the publish is accepted; at that moment the
-    // store goes away. Only the entry VM that published knows the revision.
+    // The store fails right after an operator's publish is accepted, when only
+    // the entry VM that published knows the revision.
     name: "config-accepted-store-away",
     invariant: INVARIANTS.configuration,
     fault: "store down right after a publish was accepted",
-    run: withMarks(async (cluster, marks) => {
+    run: withConfigMarks(async (cluster, marks) => {
       await marks.publishThrough(cluster.vms[0]!, "mark-1");
       await cluster.deployment.setFaults("store", { outage: "hang" });
       await marks.untilEverywhere("mark-1");
@@ -38,12 +38,12 @@
     }),
   },
   {
-    // The store is gone as soon as one entry VM has the new revision; the
-    // others must hear of it from that one.
+    // The store fails as soon as one entry VM has the new revision; the
+    // others must receive it from that VM.
     name: "config-store-away",
     invariant: INVARIANTS.configuration,
     fault: "store down once one entry VM has the new revision",
-    run: withMarks(async (cluster, marks) => {
+    run: withConfigMarks(async (cluster, marks) => {
       await marks.publish("mark-1");
       await marks.untilSomewhere("mark-1");
       await cluster.deployment.setFaults("store", { outage: "hang" });
@@ -52,12 +52,12 @@
     }),
   },
   {
-    // A new run of an entry VM keeps nothing. It must not route by an older
-    // revision, nor by none while its peers know the one in force.
+    // A restarted entry VM has no state. It must not route by an older
+    // revision, nor without one while its peers know the one in force.
     name: "config-restart-in-outage",
     invariant: INVARIANTS.configuration,
     fault: "store down, an entry VM restarted empty",
-    run: withMarks(async (cluster, marks) => {
+    run: withConfigMarks(async (cluster, marks) => {
       await marks.publish("mark-1");
       await marks.untilEverywhere("mark-1");
       await cluster.deployment.setFaults("store", { outage: "hang" });
@@ -74,7 +74,7 @@
     name: "config-replies-lost",
     invariant: INVARIANTS.configuration,
     fault: "half of the store's write replies lost while publishing",
-    run: withMarks(async (cluster, marks) => {
+    run: withConfigMarks(async (cluster, marks) => {
       await cluster.deployment.setFaults("store", {
         loseReplyProbability: 0.5,
         seed: 11,
@@ -89,7 +89,7 @@
     name: `config-watch-${watch}`,
     invariant: INVARIANTS.configuration,
     fault: `the store's watch ${watch} while publishing`,
-    run: withMarks(async (cluster, marks) => {
+    run: withConfigMarks(async (cluster, marks) => {
       await cluster.deployment.setFaults("store", { watch });
       await marks.publish("mark-1");
       await marks.untilEverywhere("mark-1");
@@ -99,7 +99,7 @@
     name: "config-watch-skips",
     invariant: INVARIANTS.configuration,
     fault: "the store's watch leaves events out while publishing",
-    run: withMarks(async (cluster, marks) => {
+    run: withConfigMarks(async (cluster, marks) => {
       await cluster.deployment.setFaults("store", { skipEvents: 30 });
       await marks.publish("mark-1");
       await marks.untilEverywhere("mark-1");
@@ -109,7 +109,7 @@
     name: "config-entry-frozen",
     invariant: INVARIANTS.configuration,
     fault: "an entry VM frozen while two revisions are published, woken",
-    run: withMarks(async (cluster, marks) => {
+    run: withConfigMarks(async (cluster, marks) => {
       const vm = cluster.vms[2]!;
       await marks.publish("mark-1");
       await marks.untilEverywhere("mark-1");
--- a/packages/standins/src/proofs/ended_process_main.ts
+++ b/packages/standins/src/proofs/ended_process_main.ts
@@ -1,4 +1,7 @@
-/** Sends one call to a port, and ends without closing anything as told. */
+/**
+ * Sends one call to a port. On SIGUSR2 it exits or throws, as its argument
+ * says, without closing its connections.
+ */
 import { HttpChannel } from "guavatide/platform/http_channel";
 import { resetOpenConnections } from "guavatide/utils/reset_connection";
 
@@ -8,6 +11,6 @@
 const call = { method: "POST", path: "/", body: "{}" } as const;
 channel.call(call, { timeoutMs: 60_000 }).then(() => {}, () => {});
 process.once("SIGUSR2", () => {
-  if (how === "throw") throw new Error("Nobody catches this");
+  if (how === "throw") throw new Error("Uncaught on purpose");
   process.exit(0);
 });
--- a/packages/standins/src/proofs/ended_process_test.ts
+++ b/packages/standins/src/proofs/ended_process_test.ts
@@ -9,7 +9,7 @@
   new URL("./ended_process_main.js", import.meta.url),
 );
 
-/** How a call's connection ends when its process ends as told. */
+/** How the server sees the connection end when the calling process ends. */
 async function endOf(how: "exit" | "throw"): Promise<"reset" | "closed"> {
   const server = net.createServer().listen(0, "127.0.0.1");
   await once(server, "listening");
@@ -34,7 +34,7 @@
   }
 }
 
-/** Guards against calls that take effect after their process has crashed. */
+/** Guards against calls that take effect after the calling process crashed. */
 for (const how of ["exit", "throw"] as const) {
   test(`should reset the connections of a process that ends by ${how}`, async () => {
     expect(await endOf(how)).toEqual("reset");
--- a/packages/standins/src/proofs/given_up_request_test.ts
+++ b/packages/standins/src/proofs/given_up_request_test.ts
@@ -6,11 +6,15 @@
 import * as timers from "node:timers/promises";
 import { RelayedLink } from "../relay/relayed_link.ts";
 
-/** Longer than what was held, or a reset, takes to arrive. */
+/** Longer than held-back bytes or a reset take to arrive. */
 const ARRIVAL_MS = 200;
 
-/** Guards against work on a request whose caller has long had an answer. */
-test("should not let a request that was given up arrive when its link heals", async () => {
+/**
+ * Guards against a server running a request after its caller was told that it
+ * timed out. It comes about when the network holds the bytes back and delivers
+ * them later.
+ */
+test("should not deliver an abandoned request after its connection heals", async () => {
   let arrivedBytes = 0;
   const server = net.createServer((socket) => {
     socket.on("error", () => {});
--- a/packages/standins/src/proofs/link_scenarios.ts
+++ b/packages/standins/src/proofs/link_scenarios.ts
@@ -1,4 +1,4 @@
-/** Proofs about open connections that go silent while new ones work. */
+/** Proofs about open connections that go silent while new connections work. */
 import { pause } from "./proof_cluster.ts";
 import { KEYS } from "./proof_plan.ts";
 import { INVARIANTS, type ProofScenario } from "./proof_scenario.ts";
@@ -6,10 +6,10 @@
 const SETTLE_MS = 500;
 
 /** Every scenario of this file. */
-export const LINK_SCENARIOS: readonly ProofScenario[] = [
+export const CONNECTION_SCENARIOS: readonly ProofScenario[] = [
   {
-    // Something between the entry VMs and the servers has lost track of every
-    // open connection; a request over one of them gets no answer at all.
+    // A middlebox between the entry VMs and the servers drops the state of
+    // every open connection: a request over one of them gets no answer.
     name: "server-links-silent",
     invariant: INVARIANTS.ownAnswer,
     fault: "every open connection to every server goes silent",
@@ -42,7 +42,7 @@
     },
   },
   {
-    // The entry VMs lose the store one by one: each has another view of it.
+    // Only the leader loses the store, so entry VMs disagree on its state.
     name: "store-cut-from-one",
     invariant: INVARIANTS.served,
     fault: "one entry VM cut off from the store, a server killed",
@@ -50,17 +50,17 @@
     async run(cluster) {
       cluster.startLoad();
       await cluster.untilAnswered(200);
-      const holder = await cluster.dutyHolder();
-      await cluster.relays.setFaults(`store/${holder}`, { mode: "mute" });
+      const leader = await cluster.leader();
+      await cluster.relays.setFaults(`store/${leader}`, { mode: "mute" });
       await cluster.killServer(await cluster.ownerOf(KEYS[0]!));
       await cluster.untilServed();
-      await cluster.relays.setFaults(`store/${holder}`, { mode: "pass" });
+      await cluster.relays.setFaults(`store/${leader}`, { mode: "pass" });
       await cluster.untilServed();
       return [];
     },
   },
   {
-    // Answers late, for another's request, cut in the middle or never.
+    // Answers are late, carry another request's id, are truncated or lost.
     name: "answers-mangled",
     invariant: INVARIANTS.ownAnswer,
     fault: "answers late, with another's id, cut short, or lost",
--- a/packages/standins/src/proofs/ownership_scenarios.ts
+++ b/packages/standins/src/proofs/ownership_scenarios.ts
@@ -1,22 +1,25 @@
-/** Proofs that a key has one owner and that assignments survive. */
+/** Proofs that a key has one owner and that assignments survive failures. */
 import { pause, type ProofCluster } from "./proof_cluster.ts";
 import { KEYS } from "./proof_plan.ts";
 import { INVARIANTS, type ProofScenario } from "./proof_scenario.ts";
 
-/** Longer than evidence, lease and detection together. */
+/** Longer than confirmation, lease and failure detection together. */
 const PAST_LEASE_MS = 5000;
-/** Time for what was held up to do its harm. */
+/** Time for delayed requests and lease commands to arrive and do harm. */
 const AFTERMATH_MS = 1500;
 
-async function ownerUnderLoad(cluster: ProofCluster): Promise<string> {
+async function startLoadAndFindOwner(cluster: ProofCluster): Promise<string> {
   cluster.startLoad();
   await cluster.untilAnswered(200);
   return await cluster.ownerOf(KEYS[0]!);
 }
 
-/** Freezes a server past its lease, waits for its keys, and wakes it. */
+/**
+ * Freezes a server past its lease, waits until its keys are served by others,
+ * and wakes it.
+ */
 async function freezeOwner(cluster: ProofCluster): Promise<string[]> {
-  const owner = await ownerUnderLoad(cluster);
+  const owner = await startLoadAndFindOwner(cluster);
   const program = cluster.server(owner);
   program.freeze();
   await pause(PAST_LEASE_MS);
@@ -27,12 +30,12 @@
   return [];
 }
 
-/** Freezes an entry VM, has keys move meanwhile, and wakes it. */
+/** Freezes an entry VM, moves keys meanwhile, and wakes it. */
 async function freezeEntry(
   cluster: ProofCluster,
   choose: () => string | Promise<string>,
 ): Promise<string[]> {
-  const owner = await ownerUnderLoad(cluster);
+  const owner = await startLoadAndFindOwner(cluster);
   const vm = await choose();
   cluster.downVms.add(vm);
   cluster.entry(vm).freeze();
@@ -47,12 +50,12 @@
   return after.revision < before.revision ? ["revision went back"] : [];
 }
 
-/** Cuts a server off past its lease, one or both ways, and lets it back. */
-async function cutOwner(
+/** Partitions a server past its lease, one or both ways, then heals it. */
+async function cutOffOwner(
   cluster: ProofCluster,
   mode: "mute" | "mute-to-client",
 ): Promise<string[]> {
-  const link = `server/${await ownerUnderLoad(cluster)}`;
+  const link = `server/${await startLoadAndFindOwner(cluster)}`;
   await cluster.relays.setFaults(link, { mode });
   await pause(PAST_LEASE_MS);
   await cluster.untilServed();
@@ -62,24 +65,25 @@
   return [];
 }
 
-const FROZEN: readonly ProofScenario[] = [
+const ONE_OWNER_SCENARIOS: readonly ProofScenario[] = [
   {
-    // A host machine stops the server's process. Its keys go to another, and
-    // it wakes with requests in its buffers, still believing it owns them.
+    // The host pauses the server's process. Its keys move to another server;
+    // it wakes with requests in its buffers and still believes that it owns
+    // the keys.
     name: "owner-frozen",
     invariant: INVARIANTS.oneOwner,
     fault: "owner frozen past its lease, woken",
     run: freezeOwner,
   },
   {
-    // The same for a server that checks no fences: the entry VMs alone keep
-    // work for a moved key away from it.
+    // A server that checks no fences is killed and restarted: only the entry
+    // VMs keep work for a moved key away from it.
     name: "unfenced-owner-lost",
     invariant: INVARIANTS.oneOwner,
     fault: "owner that checks no fences killed, started anew",
     cluster: { checksFences: false },
     async run(cluster) {
-      const owner = await ownerUnderLoad(cluster);
+      const owner = await startLoadAndFindOwner(cluster);
       await cluster.killServer(owner);
       await cluster.untilServed();
       await cluster.deployment.restartServer(owner);
@@ -89,8 +93,8 @@
     },
   },
   {
-    // The same, frozen: requests lie in its buffers when it wakes, and it
-    // looks at nothing but their deadline.
+    // A server that checks no fences is frozen: requests are in its buffers
+    // when it wakes, and it checks only their deadlines.
     name: "unfenced-owner-frozen",
     invariant: INVARIANTS.oneOwner,
     fault: "owner that checks no fences frozen past its lease, woken",
@@ -98,8 +102,8 @@
     run: freezeOwner,
   },
   {
-    // An entry VM is stopped with orders and requests in hand. Meanwhile the
-    // keys of a server move; then it wakes and goes on with what it knew.
+    // An entry VM is paused with lease commands and requests in progress. The
+    // keys of a server move meanwhile; then the VM resumes with stale state.
     name: "entry-frozen",
     invariant: INVARIANTS.oneOwner,
     fault: "entry VM frozen while keys move, woken",
@@ -109,54 +113,55 @@
     name: "duty-frozen",
     invariant: INVARIANTS.oneOwner,
     fault: "holder of control duty frozen while keys move, woken",
-    run: (cluster) => freezeEntry(cluster, () => cluster.dutyHolder()),
+    run: (cluster) => freezeEntry(cluster, () => cluster.leader()),
   },
   {
     name: "duty-killed-in-move",
     invariant: INVARIANTS.oneOwner,
     fault: "server lost, then the holder of control duty amid the move",
     async run(cluster) {
-      const owner = await ownerUnderLoad(cluster);
-      const holder = await cluster.dutyHolder();
+      const owner = await startLoadAndFindOwner(cluster);
+      const leader = await cluster.leader();
       await cluster.killServer(owner);
-      // The move is under way as soon as a slice is vacating.
+      // The handover is in progress as soon as a slice is vacating.
       await cluster.until("a vacating slice", async () => {
         const { slices } = await cluster.assignment();
         return slices.some((slice) => slice.state === "vacating");
       });
-      await cluster.killEntry(holder);
+      await cluster.killEntry(leader);
       await cluster.untilServed();
-      await cluster.restartEntry(holder);
+      await cluster.restartEntry(leader);
       await cluster.untilServed();
       return [];
     },
   },
   {
-    // Something between the entry VMs and the server loses everything both
-    // ways for a while. The server runs on, believing it owns its keys.
+    // The network between the entry VMs and the server drops everything both
+    // ways for a while. The server keeps running and believes that it owns its
+    // keys.
     name: "owner-cut-off",
     invariant: INVARIANTS.oneOwner,
     fault: "owner cut off past its lease, then reachable",
     cluster: { relaysServers: true },
-    run: (cluster) => cutOwner(cluster, "mute"),
+    run: (cluster) => cutOffOwner(cluster, "mute"),
   },
   {
-    // Orders and requests arrive, answers do not: a one-way cut.
+    // One-way partition: lease commands and requests arrive, answers don't.
     name: "owner-one-way",
     invariant: INVARIANTS.oneOwner,
     fault: "answers of the owner lost for a while, orders arrive",
     cluster: { relaysServers: true },
-    run: (cluster) => cutOwner(cluster, "mute-to-client"),
+    run: (cluster) => cutOffOwner(cluster, "mute-to-client"),
   },
 ];
 
-const SURVIVAL: readonly ProofScenario[] = [
+const RECOVERY_SCENARIOS: readonly ProofScenario[] = [
   {
     name: "all-entries-killed",
     invariant: INVARIANTS.assignmentKept,
     fault: "every entry VM killed at once, restarted empty",
     async run(cluster) {
-      await ownerUnderLoad(cluster);
+      await startLoadAndFindOwner(cluster);
       const before = await cluster.assignment();
       const vms = [...cluster.vms];
       await Promise.all(vms.map((vm) => cluster.killEntry(vm)));
@@ -167,13 +172,13 @@
     },
   },
   {
-    // Each second write of the store takes effect without its reply, while a
-    // server leaves and returns: writers have to read back what they did.
+    // Half of the store's writes take effect without a reply while a server
+    // fails and returns: writers must read back whether their write succeeded.
     name: "store-replies-lost",
     invariant: INVARIANTS.assignmentKept,
     fault: "half of the store's write replies lost while keys move",
     async run(cluster) {
-      const owner = await ownerUnderLoad(cluster);
+      const owner = await startLoadAndFindOwner(cluster);
       await cluster.deployment.setFaults("store", {
         loseReplyProbability: 0.5,
         seed: 7,
@@ -193,7 +198,7 @@
     invariant: INVARIANTS.served,
     fault: "owner killed, started anew",
     async run(cluster) {
-      const owner = await ownerUnderLoad(cluster);
+      const owner = await startLoadAndFindOwner(cluster);
       await cluster.killServer(owner);
       await cluster.untilServed();
       await cluster.deployment.restartServer(owner);
@@ -206,6 +211,6 @@
 
 /** Every scenario of this file. */
 export const OWNERSHIP_SCENARIOS: readonly ProofScenario[] = [
-  ...FROZEN,
-  ...SURVIVAL,
+  ...ONE_OWNER_SCENARIOS,
+  ...RECOVERY_SCENARIOS,
 ];
--- a/packages/standins/src/proofs/proof_cluster.ts
+++ b/packages/standins/src/proofs/proof_cluster.ts
@@ -1,7 +1,7 @@
 /**
- * A deployment of real processes under the load of callers, for the proofs:
- * journals in files, relays before the servers and before the store, and
- * waits for conditions with a deadline.
+ * A deployment of real processes under caller load for the failure proofs. It
+ * keeps the servers' journals in files, can place relays in front of servers
+ * and store, and waits for conditions with a deadline.
  */
 import * as contracts from "@guavatide/contracts";
 import { leaderRecordSchema } from "@guavatide/decisions/ownership/leader_lease";
@@ -19,16 +19,16 @@
 import type { CallerRecord } from "./caller_record.ts";
 import * as plan from "./proof_plan.ts";
 import { Relays } from "./relays.ts";
-import type { Evidence } from "./violations.ts";
+import type { Observations } from "./violations.ts";
 
-const LOOK_EVERY_MS = 25;
+const POLL_INTERVAL_MS = 25;
 const DEADLINE_MS = 30_000;
 
-/** One deployment, its load and its records. */
+/** One deployment, its caller load and the callers' records. */
 export class ProofCluster {
   readonly deployment: LocalDeployment;
   readonly relays: Relays;
-  /** Entry VMs that callers can't reach now; the balancer leaves them out. */
+  /** Entry VMs that are out of service; callers send them nothing. */
   readonly downVms = new Set<string>();
   readonly #journalFolder: string;
   readonly #loads: CallerLoad[] = [];
@@ -87,7 +87,7 @@
       .filter((vm) => !this.downVms.has(vm));
   }
 
-  /** Where operators reach an entry VM. */
+  /** Base URL of an entry VM's admin API. */
   administrationUrl(vm: string): string {
     const { ports } = this.deployment.entries.get(vm)!;
     return processes.originOf(ports.administration);
@@ -103,18 +103,18 @@
     return this.deployment.servers.get(id)!.program;
   }
 
-  /** Kills an entry VM; callers go elsewhere from now on. */
+  /** Kills an entry VM; callers send only to the others from now on. */
   async killEntry(vm: string): Promise<void> {
     this.downVms.add(vm);
     this.entry(vm).kill("SIGKILL");
     await this.entry(vm).ended();
   }
 
-  /** Starts a lost entry VM anew, with nothing kept. */
+  /** Restarts a killed entry VM without any of its former state. */
   async restartEntry(vm: string): Promise<void> {
     const { zone } = this.deployment.entries.get(vm)!;
     await this.deployment.startEntry(vm, zone);
-    // The balancer sends no callers before the VM says that it is ready.
+    // A load balancer sends no callers before the VM reports that it is ready.
     const url = `${this.deployment.metricsUrl(vm)}/readyz`;
     await this.until(`${vm} ready`, async () => (await fetch(url)).ok);
     this.downVms.delete(vm);
@@ -126,7 +126,7 @@
     await this.server(id).ended();
   }
 
-  /** Every object in the store that parses by a schema. */
+  /** Every stored object that the schema accepts. */
   async storedObjects<T>(schema: z.ZodType<T>): Promise<T[]> {
     const url = `${this.deployment.storeUrl}/objects?prefix=`;
     const listed = await processes.getJson(url) as {
@@ -146,16 +146,16 @@
     return keyed;
   }
 
-  /** The entry VM that holds control duty by the store's word. */
-  async dutyHolder(): Promise<string> {
+  /** Entry VM that holds the leader lease according to the store. */
+  async leader(): Promise<string> {
     const [record] = await this.storedObjects(leaderRecordSchema);
-    if (record === undefined) throw new Error("Nobody holds control duty yet");
+    if (record === undefined) throw new Error("No leader lease is held yet");
     return record.holder;
   }
 
   /**
-   * Waits until the server starts no more work while callers go on, and
-   * returns how many requests it has started by then.
+   * Waits until the server starts no request while callers receive `answers`
+   * answers. Returns how many requests it has started in all.
    */
   async untilNoNewWork(server: string, answers = 150): Promise<number> {
     let before = -1;
@@ -167,7 +167,7 @@
     return before;
   }
 
-  /** Makes a server refuse new work by its own word. */
+  /** Makes a server drain by itself: it refuses new work. */
   async drainServer(id: string): Promise<void> {
     const { port } = this.deployment.servers.get(id)!;
     const url = `${processes.originOf(port)}/control/drain`;
@@ -180,7 +180,7 @@
       .filter((entry) => entry.step === "start").length;
   }
 
-  /** Starts callers; they go on until {@link ProofCluster.finish}. */
+  /** Starts callers, which run until {@link ProofCluster.finish}. */
   startLoad(options: Partial<CallerLoadOptions> = {}): CallerLoad {
     const load = new CallerLoad({
       service: plan.KEYED,
@@ -204,26 +204,26 @@
     ];
   }
 
-  /** Every server's journal. */
+  /** Journal entries of all servers. */
   journal(): JournalEntry[] {
     return [...this.deployment.servers.keys()]
       .flatMap((server) => this.journalOf(server));
   }
 
-  /** One server's journal, of all its runs. */
+  /** Journal entries of one server, over all its restarts. */
   journalOf(server: string): JournalEntry[] {
     return readJournalFile(this.deployment.journalFileOf(server)!);
   }
 
-  /** Ends the loads and returns what is to be judged. */
-  async finish(): Promise<Evidence> {
+  /** Stops the loads and returns the journals and records to check. */
+  async finish(): Promise<Observations> {
     for (const load of this.#loads.splice(0)) {
       this.#records.push(...await load.stop());
     }
     return { journal: this.journal(), records: this.#records };
   }
 
-  /** Ends every process and removes the journals. */
+  /** Stops every process and removes the journals. */
   async stop(): Promise<void> {
     await this.finish();
     for (const { program } of this.deployment.entries.values()) program.wake();
@@ -233,8 +233,11 @@
     fs.rmSync(this.#journalFolder, { recursive: true, force: true });
   }
 
-  /** Asks for a key through an entry VM; the answering server, or none. */
-  async ask(vm: string, key: string): Promise<string | undefined> {
+  /**
+   * Sends a request for a key through an entry VM. Returns the server that
+   * answered, or undefined if none did.
+   */
+  async probeKey(vm: string, key: string): Promise<string | undefined> {
     const url = `${this.deployment.callerUrl(vm)}/s/${plan.KEYED}/probe`;
     try {
       const response = await fetch(url, {
@@ -257,7 +260,7 @@
   async ownerOf(key: string): Promise<string> {
     let owner: string | undefined;
     await this.until(`owner of ${key}`, async () => {
-      owner = await this.ask(this.vms[0]!, key);
+      owner = await this.probeKey(this.vms[0]!, key);
       return owner !== undefined;
     });
     return owner!;
@@ -283,14 +286,14 @@
         keys.map((key) =>
           this.until(
             `key ${key} served through ${vm}`,
-            async () => await this.ask(vm, key) !== undefined,
+            async () => await this.probeKey(vm, key) !== undefined,
           )
         )
       ),
     );
   }
 
-  /** Waits until a condition holds. Errors: rejects after the deadline. */
+  /** Polls until a condition holds. Errors: rejects after `deadlineMs`. */
   async until(
     what: string,
     holds: () => Promise<boolean> | boolean,
@@ -301,11 +304,11 @@
       if (performance.now() > endMs) {
         throw new Error(`Not seen within ${deadlineMs} ms: ${what}`);
       }
-      await pause(LOOK_EVERY_MS);
+      await pause(POLL_INTERVAL_MS);
     }
   }
 
-  /** Waits until the load has had this many more answers. */
+  /** Waits until callers have received `count` more answers. */
   async untilAnswered(count: number): Promise<void> {
     const before = this.#answered();
     await this.until(
@@ -320,7 +323,7 @@
   }
 }
 
-/** Waits; only to let a fault last, never to judge. */
+/** Waits so that a fault lasts; no check may depend on it. */
 export function pause(ms: number): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, ms));
 }
--- a/packages/standins/src/proofs/proof_plan.ts
+++ b/packages/standins/src/proofs/proof_plan.ts
@@ -1,4 +1,4 @@
-/** What the deployments of the proofs consist of. */
+/** Deployment plan that the failure proofs use. */
 import * as crypto from "node:crypto";
 import type { DeploymentPlan } from "../deployment/deployment_plan.ts";
 
@@ -6,28 +6,28 @@
 export const KEYED = "availability";
 /** The unkeyed service of every proof. */
 export const UNKEYED = "reservations";
-/** Keys that the callers use. */
+/** Keys that the callers send. */
 export const KEYS: readonly string[] = Array.from(
   { length: 24 },
   (_, index) => `booth-${index + 1}`,
 );
 
-/** Bearer token with all rights at each entry VM's administration. */
+/** Bearer token with all rights for the admin API of each entry VM. */
 export const OPERATOR_TOKEN = "operator-of-the-proofs";
 
-/** How the deployment of a proof differs from the usual one. */
+/** Changes of one proof to the default deployment. */
 export interface ProofClusterOptions {
   readonly entryVms?: number;
   readonly keyedServers?: number;
   readonly checksFences?: boolean;
   readonly serviceTimeMs?: number;
-  /** Whether entry VMs reach servers through relays. */
+  /** Whether entry VMs connect to servers through fault-injecting relays. */
   readonly relaysServers?: boolean;
-  /** Whether entry VMs reach the store through relays. */
+  /** Whether entry VMs connect to the store through such relays. */
   readonly relaysStore?: boolean;
 }
 
-/** Access of the operator whose token is {@link OPERATOR_TOKEN}. */
+/** Admin API access of the operator whose token is {@link OPERATOR_TOKEN}. */
 export function operatorAccess(): object {
   return {
     tokenSha256: crypto.createHash("sha256").update(OPERATOR_TOKEN)
@@ -38,7 +38,7 @@
   };
 }
 
-/** The deployment of a proof. */
+/** The deployment plan of a proof. */
 export function planOf(options: ProofClusterOptions): DeploymentPlan {
   const serviceTimeMs = {
     kind: "fixed",
--- a/packages/standins/src/proofs/proof_runner.ts
+++ b/packages/standins/src/proofs/proof_runner.ts
@@ -1,17 +1,17 @@
-/** Runs scenarios, each in a deployment of its own, and tells the verdicts. */
+/** Runs scenarios, each in its own deployment, and returns the results. */
 import { ProofCluster } from "./proof_cluster.ts";
 import type { ProofScenario } from "./proof_scenario.ts";
 import { countViolations } from "./violations.ts";
 
-/** What one run of a scenario showed. */
+/** Result of one run of a scenario. */
 export interface ProofRun {
   readonly scenario: ProofScenario;
   readonly requests: number;
   /** Answered requests among them. */
   readonly answered: number;
-  /** Each with the name of what was violated. */
+  /** Each starts with the kind of violation. */
   readonly violations: readonly string[];
-  /** Set when the run did not come to its end. */
+  /** Error that ended the run early; undefined when it completed. */
   readonly failure: string | undefined;
 }
 
@@ -29,11 +29,11 @@
     } catch (error) {
       failure = String(error);
     }
-    const evidence = await cluster.finish();
-    requests = evidence.records.length;
-    answered = evidence.records
+    const observations = await cluster.finish();
+    requests = observations.records.length;
+    answered = observations.records
       .filter((record) => record.outcome === "answered").length;
-    for (const [kind, found] of Object.entries(countViolations(evidence))) {
+    for (const [kind, found] of Object.entries(countViolations(observations))) {
       for (const example of found) violations.push(`${kind}: ${example}`);
     }
   } catch (error) {
@@ -47,28 +47,28 @@
 /** Options of {@link runScenarios}. */
 export interface RunScenariosOptions {
   readonly runs: number;
-  /** Deployments that run at the same time. */
-  readonly atOnce: number;
+  /** Number of deployments that run at the same time. */
+  readonly concurrency: number;
   readonly onRun: (run: ProofRun) => void;
 }
 
-/** Runs every scenario some times. */
+/** Runs every scenario `runs` times. */
 export async function runScenarios(
   scenarios: readonly ProofScenario[],
   options: RunScenariosOptions,
 ): Promise<ProofRun[]> {
-  const waiting = scenarios.flatMap((scenario) =>
+  const pending = scenarios.flatMap((scenario) =>
     Array.from({ length: options.runs }, () => scenario)
   );
   const done: ProofRun[] = [];
   async function work(): Promise<void> {
-    for (let next = waiting.shift(); next !== undefined;) {
+    for (let next = pending.shift(); next !== undefined;) {
       const run = await runScenario(next);
       done.push(run);
       options.onRun(run);
-      next = waiting.shift();
+      next = pending.shift();
     }
   }
-  await Promise.all(Array.from({ length: options.atOnce }, work));
+  await Promise.all(Array.from({ length: options.concurrency }, work));
   return done;
 }
--- a/packages/standins/src/proofs/proof_scenario.ts
+++ b/packages/standins/src/proofs/proof_scenario.ts
@@ -1,22 +1,23 @@
-/** One proof: an invariant, a fault that tries it, and how it is brought on. */
+/** One failure proof: an invariant and the fault that is injected to test it. */
 import type { ProofCluster } from "./proof_cluster.ts";
 import type { ProofClusterOptions } from "./proof_plan.ts";
 
 /** A scenario of the failure proofs. */
 export interface ProofScenario {
   readonly name: string;
-  /** Line of the brief under "What must always hold". */
+  /** One of {@link INVARIANTS}. */
   readonly invariant: string;
   readonly fault: string;
   readonly cluster?: ProofClusterOptions;
   /**
-   * Brings the fault about under load. Returns violations besides those that
-   * journals and records show; rejects when something awaited never came.
+   * Injects the fault under load. Returns violations that the journals and
+   * records don't show. Errors: rejects when an awaited condition isn't met
+   * before its deadline.
    */
   run(cluster: ProofCluster): Promise<readonly string[]>;
 }
 
-/** Invariants by short names, as the table prints them. */
+/** Invariants by short name; the table prints the texts. */
 export const INVARIANTS = {
   oneOwner: "one owner of a key at any moment",
   assignmentKept: "an acknowledged assignment survives",
--- a/packages/standins/src/proofs/proofs_test.ts
+++ b/packages/standins/src/proofs/proofs_test.ts
@@ -1,7 +1,7 @@
 /**
- * A few of the failure proofs, with real processes, as tests. The whole table
- * is `npm run proofs`. Verdicts come from journals and records alone; a wait
- * has a deadline far above what it waits for.
+ * A few of the failure proofs, with real processes, as tests; `npm run proofs`
+ * runs all. Results depend on journals and records alone, and each wait has a
+ * deadline far longer than what it waits for.
  */
 import { expect } from "earl";
 import { test } from "node:test";
--- a/packages/standins/src/proofs/relays.ts
+++ b/packages/standins/src/proofs/relays.ts
@@ -1,8 +1,8 @@
-/** The relay process of a proof: one link for each port that is relayed. */
+/** The relay process of a proof, with one relayed link for each target port. */
 import * as processes from "../processes/mod.ts";
 import type { RelayFaults } from "../relay/relayed_link.ts";
 
-/** Links by name, opened when first asked for. */
+/** Relayed links by name, opened on first use. */
 export class Relays {
   readonly #program: processes.ChildProgram;
   readonly #links = new Map<string, number>();
@@ -16,7 +16,7 @@
     return new Relays(await processes.startStandIn("relay/relay_main", {}));
   }
 
-  /** The port of the link with this name, which leads to `targetPort`. */
+  /** Local port of the named link to `targetPort`. */
   async portOf(name: string, targetPort: number): Promise<number> {
     const known = this.#links.get(name);
     if (known !== undefined) return known;
@@ -27,7 +27,7 @@
     return opened.port;
   }
 
-  /** Sets the faults of a link. */
+  /** Sets the faults of a link. Errors: throws if the link isn't open. */
   async setFaults(name: string, faults: RelayFaults): Promise<void> {
     const port = this.#links.get(name);
     if (port === undefined) throw new Error(`No link "${name}"; open it first`);
--- a/packages/standins/src/proofs/shutdown_scenarios.ts
+++ b/packages/standins/src/proofs/shutdown_scenarios.ts
@@ -1,21 +1,21 @@
-/** Proofs about servers that leave and about graceful shutdowns. */
+/** Proofs about draining servers and graceful shutdowns. */
 import type { CallerRecord } from "./caller_record.ts";
 import { type ProofCluster } from "./proof_cluster.ts";
 import { KEYS, UNKEYED } from "./proof_plan.ts";
 import { INVARIANTS, type ProofScenario } from "./proof_scenario.ts";
 
 const STOP_TIMEOUT_MS = 25_000;
-/** Long enough that some requests are always in flight. */
+/** Long enough to have some requests in flight at all times. */
 const SLOW_SERVICE = { serviceTimeMs: 40 };
 
-async function load(cluster: ProofCluster): Promise<void> {
+async function startLoads(cluster: ProofCluster): Promise<void> {
   cluster.startLoad();
   cluster.startLoad({ service: UNKEYED, workers: 3 });
   await cluster.untilAnswered(200);
 }
 
-/** Requests that a server worked on and whose caller got no answer. */
-async function cutOffAt(
+/** Requests that a server started and whose caller got no answer. */
+async function cutOffRequestsAt(
   cluster: ProofCluster,
   server: string,
 ): Promise<string[]> {
@@ -41,7 +41,7 @@
     invariant: INVARIANTS.leaving,
     fault: `a ${keyed ? "keyed" : "unkeyed"} server listed as leaving`,
     async run(cluster) {
-      await load(cluster);
+      await startLoads(cluster);
       const server = keyed ? await cluster.ownerOf(KEYS[0]!) : `${UNKEYED}-1`;
       await cluster.deployment.listServer(server, "leaving");
       const before = await cluster.untilNoNewWork(server);
@@ -52,12 +52,13 @@
     },
   })),
   {
-    // The list goes on naming the server as live; its own word says more.
+    // The server list still shows the server as live; the server's own report
+    // that it drains must win.
     name: "server-drains",
     invariant: INVARIANTS.leaving,
     fault: "a server that drains by its own word, listed as live",
     async run(cluster) {
-      await load(cluster);
+      await startLoads(cluster);
       const server = await cluster.ownerOf(KEYS[0]!);
       await cluster.drainServer(server);
       const before = await cluster.untilNoNewWork(server);
@@ -72,11 +73,11 @@
     fault: `a ${keyed ? "keyed" : "unkeyed"} server shut down under load`,
     cluster: SLOW_SERVICE,
     async run(cluster) {
-      await load(cluster);
+      await startLoads(cluster);
       const server = keyed ? await cluster.ownerOf(KEYS[0]!) : `${UNKEYED}-1`;
       await cluster.server(server).stop(STOP_TIMEOUT_MS);
       await cluster.untilServed();
-      return await cutOffAt(cluster, server);
+      return await cutOffRequestsAt(cluster, server);
     },
   })),
   {
@@ -85,7 +86,7 @@
     fault: "an entry VM shut down under load",
     cluster: SLOW_SERVICE,
     async run(cluster) {
-      await load(cluster);
+      await startLoads(cluster);
       const vm = cluster.vms[0]!;
       const url = cluster.deployment.callerUrl(vm);
       const end = await cluster.entry(vm).stop(STOP_TIMEOUT_MS);
--- a/packages/standins/src/proofs/silent_peer_test.ts
+++ b/packages/standins/src/proofs/silent_peer_test.ts
@@ -9,14 +9,14 @@
 const SECRET = "secret-of-the-peers";
 
 for (const mode of ["silent", "cut"] as const) {
-  test(`peers: should leave a connection that went ${mode}`, async () => {
-    // Something between two entry VMs has lost track of their connection. It
-    // looks open at both ends; heartbeats over it get no answer. If it were
-    // kept, each VM would take the other for lost although both run.
+  test(`peers: should replace a connection that went ${mode}`, async () => {
+    // A middlebox between two entry VMs drops the state of their connection. It
+    // looks open at both ends, but heartbeats over it get no answer. If it were
+    // kept, each VM would consider the other failed although both run.
     const lifeCycle = new LifeCycle();
-    const door = new PeerDoor({ host: "127.0.0.1", port: 0, secret: SECRET });
-    door.register("echo", z.string(), (text) => text);
-    const port = await door.listen(lifeCycle);
+    const server = new PeerDoor({ host: "127.0.0.1", port: 0, secret: SECRET });
+    server.register("echo", z.string(), (text) => text);
+    const port = await server.listen(lifeCycle);
     const relay = new RelayedLink({ host: "127.0.0.1", port });
     const relayPort = await relay.listen(0);
     const link = new PeerLink(
@@ -28,8 +28,8 @@
     try {
       expect((await call(10_000)).isOk()).toEqual(true);
       relay.setFaults({ mode });
-      // Whether the call meets the old connection is undici's choice; when it
-      // does, it ends by its deadline and the connection is gone.
+      // undici may send this call over the old connection; then the call ends
+      // at its deadline and closes the connection.
       await call(60);
       relay.setFaults({ mode: "pass" });
       await call(60);
--- a/packages/standins/src/proofs/store_scenarios.ts
+++ b/packages/standins/src/proofs/store_scenarios.ts
@@ -1,12 +1,12 @@
-/** Proofs that keys stay served while the platform's store is away. */
+/** Proofs that keys stay served while the platform's store is unavailable. */
 import { pause, type ProofCluster } from "./proof_cluster.ts";
 import { KEYS } from "./proof_plan.ts";
 import { INVARIANTS, type ProofScenario } from "./proof_scenario.ts";
 
-/** Many times evidence and lease together. */
+/** Many times longer than confirmation and lease together. */
 const OUTAGE_MS = 8000;
 
-async function loadedWithout(
+async function startLoadThenOutage(
   cluster: ProofCluster,
   outage: "hang" | "refuse",
 ): Promise<void> {
@@ -16,8 +16,8 @@
   await pause(OUTAGE_MS / 2);
 }
 
-/** Lets the outage last, and sees that these keys are served in it. */
-async function servedInOutage(
+/** Lets the outage last, then waits until these keys are served during it. */
+async function waitUntilServedInOutage(
   cluster: ProofCluster,
   keys: readonly string[] = KEYS,
 ): Promise<void> {
@@ -25,7 +25,7 @@
   await cluster.untilServed(cluster.vms, keys);
 }
 
-async function storeReturns(cluster: ProofCluster): Promise<void> {
+async function restoreStore(cluster: ProofCluster): Promise<void> {
   await cluster.deployment.setFaults("store", { outage: "none" });
   await cluster.untilServed();
 }
@@ -37,9 +37,9 @@
     invariant: INVARIANTS.served,
     fault: `store down (${outage}) for ${OUTAGE_MS} ms`,
     async run(cluster) {
-      await loadedWithout(cluster, outage);
-      await servedInOutage(cluster);
-      await storeReturns(cluster);
+      await startLoadThenOutage(cluster, outage);
+      await waitUntilServedInOutage(cluster);
+      await restoreStore(cluster);
       return [];
     },
   })),
@@ -48,12 +48,12 @@
     invariant: INVARIANTS.served,
     fault: "store down, an entry VM killed meanwhile",
     async run(cluster) {
-      await loadedWithout(cluster, "hang");
-      const holder = await holderByMemory(cluster);
-      const vm = cluster.vms.find((name) => name !== holder)!;
+      await startLoadThenOutage(cluster, "hang");
+      const leader = await leaderOrUndefined(cluster);
+      const vm = cluster.vms.find((name) => name !== leader)!;
       await cluster.killEntry(vm);
-      await servedInOutage(cluster);
-      await storeReturns(cluster);
+      await waitUntilServedInOutage(cluster);
+      await restoreStore(cluster);
       await cluster.restartEntry(vm);
       await cluster.untilServed();
       return [];
@@ -64,19 +64,19 @@
     invariant: INVARIANTS.served,
     fault: "store down, the holder of control duty killed meanwhile",
     async run(cluster) {
-      const holder = await cluster.dutyHolder();
-      await loadedWithout(cluster, "hang");
-      await cluster.killEntry(holder);
-      await servedInOutage(cluster);
-      await storeReturns(cluster);
-      await cluster.restartEntry(holder);
+      const leader = await cluster.leader();
+      await startLoadThenOutage(cluster, "hang");
+      await cluster.killEntry(leader);
+      await waitUntilServedInOutage(cluster);
+      await restoreStore(cluster);
+      await cluster.restartEntry(leader);
       await cluster.untilServed();
       return [];
     },
   },
   {
-    // The keys of the lost server wait for it or for the store; the keys of
-    // all others are served throughout.
+    // The keys of the killed server stay unserved until it or the store is
+    // back; the keys of all other servers are served throughout.
     name: "store-down-server-lost",
     invariant: INVARIANTS.served,
     fault: "store down, a server killed meanwhile: other servers' keys",
@@ -86,10 +86,10 @@
       const others = [...owners.entries()]
         .filter(([owner]) => owner !== lost)
         .flatMap(([, keys]) => keys);
-      await loadedWithout(cluster, "hang");
+      await startLoadThenOutage(cluster, "hang");
       await cluster.killServer(lost!);
-      await servedInOutage(cluster, others);
-      await storeReturns(cluster);
+      await waitUntilServedInOutage(cluster, others);
+      await restoreStore(cluster);
       return [];
     },
   },
@@ -107,8 +107,8 @@
     },
   },
   {
-    // A watch that goes silent shows no error. Entry VMs that wait for it
-    // alone would route by an old assignment for good.
+    // A watch that goes silent reports no error. Entry VMs that rely on it
+    // alone would route by a stale assignment forever.
     name: "watch-silent",
     invariant: INVARIANTS.served,
     fault: "the store's watch silent, a server killed meanwhile",
@@ -127,24 +127,27 @@
     fault: "store down, an entry VM restarted empty meanwhile",
     async run(cluster) {
       const before = await cluster.assignment();
-      await loadedWithout(cluster, "hang");
+      await startLoadThenOutage(cluster, "hang");
       const vm = cluster.vms[2]!;
       await cluster.killEntry(vm);
       await cluster.restartEntry(vm);
-      await servedInOutage(cluster);
-      await storeReturns(cluster);
+      await waitUntilServedInOutage(cluster);
+      await restoreStore(cluster);
       const after = await cluster.assignment();
       return after.revision < before.revision ? ["revision went back"] : [];
     },
   },
 ];
 
-/** The holder, or nobody when the store can't say. */
-async function holderByMemory(
+/**
+ * Ends the outage for one read of the store. Returns the leader, or undefined
+ * if the read fails, and starts the outage again.
+ */
+async function leaderOrUndefined(
   cluster: ProofCluster,
 ): Promise<string | undefined> {
   await cluster.deployment.setFaults("store", { outage: "none" });
-  const holder = await cluster.dutyHolder().catch(() => undefined);
+  const leader = await cluster.leader().catch(() => undefined);
   await cluster.deployment.setFaults("store", { outage: "hang" });
-  return holder;
+  return leader;
 }
--- a/packages/standins/src/proofs/time_to_serve.ts
+++ b/packages/standins/src/proofs/time_to_serve.ts
@@ -1,7 +1,7 @@
 /**
- * Measures how long the keys of a lost server are not served, and where that
- * time goes: until the loss is written, until the next owner is written, and
- * until a caller has the first answer.
+ * Measures how long the keys of a failed server are unavailable, split into
+ * the time until the failure is stored, until the next owner is stored, and
+ * until a caller receives the first answer.
  */
 import type * as contracts from "@guavatide/contracts";
 import { KeyHasher } from "@guavatide/decisions/ownership/key_hasher";
@@ -14,15 +14,15 @@
 import { KEYED } from "./proof_plan.ts";
 import { countViolations, totalOf } from "./violations.ts";
 
-/** How a server is lost. */
+/** How a server fails. */
 export type LossKind = "kill" | "freeze" | "cut";
 
-/** Time without service of one key. */
+/** Time during which one key was unavailable. */
 export interface KeyGap {
   readonly key: string;
-  /** From the loss to the first answer at a caller. */
+  /** From the failure to the first answer at a caller. */
   readonly totalMs: number;
-  /** From the loss to the write that takes the key from the lost server. */
+  /** From the failure to the write that takes the key off the failed server. */
   readonly detectMs: number;
   /** From then to the write that names the next owner. */
   readonly waitMs: number;
@@ -30,12 +30,12 @@
   readonly grantMs: number;
 }
 
-/** What a series of losses showed. */
+/** Results of a series of server failures. */
 export interface TimeToServe {
   readonly loss: LossKind;
   readonly losses: number;
   readonly gaps: readonly KeyGap[];
-  /** Losses after which some key was not served before the deadline. */
+  /** Failures after which some key wasn't served before the deadline. */
   readonly unserved: number;
   /** Violations of any kind during the series. */
   readonly violations: number;
@@ -45,7 +45,10 @@
 const CALLER_TIMEOUT_MS = 1000;
 const SETTLE_MS = 2500;
 
-/** Loses servers one after another in one deployment. */
+/**
+ * Makes servers of one deployment fail one after another, `losses` times.
+ * Errors: rejects if the deployment doesn't start.
+ */
 export async function measureTimeToServe(
   loss: LossKind,
   losses: number,
@@ -69,7 +72,12 @@
     });
     await cluster.untilAnswered(500);
     for (let number = 0; number < losses; number++) {
-      const found = await loseOne(cluster, { loss, observer, hasher, number });
+      const found = await measureOneLoss(cluster, {
+        loss,
+        observer,
+        hasher,
+        number,
+      });
       if (found === undefined) unserved++;
       else gaps.push(...found);
     }
@@ -82,36 +90,36 @@
   }
 }
 
-interface Loss {
+interface LossOptions {
   readonly loss: LossKind;
   readonly observer: AssignmentObserver;
   readonly hasher: KeyHasher;
   readonly number: number;
 }
 
-/** Undefined when a key was not served again before the deadline. */
-async function loseOne(
+/** Returns undefined if a key wasn't served again before the deadline. */
+async function measureOneLoss(
   cluster: ProofCluster,
-  loss: Loss,
+  loss: LossOptions,
 ): Promise<KeyGap[] | undefined> {
   const owners = [...await cluster.keysByOwner()];
   const [server, keys] = owners[loss.number % owners.length]!;
-  // Losses fall at any moment of the heartbeat's and the lease's rhythm.
+  // A random delay spreads failures over the heartbeat and lease intervals.
   await pause(Math.random() * SETTLE_MS / 5);
   const lostMs = monotonicMs();
-  await lose(cluster, server, loss.loss);
+  await injectLoss(cluster, server, loss.loss);
   const isServed = await cluster.untilServed(cluster.vms, keys)
     .then(() => true, () => false);
   const gaps = keys.flatMap((key) =>
     gapOf(cluster, { key, server, lostMs, ...loss }) ?? []
   );
-  await bringBack(cluster, server, loss.loss);
+  await restore(cluster, server, loss.loss);
   await pause(SETTLE_MS);
   await cluster.untilServed().catch(() => {});
   return isServed ? gaps : undefined;
 }
 
-async function lose(
+async function injectLoss(
   cluster: ProofCluster,
   server: string,
   loss: LossKind,
@@ -128,7 +136,7 @@
   }
 }
 
-async function bringBack(
+async function restore(
   cluster: ProofCluster,
   server: string,
   loss: LossKind,
@@ -145,17 +153,17 @@
   }
 }
 
-/** The gap of one key, or undefined if no caller asked for it since. */
+/** Unavailability of one key; undefined if no caller got an answer since. */
 function gapOf(
   cluster: ProofCluster,
-  options: Loss & {
+  options: LossOptions & {
     readonly key: string;
     readonly server: string;
     readonly lostMs: number;
   },
 ): KeyGap | undefined {
   const { key, server, lostMs, observer, hasher } = options;
-  const firstMs = cluster.records
+  const firstAnswerMs = cluster.records
     .filter((record) => record.key === key && record.outcome === "answered")
     .filter((record) => record.endMs > lostMs && record.server !== server)
     .reduce((first, record) => Math.min(first, record.endMs), Infinity);
@@ -165,19 +173,21 @@
     sliceOf(seen, hash).server !== server ||
     sliceOf(seen, hash).state === "vacating"
   );
-  const given = since.find((seen) =>
+  const granted = since.find((seen) =>
     sliceOf(seen, hash).state === "owned" &&
     sliceOf(seen, hash).server !== server
   );
-  if (firstMs === Infinity || taken === undefined || given === undefined) {
+  if (
+    firstAnswerMs === Infinity || taken === undefined || granted === undefined
+  ) {
     return undefined;
   }
   return {
     key,
-    totalMs: firstMs - lostMs,
+    totalMs: firstAnswerMs - lostMs,
     detectMs: taken.atMs - lostMs,
-    waitMs: given.atMs - taken.atMs,
-    grantMs: firstMs - given.atMs,
+    waitMs: granted.atMs - taken.atMs,
+    grantMs: firstAnswerMs - granted.atMs,
   };
 }
 
--- a/packages/standins/src/proofs/time_to_serve_main.ts
+++ b/packages/standins/src/proofs/time_to_serve_main.ts
@@ -1,6 +1,6 @@
 /**
- * Prints percentiles of the time until a lost server's keys are served again.
- * Optional arguments: losses of each kind, and one kind alone.
+ * Prints percentiles of the time until a failed server's keys are served again.
+ * Optional arguments: number of failures of each kind, and one kind to run.
  */
 import * as hdr from "hdr-histogram-js";
 import {
@@ -32,11 +32,11 @@
   "violations",
 ];
 
-function say(line: string): void {
+function printLine(line: string): void {
   process.stdout.write(`${line}\n`);
 }
 
-function sayRows(measured: TimeToServe): void {
+function printRows(measured: TimeToServe): void {
   for (const part of PARTS) {
     const histogram = hdr.build({ numberOfSignificantValueDigits: 3 });
     for (const gap of measured.gaps) {
@@ -47,24 +47,26 @@
       part.name,
       measured.losses,
       measured.gaps.length,
-      ...[50, 90, 99].map((rank) => histogram.getValueAtPercentile(rank)),
+      ...[50, 90, 99].map((percentile) =>
+        histogram.getValueAtPercentile(percentile)
+      ),
       histogram.maxValue,
       measured.unserved,
       measured.violations,
     ];
-    say(`| ${cells.join(" | ")} |`);
+    printLine(`| ${cells.join(" | ")} |`);
   }
 }
 
 async function main(): Promise<void> {
   const losses = Number(process.argv[2] ?? LOSSES);
   const chosen = KINDS.filter((kind) => kind.includes(process.argv[3] ?? ""));
-  say(`| ${COLUMNS.join(" | ")} |`);
-  say(`| ${COLUMNS.map(() => "---").join(" | ")} |`);
-  // One after another: figures of deployments that share the machine lie.
-  for (const kind of chosen) sayRows(await measureTimeToServe(kind, losses));
+  printLine(`| ${COLUMNS.join(" | ")} |`);
+  printLine(`| ${COLUMNS.map(() => "---").join(" | ")} |`);
+  // One at a time: deployments that share the machine distort the figures.
+  for (const kind of chosen) printRows(await measureTimeToServe(kind, losses));
 }
 
 await main();
-// Idle connections of the harness would hold the process.
+// Idle connections of the harness would keep the process alive.
 process.exit();
--- a/packages/standins/src/proofs/violations.ts
+++ b/packages/standins/src/proofs/violations.ts
@@ -1,70 +1,70 @@
 /**
- * Counts what must never happen, from the servers' journals and the callers'
- * records. Nothing here depends on how long anything took.
+ * Checks the invariants against the servers' journals and the callers'
+ * records. No check depends on how long anything took.
  */
 import type { JournalEntry } from "../backend_server/journal.ts";
 import type { CallerRecord } from "./caller_record.ts";
 
-/** Number of violations by invariant, with an example of each. */
+/** Violations by invariant, each described in one line. */
 export interface Violations {
   /** Non-idempotent operations that ran more than once. */
   readonly ranTwice: readonly string[];
-  /** Runs of a key that overlap at two servers, or of an older fence. */
+  /** Runs of a key that overlap at two servers, or use an older fence. */
   readonly twoOwners: readonly string[];
-  /** Told as not run, and a server ran it. */
+  /** Reported to the caller as not run although a server ran it. */
   readonly notRunButRan: readonly string[];
-  /** Answers that were another request's or not whole. */
+  /** Answers that belonged to another request or were incomplete. */
   readonly wrongAnswers: readonly string[];
-  /** Told as answered, and no server finished it. */
+  /** Reported as answered although no server finished it. */
   readonly answeredButNotRun: readonly string[];
 }
 
-/** One run of an attempt at a server. */
+/** One execution of an attempt by a server. */
 interface Run {
   readonly server: string;
   readonly operationId: string;
   readonly key: string;
   readonly fence: number | undefined;
   readonly startMs: number;
-  /** Undefined when the server was lost before the effect. */
+  /** Undefined when the server failed before it finished. */
   readonly endMs: number | undefined;
 }
 
-/** What {@link countViolations} looks at. */
-export interface Evidence {
+/** Input of {@link countViolations}. */
+export interface Observations {
   readonly journal: readonly JournalEntry[];
   readonly records: readonly CallerRecord[];
 }
 
-/** Counts all violations. */
-export function countViolations(evidence: Evidence): Violations {
-  const runs = runsOf(evidence.journal);
+/** Finds all violations of the invariants. */
+export function countViolations(observations: Observations): Violations {
+  const runs = effectiveRunsOf(observations.journal);
   const byOperation = groupBy(runs, (run) => run.operationId);
   return {
-    ranTwice: findRanTwice(evidence.records, byOperation),
+    ranTwice: findRanTwice(observations.records, byOperation),
     twoOwners: findTwoOwners(runs),
-    notRunButRan: evidence.records
+    notRunButRan: observations.records
       .filter((record) => record.outcome === "not-run")
       .filter((record) => byOperation.has(record.operationId))
       .map((record) => `${record.operationId} (${record.reason})`),
-    wrongAnswers: evidence.records
+    wrongAnswers: observations.records
       .filter((record) => record.outcome === "answered" && !record.isOwnAnswer)
       .map((record) => record.operationId),
-    answeredButNotRun: evidence.records
+    answeredButNotRun: observations.records
       .filter((record) => record.outcome === "answered")
       .filter((record) => !hasEnded(byOperation.get(record.operationId)))
       .map((record) => record.operationId),
   };
 }
 
-/** All violations together. */
+/** Number of violations of all kinds. */
 export function totalOf(violations: Violations): number {
   return Object.values(violations)
     .reduce((sum: number, found: readonly string[]) => sum + found.length, 0);
 }
 
-/** Runs that had or may have had an effect; abandoned ones had none. */
-function runsOf(journal: readonly JournalEntry[]): Run[] {
+/** Runs that had or may have had an effect; abandoned runs had none. */
+function effectiveRunsOf(journal: readonly JournalEntry[]): Run[] {
   const steps = groupBy(
     journal.filter((entry) => entry.step !== "refused"),
     (entry) => `${entry.server}/${entry.requestId}`,
@@ -101,28 +101,28 @@
 }
 
 /**
- * A keyed run of a server that was lost has no end: its effect can't be told,
- * so it counts as a moment. A run whose fence lies below that of an earlier
- * run of its key ran by a right that had already passed on.
+ * A keyed run on a server that failed has no end, and whether it took effect
+ * is unknown, so it counts as an instant. A run whose fence is lower than that
+ * of an earlier run of its key used a lease that had already been replaced.
  */
 function findTwoOwners(runs: readonly Run[]): string[] {
   const found: string[] = [];
   const keyed = runs.filter((run) => run.fence !== undefined);
-  for (const [key, ofKey] of groupBy(keyed, (run) => run.key)) {
-    const ordered = [...ofKey].sort((a, b) => a.startMs - b.startMs);
+  for (const [key, keyRuns] of groupBy(keyed, (run) => run.key)) {
+    const ordered = [...keyRuns].sort((a, b) => a.startMs - b.startMs);
     for (const [index, later] of ordered.entries()) {
-      const clash = ordered.slice(0, index)
-        .find((earlier) => isClash(earlier, later));
-      if (clash === undefined) continue;
+      const conflict = ordered.slice(0, index)
+        .find((earlier) => isConflict(earlier, later));
+      if (conflict === undefined) continue;
       found.push(
-        `key ${key}: ${describe(clash)} and ${describe(later)}`,
+        `key ${key}: ${describe(conflict)} and ${describe(later)}`,
       );
     }
   }
   return found;
 }
 
-function isClash(earlier: Run, later: Run): boolean {
+function isConflict(earlier: Run, later: Run): boolean {
   if (earlier.server === later.server) return false;
   const overlaps = (earlier.endMs ?? earlier.startMs) > later.startMs;
   return overlaps || earlier.fence! > later.fence!;
--- a/packages/standins/src/proofs/violations_test.ts
+++ b/packages/standins/src/proofs/violations_test.ts
@@ -1,16 +1,16 @@
 import { expect } from "earl";
 import { test } from "node:test";
 import type { JournalEntry, JournalStep } from "../backend_server/journal.ts";
-import type { CallerRecord, ToldOutcome } from "./caller_record.ts";
+import type { CallerRecord, ReportedOutcome } from "./caller_record.ts";
 import { countViolations, type Violations } from "./violations.ts";
 
-function step(
-  step: JournalStep,
+function journalEntry(
+  kind: JournalStep,
   monotonicMs: number,
   changes: Partial<JournalEntry> = {},
 ): JournalEntry {
   return {
-    step,
+    step: kind,
     monotonicMs,
     server: "s1",
     requestId: "r1",
@@ -23,8 +23,8 @@
   };
 }
 
-function told(
-  outcome: ToldOutcome,
+function callerRecord(
+  outcome: ReportedOutcome,
   changes: Partial<CallerRecord> = {},
 ): CallerRecord {
   return {
@@ -42,7 +42,7 @@
   };
 }
 
-const RAN = [step("start", 1), step("end", 5)];
+const RAN = [journalEntry("start", 1), journalEntry("end", 5)];
 const OTHER = { server: "s2", requestId: "r2" };
 const NEXT = { ...OTHER, operationId: "op2", fence: 2 };
 
@@ -57,77 +57,97 @@
   {
     name: "nothing in an ordinary run",
     journal: RAN,
-    records: [told("answered")],
+    records: [callerRecord("answered")],
     found: "none",
   },
   {
     name: "an operation that ran at two servers",
-    journal: [...RAN, step("start", 6, OTHER), step("end", 7, OTHER)],
-    records: [told("unknown")],
+    journal: [
+      ...RAN,
+      journalEntry("start", 6, OTHER),
+      journalEntry("end", 7, OTHER),
+    ],
+    records: [callerRecord("unknown")],
     found: "ranTwice",
   },
   {
-    name: "an operation that a lost server may have run before another did",
-    journal: [step("start", 1), step("start", 6, OTHER), step("end", 7, OTHER)],
-    records: [told("answered")],
+    name: "an operation that a failed server may have run before another did",
+    journal: [
+      journalEntry("start", 1),
+      journalEntry("start", 6, OTHER),
+      journalEntry("end", 7, OTHER),
+    ],
+    records: [callerRecord("answered")],
     found: "ranTwice",
   },
   {
-    name: "nothing when the first run was abandoned without effect",
+    name: "nothing when the first run was abandoned before it took effect",
     journal: [
-      step("start", 1),
-      step("abandoned", 5),
-      step("start", 6, OTHER),
-      step("end", 7, OTHER),
+      journalEntry("start", 1),
+      journalEntry("abandoned", 5),
+      journalEntry("start", 6, OTHER),
+      journalEntry("end", 7, OTHER),
     ],
-    records: [told("answered")],
+    records: [callerRecord("answered")],
     found: "none",
   },
   {
     name: "nothing when a read was repeated",
-    journal: [...RAN, step("start", 6, OTHER), step("end", 7, OTHER)],
-    records: [told("answered", { isIdempotent: true })],
+    journal: [
+      ...RAN,
+      journalEntry("start", 6, OTHER),
+      journalEntry("end", 7, OTHER),
+    ],
+    records: [callerRecord("answered", { isIdempotent: true })],
     found: "none",
   },
   {
-    name: "two servers at work on one key",
-    journal: [...RAN, step("start", 4, NEXT), step("end", 8, NEXT)],
+    name: "two servers that run one key at the same time",
+    journal: [
+      ...RAN,
+      journalEntry("start", 4, NEXT),
+      journalEntry("end", 8, NEXT),
+    ],
     records: [],
     found: "twoOwners",
   },
   {
-    name: "an old owner at work after the next one",
+    name: "a former owner that runs a key after the next owner",
     journal: [
-      step("start", 1, NEXT),
-      step("end", 2, NEXT),
-      step("start", 4),
-      step("end", 5),
+      journalEntry("start", 1, NEXT),
+      journalEntry("end", 2, NEXT),
+      journalEntry("start", 4),
+      journalEntry("end", 5),
     ],
     records: [],
     found: "twoOwners",
   },
   {
     name: "nothing when one owner follows the other",
-    journal: [...RAN, step("start", 6, NEXT), step("end", 8, NEXT)],
+    journal: [
+      ...RAN,
+      journalEntry("start", 6, NEXT),
+      journalEntry("end", 8, NEXT),
+    ],
     records: [],
     found: "none",
   },
   {
-    name: "a caller told as not run whose request ran",
+    name: "a request that ran although its caller was told that it had not",
     journal: RAN,
-    records: [told("not-run")],
+    records: [callerRecord("not-run")],
     found: "notRunButRan",
   },
   {
-    name: "an answer that belongs to another",
+    name: "an answer that belongs to another request",
     journal: RAN,
-    records: [told("answered", { isOwnAnswer: false })],
+    records: [callerRecord("answered", { isOwnAnswer: false })],
     found: "wrongAnswers",
   },
   {
-    name: "an answer for which nothing ran",
+    name: "an answer for which no server ran the request",
     journal: [],
-    records: [told("answered")],
+    records: [callerRecord("answered")],
     found: "answeredButNotRun",
   },
 ];
