--- a/packages/standins/src/measure/control_main.ts
+++ b/packages/standins/src/measure/control_main.ts
@@ -1,18 +1,19 @@
 /**
- * Measures what control costs each entry process at rest, with no callers, at
- * several numbers of real processes: bytes read and written, processor time,
- * memory, store calls. `npm run measure:control`; the last line is JSON.
+ * Measures the control plane's cost for each idle entry process, without
+ * callers, at several numbers of real processes: bytes read and written,
+ * processor time, memory, store calls. Run by `npm run measure:control`; the
+ * last line is JSON.
  *
- * Bytes are those the process reads and writes by system calls, so they are
- * without TCP and IP headers. They include its log, which is silent here.
+ * Bytes are those that the process reads and writes by system calls, without
+ * TCP and IP headers. They include its log, which only has errors here.
  */
 import * as util from "node:util";
 import * as plans from "../deployment/deployment_plan.ts";
 import { LocalDeployment } from "../deployment/local_deployment.ts";
 import * as processes from "../processes/mod.ts";
-import { type ProcessUse, useOf } from "./process_use.ts";
+import { type ProcessUsage, readProcessUsage } from "./process_use.ts";
 
-/** Figures for one number of entry processes. */
+/** Cost for one number of entry processes, as a mean over them. */
 interface ControlCost {
   readonly entryProcesses: number;
   readonly servers: number;
@@ -22,7 +23,7 @@
   readonly residentMb: number;
   /** Of all entry processes together. */
   readonly storeCallsPerSecond: number;
-  /** Highest resident memory of any. */
+  /** Highest resident memory of any of them. */
   readonly largestResidentMb: number;
 }
 
@@ -37,7 +38,7 @@
   return new Promise((resolve) => setTimeout(resolve, ms));
 }
 
-/** Store calls so far, by the stand-in's own count. */
+/** Store calls so far, as the stand-in for the store counts them. */
 async function storeCalls(deployment: LocalDeployment): Promise<number> {
   const counters = await processes.getJson(`${deployment.storeUrl}/counters`);
   return Object.values(counters as Record<string, number>)
@@ -58,8 +59,8 @@
     entrySettings: { log: { format: "text", level: "error" } },
   });
   try {
-    // One after another: many that start at once on a busy machine would run
-    // into the deadline for their first line.
+    // One at a time: many processes that start at once on a busy machine would
+    // exceed the deadline for their ready line.
     for (let i = 1; i < entryProcesses; i++) {
       const zone = plan.zones[i % plan.zones.length]!;
       await deployment.startEntry(`entry-${i + 1}`, zone);
@@ -76,16 +77,16 @@
   seconds: number,
 ): Promise<ControlCost> {
   const pids = [...deployment.entries.values()].map((e) => e.program.pid);
-  const before = pids.map(useOf);
+  const before = pids.map(readProcessUsage);
   const callsBefore = await storeCalls(deployment);
   const startMs = performance.now();
   await wait(seconds * 1000);
   const elapsedS = (performance.now() - startMs) / 1000;
   const calls = await storeCalls(deployment) - callsBefore;
-  const after = pids.map(useOf);
-  const rate = (pick: (use: ProcessUse) => number) => {
+  const after = pids.map(readProcessUsage);
+  const rate = (pick: (usage: ProcessUsage) => number) => {
     const sum = after.reduce(
-      (total, use, index) => total + pick(use) - pick(before[index]!),
+      (total, usage, index) => total + pick(usage) - pick(before[index]!),
       0,
     );
     return sum / pids.length / elapsedS;
@@ -94,9 +95,9 @@
   return {
     entryProcesses: pids.length,
     servers: deployment.servers.size,
-    readBytesPerSecond: Math.round(rate((use) => use.readBytes)),
-    writtenBytesPerSecond: Math.round(rate((use) => use.writtenBytes)),
-    corePercent: Number((100 * rate((use) => use.processorS)).toFixed(2)),
+    readBytesPerSecond: Math.round(rate((usage) => usage.readBytes)),
+    writtenBytesPerSecond: Math.round(rate((usage) => usage.writtenBytes)),
+    corePercent: Number((100 * rate((usage) => usage.processorS)).toFixed(2)),
     residentMb: Math.round(
       resident.reduce((sum, mb) => sum + mb, 0) / resident.length,
     ),
--- a/packages/standins/src/measure/placement/planner_cost.ts
+++ b/packages/standins/src/measure/placement/planner_cost.ts
@@ -1,4 +1,4 @@
-/** Time and memory of one plan as servers and slices grow. */
+/** Measures time and memory of one plan as servers and slices grow. */
 import * as contracts from "@guavatide/contracts";
 import * as ownership from "@guavatide/decisions/ownership/mod";
 import * as placement from "@guavatide/decisions/placement/mod";
@@ -9,28 +9,31 @@
   readonly servers: number;
   readonly slices: number;
   readonly hotKeys: number;
-  /** First plan, with code not yet compiled and the hot keys all new. */
+  /** First plan, before the code is optimised and with all hot keys new. */
   readonly firstPlanMs: number;
   readonly medianPlanMs: number;
-  /** Processor time of the median plan, collection of garbage included. */
+  /** Median processor time of a plan, including garbage collection. */
   readonly medianProcessorMs: number;
   readonly slowestPlanMs: number;
-  /** A plan for one lost server. */
+  /** Evacuation plan for one failed server. */
   readonly lossPlanMs: number;
-  /** Slices and reports held between plans, without the plan's own use. */
+  /** Heap of slices and reports held between plans, without a plan itself. */
   readonly heldMb: number;
-  /** Heap in use right after a plan, before it is collected. */
+  /** Largest heap in use right after a plan, before garbage collection. */
   readonly peakMb: number;
-  /** Plans, one a second, until no server is above 1.3. */
+  /** Plans, one a second, until the imbalance stays at 1.3 or below. */
   readonly plansToEven: number;
   readonly assignmentJsonBytes: number;
 }
 
 const PLANS = 60;
-const PLAN_EVERY_MS = 1000;
-const EVEN = 1.3;
+const PLAN_INTERVAL_MS = 1000;
+const BALANCED_IMBALANCE = 1.3;
 
-/** Plans for `servers` while `hotKeys` keys have just become hot. */
+/**
+ * Measures plans for `servers` servers after `hotKeys` keys have become hot.
+ * Needs `--expose-gc` for the memory figures.
+ */
 export function measurePlannerCost(
   servers: number,
   hotKeys: number,
@@ -43,13 +46,13 @@
   let plansToEven = 0;
   let peakMb = 0;
   for (let i = 0; i < PLANS; i++) {
-    const { plan, tookMs, processorMs } = run.plan(i * PLAN_EVERY_MS);
+    const { plan, tookMs, processorMs } = run.plan(i * PLAN_INTERVAL_MS);
     times.push(tookMs);
     processorTimes.push(processorMs);
     peakMb = Math.max(peakMb, process.memoryUsage().heapUsed / 1e6 - beforeMb);
-    if (plan.imbalance > EVEN) plansToEven = i + 1;
+    if (plan.imbalance > BALANCED_IMBALANCE) plansToEven = i + 1;
   }
-  const lossPlanMs = run.planLoss(PLANS * PLAN_EVERY_MS);
+  const lossPlanMs = run.planLoss(PLANS * PLAN_INTERVAL_MS);
   const sorted = times.slice(1).sort((a, b) => a - b);
   const processor = processorTimes.slice(1).sort((a, b) => a - b);
   return {
@@ -72,7 +75,7 @@
   slices: contracts.Slice[];
   readonly #planner = new placement.Planner(placement.DEFAULT_PLACEMENT);
   readonly #servers: placement.PlacementServer[];
-  readonly #hot: { hash: number; requestsPerSecond: number }[] = [];
+  readonly #hotKeys: { hash: number; requestsPerSecond: number }[] = [];
   readonly #total: number;
 
   constructor(servers: number, hotKeys: number) {
@@ -90,13 +93,13 @@
       capacity: 1,
     }));
     this.#total = servers * 1000;
-    // Each hot key carries between a tenth and nine tenths of a server.
+    // Each hot key loads a server to between 10% and 90% of the mean load.
     for (let i = 0; i < hotKeys; i++) {
       const hash = random.below(contracts.HASH_SPACE);
       const requestsPerSecond = 100 + 800 * random.next();
-      this.#hot.push({ hash, requestsPerSecond });
+      this.#hotKeys.push({ hash, requestsPerSecond });
     }
-    this.#hot.sort((a, b) => b.requestsPerSecond - a.requestsPerSecond);
+    this.#hotKeys.sort((a, b) => b.requestsPerSecond - a.requestsPerSecond);
   }
 
   plan(
@@ -134,14 +137,14 @@
       this.slices,
       (slice) => (slice.toHash - slice.fromHash) * density,
     );
-    for (const { hash, requestsPerSecond } of this.#hot) {
+    for (const { hash, requestsPerSecond } of this.#hotKeys) {
       slices[placement.findSlice(this.slices, hash)]! += requestsPerSecond;
     }
-    return { requestsPerSecond: this.#total, slices, keys: this.#hot };
+    return { requestsPerSecond: this.#total, slices, keys: this.#hotKeys };
   }
 }
 
-/** Heap in use after a collection; needs `--expose-gc`. */
+/** Heap in use after garbage collection; needs `--expose-gc`. */
 function heapMb(): number {
   globalThis.gc?.();
   return process.memoryUsage().heapUsed / 1e6;
--- a/packages/standins/src/measure/placement/trace.ts
+++ b/packages/standins/src/measure/placement/trace.ts
@@ -1,7 +1,7 @@
 /**
- * A seeded trace of one keyed service: which keys are asked for and which
- * servers come, go and slow down. Every way of placement is run on the same
- * trace.
+ * A seeded trace of one keyed service: which keys are requested and which
+ * servers start, stop, fail and slow down. Every placement strategy runs on the
+ * same trace.
  */
 import * as ownership from "@guavatide/decisions/ownership/mod";
 import * as prand from "pure-rand/distribution/uniformFloat64";
@@ -22,24 +22,25 @@
   readonly durationS: number;
   readonly keys: number;
   readonly zipfExponent: number;
-  /** Load against all servers' capacity. */
+  /** Load as a fraction of all servers' capacity. */
   readonly utilisation: number;
-  /** The head moves this often, and by this many keys. */
-  readonly headMovesEveryS: number;
-  readonly headMovesKeys: number;
+  /** Interval after which other keys become hot. */
+  readonly hotKeyShiftIntervalS: number;
+  /** Number of hot keys swapped with other keys at each interval. */
+  readonly hotKeysShifted: number;
 }
 
-/** What happens to servers. */
+/** Kinds of events that happen to servers. */
 export type ServerEventKind =
-  /** Killed; back within two seconds. */
+  /** Killed; back within 2 seconds. */
   | "quick-restart"
-  /** Killed; back after minutes. */
+  /** Killed; back after 20 seconds to 5 minutes. */
   | "crash"
-  /** Drains, is away for a minute, is back. */
+  /** Drains, stops for a minute, is back. */
   | "planned-restart"
-  /** Runs at 0.4 of its speed for ten minutes. */
+  /** Runs at 0.4 of its speed for 10 minutes. */
   | "slow"
-  /** A further server for an hour, which then drains. */
+  /** An additional server for an hour, which then drains. */
   | "scale-out";
 
 /** One change of one server's state. */
@@ -50,18 +51,18 @@
   readonly event: ServerEventKind;
 }
 
-/** Mean time between events of each kind. */
-const EVERY_S: Record<ServerEventKind, number> = {
+/** Mean time between events of each kind, in seconds. */
+const MEAN_INTERVAL_S: Record<ServerEventKind, number> = {
   "quick-restart": 1200,
   "crash": 2400,
   "planned-restart": 2400,
   "slow": 3600,
   "scale-out": 5400,
 };
-/** Keys of the head trade places within these ranks. */
-const HEAD_RANKS = 30;
+/** Number of top ranks whose keys are swapped with keys of any rank. */
+const HOT_KEY_RANKS = 30;
 
-/** Random numbers of one purpose. */
+/** Seeded pseudo-random number generator. */
 export class SeededRandom {
   readonly #generator;
 
@@ -78,18 +79,18 @@
   }
 }
 
-/** Keys and their rates as time goes on. */
+/** Keys and their request rates over time. */
 export class KeyLoad {
   /** Hash of each key, ascending. */
   readonly hashes: Float64Array;
-  /** Requests a second of each key now. */
+  /** Current requests a second of each key. */
   readonly rates: Float64Array;
   readonly #options: TraceOptions;
   readonly #random: SeededRandom;
   readonly #keyOfRank: Int32Array;
   readonly #cumulative: Float64Array;
   readonly #rateOfRank: Float64Array;
-  #nextMoveS: number;
+  #nextShiftS: number;
 
   constructor(
     options: TraceOptions,
@@ -107,16 +108,16 @@
     this.#keyOfRank = this.#shuffledKeys();
     this.#rateOfRank = zipfRates(options, requestsPerSecond);
     this.#cumulative = cumulate(this.#rateOfRank);
-    this.#nextMoveS = options.headMovesEveryS;
+    this.#nextShiftS = options.hotKeyShiftIntervalS;
     this.#fillRates();
   }
 
-  /** Moves the head when it is time; tells whether rates changed. */
+  /** Swaps hot keys when it is due; returns whether rates changed. */
   advance(nowS: number): boolean {
-    if (nowS < this.#nextMoveS) return false;
-    this.#nextMoveS += this.#options.headMovesEveryS;
-    for (let i = 0; i < this.#options.headMovesKeys; i++) {
-      const a = this.#random.below(HEAD_RANKS);
+    if (nowS < this.#nextShiftS) return false;
+    this.#nextShiftS += this.#options.hotKeyShiftIntervalS;
+    for (let i = 0; i < this.#options.hotKeysShifted; i++) {
+      const a = this.#random.below(HOT_KEY_RANKS);
       const b = this.#random.below(this.#keyOfRank.length);
       const key = this.#keyOfRank[a]!;
       this.#keyOfRank[a] = this.#keyOfRank[b]!;
@@ -126,15 +127,15 @@
     return true;
   }
 
-  /** The key of one request, drawn by rate. */
+  /** Draws the key of one request, weighted by rate. */
   draw(random: SeededRandom): number {
     const total = this.#cumulative[this.#cumulative.length - 1]!;
-    const wanted = random.next() * total;
+    const target = random.next() * total;
     let low = 0;
     let high = this.#cumulative.length - 1;
     while (low < high) {
       const middle = (low + high) >>> 1;
-      if (this.#cumulative[middle]! > wanted) high = middle;
+      if (this.#cumulative[middle]! > target) high = middle;
       else low = middle + 1;
     }
     return this.#keyOfRank[low]!;
@@ -156,7 +157,7 @@
   }
 }
 
-/** The changes of servers, in order of time. */
+/** Draws the server changes of a trace, in order of time. */
 export function drawServerChanges(
   deployment: Deployment,
   options: TraceOptions,
@@ -164,20 +165,20 @@
   const random = new SeededRandom(options.seed + 1_000_003);
   const changes: ServerChange[] = [];
   const busyUntilS = new Map<number, number>();
-  let extra = deployment.servers;
-  for (const event of Object.keys(EVERY_S) as ServerEventKind[]) {
-    let atS = EVERY_S[event] * random.next();
+  let nextExtraServer = deployment.servers;
+  for (const event of Object.keys(MEAN_INTERVAL_S) as ServerEventKind[]) {
+    let atS = MEAN_INTERVAL_S[event] * random.next();
     while (atS < options.durationS) {
       const server = event === "scale-out"
-        ? extra++
+        ? nextExtraServer++
         : random.below(deployment.servers);
-      const course = courseOf(event, { atS, server, random });
+      const eventChanges = changesOfEvent(event, { atS, server, random });
       const isFree = (busyUntilS.get(server) ?? 0) < atS;
       if (isFree) {
-        changes.push(...course);
-        busyUntilS.set(server, course.at(-1)!.atS + 60);
+        changes.push(...eventChanges);
+        busyUntilS.set(server, eventChanges.at(-1)!.atS + 60);
       }
-      atS += -Math.log(1 - random.next()) * EVERY_S[event];
+      atS += -Math.log(1 - random.next()) * MEAN_INTERVAL_S[event];
     }
   }
   return changes.sort((a, b) => a.atS - b.atS);
@@ -189,7 +190,7 @@
   readonly random: SeededRandom;
 }
 
-function courseOf(
+function changesOfEvent(
   event: ServerEventKind,
   { atS, server, random }: EventStart,
 ): ServerChange[] {
--- a/packages/standins/src/measure/placement/trial.ts
+++ b/packages/standins/src/measure/placement/trial.ts
@@ -1,45 +1,46 @@
 /**
- * Runs one way of placement over a trace and adds up what the users measure.
- * The moves themselves follow the ownership rules, the same for every way: a
- * planned move leaves its keys unserved for a short gap, and the keys of a
- * lost server wait for its lease to run out.
+ * Simulates one placement strategy over a trace and sums up what users notice.
+ * Handovers follow the ownership rules for every strategy: a planned handover
+ * leaves its keys unserved for a short gap, and the keys of a failed server
+ * wait until its lease has expired.
  */
 import * as ownership from "@guavatide/decisions/ownership/mod";
 import * as trace from "./trace.ts";
-import type { PlacementWay, TraceServer } from "./ways.ts";
+import type { PlacementStrategy, TraceServer } from "./ways.ts";
 
 const STEP_S = 0.5;
-const SAMPLE_EVERY_S = 5;
-/** Samples before this are left out: the planner learns the load first. */
+const SAMPLE_INTERVAL_S = 5;
+/** Earlier samples are left out: the planner has to learn the load first. */
 const WARM_UP_S = 300;
 const SLOW_SPEED = 0.4;
-/** Time of an order to a server and of a store write, there and back. */
-const ORDER_MS = 3;
+/** Round-trip time of a lease command to a server. */
+const LEASE_COMMAND_MS = 3;
+/** Round-trip time of a store write. */
 const STORE_WRITE_MS = 5;
 
-/** What a run of a way adds up to. */
-export interface TrialResult {
+/** Result of one simulation. */
+export interface SimulationResult {
   readonly way: string;
-  /** Fullest server's utilisation against the mean: mean of samples. */
+  /** Highest utilisation of a server over the mean: mean of samples. */
   readonly imbalanceMean: number;
   readonly imbalanceP99: number;
   /** Coefficient of variation of utilisation: mean of samples. */
   readonly variationMean: number;
-  /** Load that fell on servers beyond their capacity, part of all load. */
+  /** Fraction of all load that exceeded the capacity of its server. */
   readonly overloadShare: number;
   readonly serverEvents: number;
   readonly hours: number;
   readonly keys: number;
   /** Keys that changed owner. */
   readonly keysMoved: number;
-  /** Of those, keys whose server was lost or leaving. */
+  /** Of those, keys whose server had failed or was leaving. */
   readonly keysMovedOffServers: number;
   readonly unavailableKeySeconds: number;
-  /** Part of all requests that came while their key was unserved. */
+  /** Fraction of all requests that arrived while their key was unserved. */
   readonly unservedRequestShare: number;
 }
 
-/** Waits of the ownership rules, in milliseconds. */
+/** Delays that the ownership rules cause, in milliseconds. */
 export function ownershipWaits(workMs: number): {
   readonly detectMs: number;
   readonly lossWaitMs: number;
@@ -50,8 +51,8 @@
   return {
     detectMs: settings.detectMs + settings.renewMs,
     lossWaitMs: ownership.leaseExpiryWaitMs(settings) + 2 * STORE_WRITE_MS +
-      ORDER_MS,
-    plannedGapMs: 2 * ORDER_MS + STORE_WRITE_MS + workMs,
+      LEASE_COMMAND_MS,
+    plannedGapMs: 2 * LEASE_COMMAND_MS + STORE_WRITE_MS + workMs,
     renewMs: settings.renewMs,
   };
 }
@@ -62,29 +63,29 @@
   sinceS: number;
 }
 
-/** One run. */
-export class Trial {
+/** Simulates one strategy on one trace. */
+export class Simulation {
   readonly #deployment: trace.Deployment;
   readonly #options: trace.TraceOptions;
   readonly #load: trace.KeyLoad;
   readonly #changes: readonly trace.ServerChange[];
-  readonly #way: PlacementWay;
+  readonly #strategy: PlacementStrategy;
   readonly #random: trace.SeededRandom;
   readonly #waits: ReturnType<typeof ownershipWaits>;
   readonly #servers = new Map<number, ServerState>();
   readonly #owner: Int32Array;
   readonly #target: Int32Array;
-  /** When a key on its way from a lost server may be given on; 0 if none. */
+  /** When a failed server's key may go to its next owner; 0 if not waiting. */
   readonly #readyAtS: Float64Array;
-  #onTheirWay = 0;
+  #waitingKeys = 0;
   readonly #imbalances: number[] = [];
   readonly #variations: number[] = [];
   #overload = 0;
   #sampledLoad = 0;
   #moved = 0;
-  #movedOff = 0;
-  #keySeconds = 0;
-  #unserved = 0;
+  #movedOffServers = 0;
+  #unservedKeySeconds = 0;
+  #unservedRequests = 0;
   #nextSampleS = WARM_UP_S;
   #nextChange = 0;
 
@@ -92,14 +93,14 @@
     readonly deployment: trace.Deployment;
     readonly trace: trace.TraceOptions;
     readonly hasher: ownership.KeyHasher;
-    makeWay(load: trace.KeyLoad): PlacementWay;
+    makeStrategy(load: trace.KeyLoad): PlacementStrategy;
   }) {
     this.#deployment = options.deployment;
     this.#options = options.trace;
     const rate = requestsPerSecond(options.deployment, options.trace);
     this.#load = new trace.KeyLoad(options.trace, options.hasher, rate);
     this.#changes = trace.drawServerChanges(options.deployment, options.trace);
-    this.#way = options.makeWay(this.#load);
+    this.#strategy = options.makeStrategy(this.#load);
     this.#random = new trace.SeededRandom(options.trace.seed + 7);
     this.#waits = ownershipWaits(options.deployment.workMs);
     this.#owner = new Int32Array(options.trace.keys).fill(-1);
@@ -110,15 +111,15 @@
     }
   }
 
-  run(): TrialResult {
+  run(): SimulationResult {
     const { durationS } = this.#options;
     for (let nowS = 0; nowS < durationS; nowS += STEP_S) {
       this.#load.advance(nowS);
       this.#changeServers(nowS);
       this.#send(nowS);
-      const owners = this.#way.update(this.#view(nowS), nowS * 1000);
-      if (owners !== undefined) this.#aim(owners, nowS);
-      this.#giveOn(nowS);
+      const owners = this.#strategy.update(this.#view(nowS), nowS * 1000);
+      if (owners !== undefined) this.#setTargets(owners, nowS);
+      this.#completeExpired(nowS);
       if (nowS >= this.#nextSampleS) this.#sample(nowS);
     }
     return this.#result();
@@ -139,15 +140,18 @@
     this.#servers.set(server, state);
     if (change === "slow") state.speed = SLOW_SPEED;
     else if (change === "normal") state.speed = 1;
-    else if (change === "back") this.#comeBack(server, state, nowS);
+    else if (change === "back") this.#returnServer(server, state, nowS);
     else {
       state.state = change;
       state.sinceS = nowS;
     }
   }
 
-  /** Keys still its own are served again by an order, or after their wait. */
-  #comeBack(server: number, state: ServerState, nowS: number): void {
+  /**
+   * Keys that the server still owns are served again after a lease renewal, or
+   * once their wait is over if that is later.
+   */
+  #returnServer(server: number, state: ServerState, nowS: number): void {
     const isRestart = state.state === "lost";
     const lostAtS = state.sinceS;
     state.state = "live";
@@ -163,19 +167,19 @@
   }
 
   #send(nowS: number): void {
-    if (this.#way.record === undefined) return;
+    if (this.#strategy.record === undefined) return;
     const rate = requestsPerSecond(this.#deployment, this.#options);
     const requests = Math.round(rate * STEP_S);
     for (let i = 0; i < requests; i++) {
       const key = this.#load.draw(this.#random);
-      this.#way.record(key, this.#random.below(9));
+      this.#strategy.record(key, this.#random.below(9));
     }
     if (nowS % 1 !== 0) return;
     for (const [server, { state, speed }] of this.#servers) {
       if (state !== "live") continue;
       const noise = 0.9 + 0.2 * this.#random.next();
       const workMs = this.#deployment.workMs / speed * noise;
-      this.#way.recordWork?.(server, workMs);
+      this.#strategy.recordWork?.(server, workMs);
     }
   }
 
@@ -195,7 +199,7 @@
     return view;
   }
 
-  #aim(owners: Int32Array, nowS: number): void {
+  #setTargets(owners: Int32Array, nowS: number): void {
     for (let key = 0; key < owners.length; key++) {
       const next = owners[key]!;
       if (next === this.#target[key]) continue;
@@ -207,23 +211,23 @@
         const readyAtS = nowS + this.#waits.lossWaitMs / 1000;
         if (this.#readyAtS[key]! > 0) continue;
         this.#readyAtS[key] = readyAtS;
-        this.#onTheirWay++;
+        this.#waitingKeys++;
       } else if (next !== from) this.#move(key, { next, gapS: this.#gapS() });
     }
   }
 
-  #giveOn(nowS: number): void {
-    if (this.#onTheirWay === 0) return;
+  #completeExpired(nowS: number): void {
+    if (this.#waitingKeys === 0) return;
     for (let key = 0; key < this.#readyAtS.length; key++) {
       const readyAtS = this.#readyAtS[key]!;
       if (readyAtS === 0 || readyAtS > nowS) continue;
       this.#readyAtS[key] = 0;
-      this.#onTheirWay--;
+      this.#waitingKeys--;
       const next = this.#target[key]!;
       const from = this.#owner[key]!;
       if (next === from) continue;
       const { state, sinceS } = this.#servers.get(from)!;
-      // A server that came back meanwhile has been counted when it did.
+      // The outage of a server that is back was counted when it returned.
       const isLost = state === "lost";
       const gapS = isLost ? readyAtS - sinceS : this.#gapS();
       this.#move(key, { next, gapS });
@@ -234,13 +238,13 @@
     const from = this.#owner[key]!;
     this.#owner[key] = move.next;
     this.#moved++;
-    if (this.#servers.get(from)?.state !== "live") this.#movedOff++;
+    if (this.#servers.get(from)?.state !== "live") this.#movedOffServers++;
     this.#addUnserved(key, move.gapS);
   }
 
   #addUnserved(key: number, seconds: number): void {
-    this.#keySeconds += seconds;
-    this.#unserved += seconds * this.#load.rates[key]!;
+    this.#unservedKeySeconds += seconds;
+    this.#unservedRequests += seconds * this.#load.rates[key]!;
   }
 
   #gapS(): number {
@@ -248,31 +252,31 @@
   }
 
   #sample(nowS: number): void {
-    this.#nextSampleS = nowS + SAMPLE_EVERY_S;
+    this.#nextSampleS = nowS + SAMPLE_INTERVAL_S;
     const loads = new Map<number, number>();
     for (let key = 0; key < this.#owner.length; key++) {
       const owner = this.#owner[key]!;
       loads.set(owner, (loads.get(owner) ?? 0) + this.#load.rates[key]!);
     }
-    const uses: number[] = [];
+    const utilisations: number[] = [];
     let capacity = 0;
     let load = 0;
     for (const [server, { state, speed }] of this.#servers) {
       if (state !== "live") continue;
-      const can = serverRate(this.#deployment) * speed;
-      const has = loads.get(server) ?? 0;
-      capacity += can;
-      load += has;
-      uses.push(has / can);
-      this.#overload += Math.max(0, has - can);
+      const capacityOfServer = serverRate(this.#deployment) * speed;
+      const loadOfServer = loads.get(server) ?? 0;
+      capacity += capacityOfServer;
+      load += loadOfServer;
+      utilisations.push(loadOfServer / capacityOfServer);
+      this.#overload += Math.max(0, loadOfServer - capacityOfServer);
     }
     this.#sampledLoad += load;
     const mean = load / capacity;
-    this.#imbalances.push(Math.max(...uses) / mean);
-    this.#variations.push(deviationOf(uses, mean) / mean);
+    this.#imbalances.push(Math.max(...utilisations) / mean);
+    this.#variations.push(deviationOf(utilisations, mean) / mean);
   }
 
-  #result(): TrialResult {
+  #result(): SimulationResult {
     const events = this.#changes.filter(({ change, event }) =>
       change === "lost" || change === "leaving" || change === "slow" ||
       (event === "scale-out" && change === "back")
@@ -280,7 +284,7 @@
     const rate = requestsPerSecond(this.#deployment, this.#options);
     const sorted = [...this.#imbalances].sort((a, b) => a - b);
     return {
-      way: this.#way.name,
+      way: this.#strategy.name,
       imbalanceMean: meanOf(this.#imbalances),
       imbalanceP99: sorted[Math.floor(sorted.length * 0.99)]!,
       variationMean: meanOf(this.#variations),
@@ -289,14 +293,15 @@
       hours: this.#options.durationS / 3600,
       keys: this.#options.keys,
       keysMoved: this.#moved,
-      keysMovedOffServers: this.#movedOff,
-      unavailableKeySeconds: this.#keySeconds,
-      unservedRequestShare: this.#unserved / (rate * this.#options.durationS),
+      keysMovedOffServers: this.#movedOffServers,
+      unavailableKeySeconds: this.#unservedKeySeconds,
+      unservedRequestShare: this.#unservedRequests /
+        (rate * this.#options.durationS),
     };
   }
 }
 
-/** Requests a second that one server can work off. */
+/** Requests a second that one server can process. */
 export function serverRate(deployment: trace.Deployment): number {
   return deployment.slotsPerServer * 1000 / deployment.workMs;
 }
--- a/packages/standins/src/measure/placement/ways.ts
+++ b/packages/standins/src/measure/placement/ways.ts
@@ -1,36 +1,36 @@
-/** The ways of placement that are compared. */
+/** The placement strategies that are compared. */
 import * as contracts from "@guavatide/contracts";
 import * as ownership from "@guavatide/decisions/ownership/mod";
 import * as placement from "@guavatide/decisions/placement/mod";
 
-/** A server at some moment of the trace. */
+/** State of a server at one moment of the trace. */
 export interface TraceServer {
   readonly index: number;
-  /** `live` serves; `leaving` still serves; `lost` was found to be lost. */
+  /** `leaving` servers still serve; `lost` means a detected failure. */
   readonly state: "live" | "leaving" | "lost";
   readonly zone: number;
   readonly liveForMs: number;
 }
 
-/** Server of each key, by index; -1 when there is none. */
+/** Index of each key's server; -1 if it has none. */
 export type Owners = Int32Array;
 
 /**
- * A way of placement. It learns of a loss when that is detected, and of any
- * other change at once.
+ * A placement strategy. It sees a server failure once that is detected, and
+ * any other change at once.
  */
-export interface PlacementWay {
+export interface PlacementStrategy {
   readonly name: string;
-  /** Intended owners when they changed, otherwise undefined. */
+  /** Returns the desired owners if they changed, otherwise undefined. */
   update(servers: readonly TraceServer[], nowMs: number): Owners | undefined;
-  /** A request was forwarded. Only the planner listens. */
+  /** Records a forwarded request; only the planner uses it. */
   record?(key: number, entryVm: number): void;
-  /** Mean work time of a server as measured. */
+  /** Records the measured mean work time of a server. */
   recordWork?(server: number, workMs: number): void;
 }
 
-/** Owner by `hash mod n` over the live servers. */
-export class StaticHash implements PlacementWay {
+/** Chooses the owner by `hash mod n` over the live servers. */
+export class StaticHash implements PlacementStrategy {
   readonly name = "static hash";
   readonly #hashes: Float64Array;
   #last = "";
@@ -50,11 +50,11 @@
   }
 }
 
-/** Points of each server on the ring. */
+/** Virtual nodes of each server on the ring. */
 const RING_POINTS = 128;
 
-/** Consistent hashing: a ring with many points for each server. */
-export class HashRing implements PlacementWay {
+/** Consistent hashing on a ring with virtual nodes. */
+export class HashRing implements PlacementStrategy {
   readonly name = `hash ring, ${RING_POINTS} points`;
   readonly #hashes: Float64Array;
   readonly #hasher: ownership.KeyHasher;
@@ -83,38 +83,38 @@
   }
 }
 
-/** Options of {@link PlannerWay}. */
-export interface PlannerWayOptions {
+/** Options of {@link PlannerStrategy}. */
+export interface PlannerStrategyOptions {
   readonly name: string;
   readonly hashes: Float64Array;
   readonly settings: placement.PlacementSettings;
   readonly entryVms: number;
-  /** How long a lost server's slices wait from detection to the next owner. */
+  /** Time from the detection of a failure until the slices' next owner. */
   readonly lossWaitMs: number;
 }
 
-/** As the entry process does. */
-const PLAN_EVERY_MS = 1000;
-const REPORT_EVERY_MS = 1000;
+/** The same interval as in the entry process. */
+const PLAN_INTERVAL_MS = 1000;
+const REPORT_INTERVAL_MS = 1000;
 const SERVICE = "service" as contracts.ServiceId;
 
-/** The planner with the load reports that it would get from entry VMs. */
-export class PlannerWay implements PlacementWay {
+/** The planner, fed with the load reports that entry VMs would send. */
+export class PlannerStrategy implements PlacementStrategy {
   readonly name: string;
-  readonly #options: PlannerWayOptions;
+  readonly #options: PlannerStrategyOptions;
   readonly #planner: placement.Planner;
-  readonly #book = new placement.LoadAggregator(10 * REPORT_EVERY_MS);
+  readonly #aggregator = new placement.LoadAggregator(10 * REPORT_INTERVAL_MS);
   readonly #trackers: placement.LoadTracker[];
   #slices: contracts.Slice[] = [];
   #sliceOfKey: contracts.Slice[] = [];
-  /** First hash of each slice on its way, and when it may be given on. */
-  readonly #settleAtMs = new Map<number, number>();
+  /** End of the handover for each vacating slice, by its first hash. */
+  readonly #handoverEndsAtMs = new Map<number, number>();
   #nextPlanMs = 0;
   #nextReportMs = 0;
   #states = "";
   #planTimesMs: number[] = [];
 
-  constructor(options: PlannerWayOptions) {
+  constructor(options: PlannerStrategyOptions) {
     this.name = options.name;
     this.#options = options;
     this.#planner = new placement.Planner(options.settings);
@@ -149,9 +149,9 @@
   update(servers: readonly TraceServer[], nowMs: number): Owners | undefined {
     if (this.#slices.length === 0) return this.#start(servers);
     this.#report(servers, nowMs);
-    const isSettled = this.#settle(nowMs);
+    const isFinished = this.#finishHandovers(nowMs);
     const changes = this.#plan(servers, nowMs);
-    if (changes.length === 0 && !isSettled) return undefined;
+    if (changes.length === 0 && !isFinished) return undefined;
     this.#apply(changes, nowMs);
     return this.#owners();
   }
@@ -165,14 +165,14 @@
 
   #report(servers: readonly TraceServer[], nowMs: number): void {
     if (nowMs < this.#nextReportMs) return;
-    this.#nextReportMs = nowMs + REPORT_EVERY_MS;
+    this.#nextReportMs = nowMs + REPORT_INTERVAL_MS;
     const known = new Set(servers.map(({ index }) => nameOf(index)));
     this.#trackers.forEach((tracker, index) => {
       tracker.keepOnly(known);
       const vm = `vm-${index}` as contracts.VmId;
       const incarnation = `vm-${index}-1` as contracts.Incarnation;
       const sender = { vm, incarnation, service: SERVICE };
-      this.#book.record(tracker.report(sender, nowMs), nowMs);
+      this.#aggregator.record(tracker.report(sender, nowMs), nowMs);
     });
   }
 
@@ -181,17 +181,17 @@
     nowMs: number,
   ): readonly ownership.ChangeRequest[] {
     const states = servers.map(({ index, state }) => `${index}${state}`).join();
-    const isNews = states !== this.#states;
+    const isServerChange = states !== this.#states;
     this.#states = states;
     const isDue = nowMs >= this.#nextPlanMs;
-    if (!isNews && !isDue) return [];
+    if (!isServerChange && !isDue) return [];
     const input = this.#input(servers, nowMs);
     const startMs = performance.now();
     const plan = isDue
       ? this.#planner.plan(input)
       : this.#planner.planEvacuations(input);
     this.#planTimesMs.push(performance.now() - startMs);
-    if (isDue) this.#nextPlanMs = nowMs + PLAN_EVERY_MS;
+    if (isDue) this.#nextPlanMs = nowMs + PLAN_INTERVAL_MS;
     return plan.changes;
   }
 
@@ -199,7 +199,7 @@
     servers: readonly TraceServer[],
     nowMs: number,
   ): placement.PlacementInput {
-    const speeds = this.#book.speeds(nowMs);
+    const speeds = this.#aggregator.speeds(nowMs);
     return {
       nowMs,
       slices: this.#slices,
@@ -211,11 +211,14 @@
         speed: speeds.get(nameOf(index)),
         liveForMs,
       })),
-      load: this.#book.estimate(this.#slices, nowMs),
+      load: this.#aggregator.estimate(this.#slices, nowMs),
     };
   }
 
-  /** A move off a lost server waits as vacating; any other is over at once. */
+  /**
+   * Slices of a failed server stay vacating until its lease has expired; any
+   * other move completes at once.
+   */
   #apply(
     changes: readonly ownership.ChangeRequest[],
     nowMs: number,
@@ -231,28 +234,28 @@
       if (!isMoved || old === undefined) return slice;
       const isLoss = this.#states.includes(`${indexOf(old.server)}lost`);
       if (old.state === "owned" && !isLoss) return slice;
-      const settleAtMs = this.#settleAtMs.get(slice.fromHash) ??
+      const handoverEndsAtMs = this.#handoverEndsAtMs.get(slice.fromHash) ??
         nowMs + this.#options.lossWaitMs;
-      this.#settleAtMs.set(slice.fromHash, settleAtMs);
+      this.#handoverEndsAtMs.set(slice.fromHash, handoverEndsAtMs);
       const from = old.state === "owned" ? [old.server] : old.from;
       return { ...slice, state: "vacating" as const, from };
     });
   }
 
-  #settle(nowMs: number): boolean {
+  #finishHandovers(nowMs: number): boolean {
     let isChanged = false;
     this.#slices = this.#slices.map((slice) => {
-      const atMs = this.#settleAtMs.get(slice.fromHash);
+      const atMs = this.#handoverEndsAtMs.get(slice.fromHash);
       if (slice.state !== "vacating" || atMs === undefined) return slice;
       if (nowMs < atMs) return slice;
-      this.#settleAtMs.delete(slice.fromHash);
+      this.#handoverEndsAtMs.delete(slice.fromHash);
       isChanged = true;
       return { ...slice, state: "owned" as const, from: [] };
     });
     return isChanged;
   }
 
-  /** The owner, or the next one of a slice on its way. */
+  /** The owner of each key, or the next one while its slice is vacating. */
   #owners(): Owners {
     const { hashes } = this.#options;
     const owners = new Int32Array(hashes.length);
--- a/packages/standins/src/measure/placement_main.ts
+++ b/packages/standins/src/measure/placement_main.ts
@@ -1,15 +1,15 @@
 /**
- * Measures ways of placement on one seeded trace, and what the planner costs.
- * `npm run measure:placement -- --help` lists the options. The last line is
- * the whole result as JSON.
+ * Compares placement strategies on the same seeded traces, and measures the
+ * planner's cost. `npm run measure:placement -- --help` lists the options. The
+ * last line is the whole result as JSON.
  */
 import * as ownership from "@guavatide/decisions/ownership/mod";
 import * as placement from "@guavatide/decisions/placement/mod";
 import * as util from "node:util";
 import * as cost from "./placement/planner_cost.ts";
 import type * as trace from "./placement/trace.ts";
-import * as trial from "./placement/trial.ts";
-import * as ways from "./placement/ways.ts";
+import * as simulation from "./placement/trial.ts";
+import * as strategies from "./placement/ways.ts";
 
 const DEPLOYMENTS: readonly (trace.Deployment & { option: string })[] = [
   {
@@ -44,27 +44,27 @@
               of "kayfa" or "bitacora"
   --help      this text`;
 
-const COST_SIZES = [10, 100, 1000, 7900];
+const COST_SERVER_COUNTS = [10, 100, 1000, 7900];
 const HOT_KEYS = 290;
 
-/** One row of the table: means over the seeds. */
+/** One row of the table, with a result for each seed. */
 interface Row {
   readonly deployment: string;
   readonly way: string;
-  readonly results: readonly trial.TrialResult[];
+  readonly results: readonly simulation.SimulationResult[];
 }
 
-function makeWays(
+function makeStrategies(
   load: trace.KeyLoad,
   hasher: ownership.KeyHasher,
   deployment: trace.Deployment,
-): ways.PlacementWay[] {
-  const { lossWaitMs } = trial.ownershipWaits(deployment.workMs);
+): strategies.PlacementStrategy[] {
+  const { lossWaitMs } = simulation.ownershipWaits(deployment.workMs);
   return [
-    new ways.StaticHash(load.hashes),
-    new ways.HashRing(load.hashes, hasher),
+    new strategies.StaticHash(load.hashes),
+    new strategies.HashRing(load.hashes, hasher),
     ...WEIGHTS.map(({ name, imbalanceWeight, churnWeight }) =>
-      new ways.PlannerWay({
+      new strategies.PlannerStrategy({
         name,
         hashes: load.hashes,
         settings: {
@@ -85,11 +85,11 @@
   options: { seeds: number; hours: number; keys: number },
 ): Row[] {
   const rows: Row[] = [];
-  for (let way = 0; way < 2 + WEIGHTS.length; way++) {
+  for (let index = 0; index < 2 + WEIGHTS.length; index++) {
     const results = Array.from(
       { length: options.seeds },
       (_, seed) =>
-        new trial.Trial({
+        new simulation.Simulation({
           deployment,
           hasher,
           trace: {
@@ -98,10 +98,11 @@
             keys: options.keys,
             zipfExponent: 0.9,
             utilisation: 0.6,
-            headMovesEveryS: 240,
-            headMovesKeys: 3,
+            hotKeyShiftIntervalS: 240,
+            hotKeysShifted: 3,
           },
-          makeWay: (load) => makeWays(load, hasher, deployment)[way]!,
+          makeStrategy: (load) =>
+            makeStrategies(load, hasher, deployment)[index]!,
         }).run(),
     );
     rows.push({ deployment: deployment.name, way: results[0]!.way, results });
@@ -111,8 +112,8 @@
 
 function printRows(rows: readonly Row[]): void {
   console.table(rows.map(({ deployment, way, results }) => {
-    const mean = (pick: (result: trial.TrialResult) => number) =>
-      trial.meanOf(results.map(pick));
+    const mean = (pick: (result: simulation.SimulationResult) => number) =>
+      simulation.meanOf(results.map(pick));
     return {
       deployment,
       way,
@@ -133,7 +134,7 @@
 }
 
 function measureCost(): cost.PlannerCost[] {
-  return COST_SIZES.map((servers) =>
+  return COST_SERVER_COUNTS.map((servers) =>
     cost.measurePlannerCost(servers, Math.min(HOT_KEYS, servers))
   );
 }
@@ -155,11 +156,11 @@
     keys: Number(values.keys),
   };
   const hasher = await ownership.KeyHasher.create();
-  const isChosen = (part: string) => [part, ""].includes(values.only);
-  const costs = isChosen("cost") ? measureCost() : [];
+  const isSelected = (part: string) => [part, ""].includes(values.only);
+  const costs = isSelected("cost") ? measureCost() : [];
   if (costs.length > 0) console.table(costs);
   const rows = DEPLOYMENTS
-    .filter(({ option }) => isChosen(option))
+    .filter(({ option }) => isSelected(option))
     .flatMap((deployment) => runDeployment(deployment, hasher, options));
   if (rows.length > 0) printRows(rows);
   console.log(JSON.stringify({ options, costs, rows }));
--- a/packages/standins/src/measure/process_use.ts
+++ b/packages/standins/src/measure/process_use.ts
@@ -1,20 +1,20 @@
-/** What a process has used so far, from /proc. */
+/** Reads the resource usage of a process from /proc. */
 import * as fs from "node:fs";
 
-/** Sums since the process started, and its memory now. */
-export interface ProcessUse {
-  /** By system calls; sockets, files and pipes alike. */
+/** Totals since the process started, and its current memory. */
+export interface ProcessUsage {
+  /** Read by system calls from sockets, files and pipes. */
   readonly readBytes: number;
   readonly writtenBytes: number;
   readonly processorS: number;
   readonly residentMb: number;
 }
 
-/** Clock ticks of /proc, fixed at 100 on Linux. */
+/** Clock ticks per second in /proc, fixed at 100 on Linux. */
 const TICKS_PER_S = 100;
 
-/** Reads the use of one process. Errors: throws when there is none. */
-export function useOf(pid: number): ProcessUse {
+/** Reads the usage of one process. Errors: throws if it doesn't exist. */
+export function readProcessUsage(pid: number): ProcessUsage {
   const io = fs.readFileSync(`/proc/${pid}/io`, "utf8");
   const stat = fs.readFileSync(`/proc/${pid}/stat`, "utf8");
   const status = fs.readFileSync(`/proc/${pid}/status`, "utf8");
--- a/packages/standins/src/measure/request_main.ts
+++ b/packages/standins/src/measure/request_main.ts
@@ -1,6 +1,6 @@
 /**
- * Measures what a request costs an entry process: processor time for keyed
- * and unkeyed requests, and memory for each open connection of a caller.
+ * Measures what a request costs an entry process: processor time for keyed and
+ * unkeyed requests, and memory for each open caller connection. Run by
  * `npm run measure:request`; the last line is JSON.
  */
 import * as contracts from "@guavatide/contracts";
@@ -8,7 +8,7 @@
 import * as undici from "undici";
 import * as plans from "../deployment/deployment_plan.ts";
 import { LocalDeployment } from "../deployment/local_deployment.ts";
-import { useOf } from "./process_use.ts";
+import { readProcessUsage } from "./process_use.ts";
 
 const WARM_UP_REQUESTS = 2_000;
 const REQUESTS = 10_000;
@@ -28,7 +28,7 @@
   return new Promise((resolve) => setTimeout(resolve, ms));
 }
 
-/** Sends requests, a few at a time; returns how many were answered. */
+/** Sends requests, `IN_FLIGHT` at a time; returns how many were answered. */
 async function send(
   pool: undici.Pool,
   service: string,
@@ -36,7 +36,7 @@
 ): Promise<number> {
   let next = 0;
   let answered = 0;
-  const sendSome = async () => {
+  const sendUntilDone = async () => {
     while (next < requests) {
       const key = `key-${next++ % KEYS}`;
       const response = await pool.request({
@@ -48,7 +48,7 @@
       if (response.statusCode === 200) answered++;
     }
   };
-  await Promise.all(Array.from({ length: IN_FLIGHT }, sendSome));
+  await Promise.all(Array.from({ length: IN_FLIGHT }, sendUntilDone));
   return answered;
 }
 
@@ -61,9 +61,9 @@
     connections: IN_FLIGHT,
   });
   await send(pool, service, WARM_UP_REQUESTS);
-  const before = useOf(program.pid);
+  const before = readProcessUsage(program.pid);
   const answered = await send(pool, service, REQUESTS);
-  const after = useOf(program.pid);
+  const after = readProcessUsage(program.pid);
   await pool.close();
   const processorS = after.processorS - before.processorS;
   return {
@@ -79,12 +79,12 @@
   deployment: LocalDeployment,
 ): Promise<number> {
   const entry = deployment.entries.get("entry-1")!;
-  const before = useOf(entry.program.pid).residentMb;
+  const before = readProcessUsage(entry.program.pid).residentMb;
   const sockets = await Promise.all(
     Array.from({ length: CONNECTIONS }, () => connect(entry.ports.callers)),
   );
   await wait(2_000);
-  const after = useOf(entry.program.pid).residentMb;
+  const after = readProcessUsage(entry.program.pid).residentMb;
   for (const socket of sockets) socket.destroy();
   return Number(((after - before) * 1024 / CONNECTIONS).toFixed(1));
 }
--- a/packages/standins/src/measure/slopes_main.ts
+++ b/packages/standins/src/measure/slopes_main.ts
@@ -1,7 +1,7 @@
 /**
- * Measures, inside one process, how cost grows with the size of things: bytes
- * and time for each slice, key, member and message. The capacity page works
- * from these slopes. `npm run measure:slopes`; the last line is JSON.
+ * Measures inside one process how cost grows with size: bytes and time for
+ * each slice, key, member and message. The capacity page is calculated from
+ * these slopes. Run by `npm run measure:slopes`; the last line is JSON.
  */
 import * as contracts from "@guavatide/contracts";
 import * as membership from "@guavatide/decisions/membership/mod";
@@ -31,19 +31,19 @@
   return process.memoryUsage().heapUsed;
 }
 
-/** Heap that the made value holds. */
-function heapOf(make: () => unknown): number {
+/** Heap bytes that the created value holds; needs `--expose-gc`. */
+function heapBytesOf(make: () => unknown): number {
   const before = heapBytes();
-  const made = make();
+  const value = make();
   const after = heapBytes();
-  return made === undefined ? 0 : after - before;
+  return value === undefined ? 0 : after - before;
 }
 
 /**
- * Median processor time of one call in microseconds. Time on the clock would
- * count the waits for a processor on a busy machine as well.
+ * Median processor time of one call in microseconds. Wall-clock time would
+ * include waits for a processor on a busy machine.
  */
-function timeUs(calls: number, run: () => void): number {
+function medianCpuUs(calls: number, run: () => void): number {
   for (let i = 0; i < calls; i++) run();
   const times: number[] = [];
   for (let repeat = 0; repeat < REPEATS; repeat++) {
@@ -60,7 +60,7 @@
     { length: servers },
     (_, index) => `service-${index}` as contracts.ServerId,
   );
-  const keepers = Array.from({ length: 9 }, (_, index) => ({
+  const voters = Array.from({ length: 9 }, (_, index) => ({
     vm: `entry-${index}` as contracts.VmId,
   }));
   return {
@@ -69,7 +69,7 @@
     writer: SELF.vm,
     writerIncarnation: SELF.incarnation,
     nonce: SELF.incarnation,
-    keeperSets: [keepers],
+    keeperSets: [voters],
     slices: ownership.equalSlices(names, slices, { fence: 12_345 }),
   };
 }
@@ -85,14 +85,14 @@
       void placement.findSlice(slices, random.below(contracts.HASH_SPACE));
     return [
       slope("assignment JSON a slice", size, json.length / size, "B"),
-      slope("assignment heap a slice", size, heapOf(parse) / size, "B"),
+      slope("assignment heap a slice", size, heapBytesOf(parse) / size, "B"),
       slope(
         "parse and check a slice",
         size,
-        timeUs(parseCalls, () => void parse()) / size,
+        medianCpuUs(parseCalls, () => void parse()) / size,
         "µs",
       ),
-      slope("look up a key's slice", size, timeUs(100_000, lookUp), "µs"),
+      slope("look up a key's slice", size, medianCpuUs(100_000, lookUp), "µs"),
     ];
   });
 }
@@ -104,30 +104,33 @@
     const slices = makeAssignment(100, 1_600).slices;
     const fill = () => {
       const tracker = new placement.LoadTracker(options);
-      for (let i = 0; i < 50_000; i++) recordOne(tracker, slices, random);
+      for (let i = 0; i < 50_000; i++) recordRandom(tracker, slices, random);
       return tracker;
     };
     const tracker = fill();
     return [
-      slope("load tracker heap", trackedKeys, heapOf(fill) / 1000, "kB"),
+      slope("load tracker heap", trackedKeys, heapBytesOf(fill) / 1000, "kB"),
       slope(
         "count one request",
         trackedKeys,
-        timeUs(50_000, () => recordOne(tracker, slices, random)),
+        medianCpuUs(50_000, () => recordRandom(tracker, slices, random)),
         "µs",
       ),
       slope(
         "make a load report",
         trackedKeys,
-        timeUs(20, () => void tracker.report({ ...SELF, service: SERVICE }, 0)),
+        medianCpuUs(
+          20,
+          () => void tracker.report({ ...SELF, service: SERVICE }, 0),
+        ),
         "µs",
       ),
     ];
   });
 }
 
-/** Keys by a skew close to Zipf's law: the square of an even draw. */
-function recordOne(
+/** Draws a key skewed like Zipf's law: the eighth power of a uniform draw. */
+function recordRandom(
   tracker: placement.LoadTracker,
   slices: readonly contracts.Slice[],
   random: SeededRandom,
@@ -138,7 +141,7 @@
   tracker.record({ fromHash, toHash, keyHash });
 }
 
-function listOf(vms: number): contracts.ListedVm[] {
+function listedVms(vms: number): contracts.ListedVm[] {
   return Array.from({ length: vms }, (_, index) => ({
     kind: "entry" as const,
     vm: `entry-${index + 2}` as contracts.VmId,
@@ -150,50 +153,50 @@
 }
 
 function makeMembership(vms: number): membership.Membership {
-  const made = new membership.Membership({
+  const created = new membership.Membership({
     ...membership.DEFAULT_MEMBERSHIP,
     vm: SELF.vm,
     random: new SeededRandom(3),
   });
-  made.noteList(listOf(vms), 0);
-  for (const { vm } of listOf(vms)) {
+  created.noteList(listedVms(vms), 0);
+  for (const { vm } of listedVms(vms)) {
     const incarnation = `${vm}-3f0c2a52-9d5b` as contracts.Incarnation;
-    made.noteReply(vm!, incarnation, { askedAtMs: 0, nowMs: 0 });
+    created.noteReply(vm!, incarnation, { askedAtMs: 0, nowMs: 0 });
   }
-  return made;
+  return created;
 }
 
-/** In a small fleet the heap's own noise is larger than the members. */
+/** Below 1000 VMs, noise of the heap size exceeds the members' memory. */
 function heapSlope(size: number): Slope[] {
   if (size < 1_000) return [];
-  const bytes = heapOf(() => makeMembership(size)) / size;
+  const bytes = heapBytesOf(() => makeMembership(size)) / size;
   return [slope("membership heap a VM", size, bytes, "B")];
 }
 
 function measureMembership(): Slope[] {
   return [9, 36, 100, 1_000, 7_900].flatMap((size) => {
-    const made = makeMembership(size);
+    const members = makeMembership(size);
     let nowMs = 0;
-    let asked = 0;
-    const beats = 400;
-    const beat = () => {
+    let targetCount = 0;
+    const heartbeats = 400;
+    const sendHeartbeats = () => {
       nowMs += membership.DEFAULT_MEMBERSHIP.beatMs;
-      const { targets } = made.beat(nowMs);
-      asked += targets.length;
+      const { targets } = members.beat(nowMs);
+      targetCount += targets.length;
       for (const vm of targets) {
         const incarnation = `${vm}-3f0c2a52-9d5b` as contracts.Incarnation;
-        made.noteReply(vm, incarnation, { askedAtMs: nowMs, nowMs });
+        members.noteReply(vm, incarnation, { askedAtMs: nowMs, nowMs });
       }
     };
-    const beatUs = timeUs(beats, beat);
+    const heartbeatUs = medianCpuUs(heartbeats, sendHeartbeats);
     return [
       ...heapSlope(size),
-      slope("one beat's decisions", size, beatUs, "µs"),
-      slope("peers asked in a beat", size, asked / (beats * 6), ""),
+      slope("one beat's decisions", size, heartbeatUs, "µs"),
+      slope("peers asked in a beat", size, targetCount / (heartbeats * 6), ""),
       slope(
         "VM list JSON a VM",
         size,
-        JSON.stringify(listOf(size)).length /
+        JSON.stringify(listedVms(size)).length /
           size,
         "B",
       ),
@@ -236,7 +239,7 @@
   };
   return [
     ...sizes,
-    slope("heartbeat: text, check, text", 3, timeUs(2_000, handle), "µs"),
+    slope("heartbeat: text, check, text", 3, medianCpuUs(2_000, handle), "µs"),
     slope("largest load report", 1, largestReport(), "B"),
   ];
 }
@@ -264,9 +267,9 @@
   return JSON.stringify(contracts.serviceLoadSchema.parse(load)).length;
 }
 
-function measureOrders(): Slope[] {
+function measureLeaseCommands(): Slope[] {
   return [16, 48].flatMap((size) => {
-    const order: contracts.LeaseCommand = {
+    const command: contracts.LeaseCommand = {
       service: SERVICE,
       server: "service-1" as contracts.ServerId,
       revision: 12_345,
@@ -280,7 +283,9 @@
         fence: slice.fence,
       })),
     };
-    return [slope("ownership order", size, JSON.stringify(order).length, "B")];
+    return [
+      slope("ownership order", size, JSON.stringify(command).length, "B"),
+    ];
   });
 }
 
@@ -305,11 +310,16 @@
     const calls = Math.max(1, 4_000 / size);
     return [
       slope("configuration JSON an object", size, json.length / size, "B"),
-      slope("configuration heap an object", size, heapOf(parse) / size, "B"),
+      slope(
+        "configuration heap an object",
+        size,
+        heapBytesOf(parse) / size,
+        "B",
+      ),
       slope(
         "parse and check an object",
         size,
-        timeUs(calls, () => void parse()) / size,
+        medianCpuUs(calls, () => void parse()) / size,
         "µs",
       ),
     ];
@@ -330,7 +340,7 @@
   ...measureTracker(),
   ...measureMembership(),
   ...measureMessages(),
-  ...measureOrders(),
+  ...measureLeaseCommands(),
   ...measureConfig(),
 ];
 console.table(slopes);
--- a/packages/standins/src/measure/store_calls_main.ts
+++ b/packages/standins/src/measure/store_calls_main.ts
@@ -1,8 +1,8 @@
 /**
- * Counts the calls that nine entry VMs make to the platform's store: at rest,
- * while a server is lost and returns, during an outage and in each second
- * after the store is back. The platform allows several hundred writes and
- * about two thousand reads a second.
+ * Counts the calls of nine entry VMs to the platform's store: idle, while a
+ * server fails and returns, during a store outage and in each second after it.
+ * The platform allows several hundred writes and about two thousand reads a
+ * second.
  */
 import * as timers from "node:timers/promises";
 import * as plans from "../deployment/deployment_plan.ts";
@@ -15,7 +15,7 @@
 const OUTAGE_MS = 10_000;
 const RECOVERY_SECONDS = 8;
 
-function say(line: string): void {
+function printLine(line: string): void {
   process.stdout.write(`${line}\n`);
 }
 
@@ -25,7 +25,7 @@
     .reduce((sum, count) => sum + count, 0);
 }
 
-/** Calls a second over some time. */
+/** Mean calls per second over `timeMs`. */
 async function rateOver(
   deployment: LocalDeployment,
   timeMs: number,
@@ -37,13 +37,13 @@
   return calls / (performance.now() - startMs) * SECOND_MS;
 }
 
-async function sayPhase(
+async function measurePhase(
   name: string,
   deployment: LocalDeployment,
   timeMs: number,
 ): Promise<void> {
   const rate = await rateOver(deployment, timeMs);
-  say(`| ${name} | ${rate.toFixed(1)} |`);
+  printLine(`| ${name} | ${rate.toFixed(1)} |`);
 }
 
 async function main(): Promise<void> {
@@ -52,23 +52,27 @@
     entrySettings: { log: { format: "text", level: "warn" } },
   });
   await timers.setTimeout(SETTLE_MS);
-  say("| phase | store calls a second, 9 entry VMs together |");
-  say("| --- | --- |");
-  await sayPhase("at rest", deployment, PHASE_MS);
-  const lost = deployment.servers.get("availability-1")!;
-  lost.program.kill("SIGKILL");
-  await sayPhase("a keyed server lost", deployment, PHASE_MS);
+  printLine("| phase | store calls a second, 9 entry VMs together |");
+  printLine("| --- | --- |");
+  await measurePhase("at rest", deployment, PHASE_MS);
+  const server = deployment.servers.get("availability-1")!;
+  server.program.kill("SIGKILL");
+  await measurePhase("a keyed server lost", deployment, PHASE_MS);
   await deployment.restartServer("availability-1");
-  await sayPhase("it returns", deployment, PHASE_MS);
+  await measurePhase("it returns", deployment, PHASE_MS);
   await deployment.setFaults("store", { outage: "refuse" });
-  await sayPhase("store down", deployment, OUTAGE_MS);
+  await measurePhase("store down", deployment, OUTAGE_MS);
   await deployment.setFaults("store", { outage: "none" });
   for (let second = 1; second <= RECOVERY_SECONDS; second++) {
-    await sayPhase(`second ${second} after its return`, deployment, SECOND_MS);
+    await measurePhase(
+      `second ${second} after its return`,
+      deployment,
+      SECOND_MS,
+    );
   }
   await deployment.stop();
 }
 
 await main();
-// Idle connections of the harness would hold the process.
+// Idle connections of the harness would keep the process alive.
 process.exit();
