--- a/packages/standins/src/bench/bench_caller_main.ts
+++ b/packages/standins/src/bench/bench_caller_main.ts
@@ -1,7 +1,7 @@
 /**
- * Sends requests at times that are drawn beforehand, whatever comes back, and
- * writes what became of each. A load that waited for answers would slow down
- * with the system and hide its worst times.
+ * Open-loop load generator: sends requests at times drawn in advance, whatever
+ * the answers, and writes the outcome of each. A closed loop would slow down
+ * with the system and hide its worst latencies (coordinated omission).
  */
 import * as contracts from "@guavatide/contracts";
 import * as fs from "node:fs";
@@ -12,10 +12,10 @@
 import * as serve from "../http/serve.ts";
 import * as messages from "./bench_messages.ts";
 
-/** Connections to each origin; more than are ever in flight. */
+/** Connections to each origin; more than requests are ever in flight. */
 const CONNECTIONS = 400;
-/** Time that a caller waits beyond the deadline it names. */
-const PATIENCE_MS = 1000;
+/** Time that a caller waits beyond the deadline in its request. */
+const CALLER_GRACE_MS = 1000;
 
 interface Arrival {
   readonly atMs: number;
@@ -23,7 +23,7 @@
   readonly origin: number;
 }
 
-/** Draws all arrivals of a stream. */
+/** Draws the arrivals of all streams as Poisson processes. */
 function drawArrivals(
   argument: messages.CallerArgument,
 ): Arrival[] {
@@ -78,7 +78,7 @@
     const id = `${label}-${index}`;
     const sentMs = performance.now();
     await serve.delay(clientDelayMs);
-    const seen = await this.#call(arrival, id);
+    const result = await this.#call(arrival, id);
     await serve.delay(clientDelayMs);
     this.#results.push({
       id,
@@ -86,7 +86,7 @@
       isCounted: arrival.atMs >= warmUpMs,
       latencyMs: performance.now() - sentMs,
       sentMs: arrival.atMs,
-      ...seen,
+      ...result,
     });
   }
 
@@ -108,7 +108,7 @@
         path,
         method: method as undici.Dispatcher.HttpMethod,
         headers,
-        signal: AbortSignal.timeout(timeoutMs + PATIENCE_MS),
+        signal: AbortSignal.timeout(timeoutMs + CALLER_GRACE_MS),
       });
       await answer.body.text();
       return readOutcome(answer);
--- a/packages/standins/src/bench/bench_cluster.ts
+++ b/packages/standins/src/bench/bench_cluster.ts
@@ -1,4 +1,4 @@
-/** Starts and stops the processes of one run of the bench. */
+/** Starts and stops the processes of one bench run. */
 import type * as contracts from "@guavatide/contracts";
 import * as url from "node:url";
 import { ChildProgram } from "../processes/child_program.ts";
@@ -17,11 +17,11 @@
   readonly policy: string;
   readonly meanServiceMs: number;
   readonly seed: number;
-  /** Where entry processes leave a profile of their processor time. */
+  /** Folder for CPU profiles of the entry processes. */
   readonly profileFolder?: string;
 }
 
-/** Spread of the servers' run times; their median is below the mean. */
+/** Sigma of the lognormal run times; their median is below the mean. */
 const SERVICE_TIME_SIGMA = 0.5;
 const COLD_START_MS = 1000;
 const STOP_TIMEOUT_MS = 10_000;
@@ -30,7 +30,7 @@
   readonly server: contracts.ServerId;
   readonly zone: contracts.ZoneId;
   program: ChildProgram;
-  /** Journals of runs of the server that have ended. */
+  /** Journal entries of the server's former processes. */
   readonly journals: JournalEntry[];
 }
 
@@ -39,8 +39,8 @@
   readonly peerPort: number;
 }
 
-/** Clusters that run, for a bench that is stopped by a signal. */
-const running = new Set<BenchCluster>();
+/** Running clusters, to be killed if a signal stops the bench. */
+const runningClusters = new Set<BenchCluster>();
 
 /** Backend servers and entry VMs of one service. */
 export class BenchCluster {
@@ -52,14 +52,14 @@
     this.#options = options;
   }
 
-  /** Starts everything. Errors: rejects when a program does not start. */
+  /** Starts all processes. Errors: rejects if one doesn't start. */
   static async start(options: BenchClusterOptions): Promise<BenchCluster> {
     const cluster = new BenchCluster(options);
-    running.add(cluster);
+    runningClusters.add(cluster);
     try {
       await cluster.#startBackends();
       await cluster.#startEntries();
-      await cluster.setUp();
+      await cluster.configureEntries();
     } catch (error) {
       await cluster.stop();
       throw error;
@@ -67,14 +67,14 @@
     return cluster;
   }
 
-  /** Ends every program of every cluster at once. */
+  /** Kills every process of every cluster. */
   static killAll(): void {
-    for (const cluster of running) {
+    for (const cluster of runningClusters) {
       for (const program of cluster.#programs()) program.kill("SIGKILL");
     }
   }
 
-  /** Where callers may send requests. */
+  /** Origins of the entry VMs for callers. */
   get callerOrigins(): string[] {
     return this.#entries.map((entry) =>
       standIns.originOf(portsOf(entry).callerPort)
@@ -93,8 +93,8 @@
     return this.#entries;
   }
 
-  /** Tells every entry process the present servers and peers. */
-  async setUp(): Promise<void> {
+  /** Sends the current servers and peers to every entry process. */
+  async configureEntries(): Promise<void> {
     const body = this.#setup();
     await Promise.all(
       this.#entries.map((entry) =>
@@ -103,7 +103,7 @@
     );
   }
 
-  /** Ends a server at once and starts it anew, cold. */
+  /** Kills a server and restarts it cold. */
   async restartCold(index: number): Promise<void> {
     const backend = this.#backends[index]!;
     backend.journals.push(...await this.#journalOf(backend));
@@ -113,7 +113,7 @@
     backend.program = await this.#startBackend({ server, zone }, {
       coldStartMs: COLD_START_MS,
     });
-    await this.setUp();
+    await this.configureEntries();
   }
 
   async usages(): Promise<EntryUsage[]> {
@@ -124,7 +124,7 @@
     ) as EntryUsage[];
   }
 
-  /** What every server ran. */
+  /** Journal entries of all servers. */
   async journals(): Promise<JournalEntry[]> {
     const all = await Promise.all(this.#backends.map(async (backend) => [
       ...backend.journals,
@@ -133,7 +133,7 @@
     return all.flat();
   }
 
-  /** Runs a caller process to its end. */
+  /** Runs a caller process to its end. Errors: rejects if it fails. */
   async runCaller(argument: CallerArgument): Promise<void> {
     const script = scriptOf("bench_caller_main");
     const caller = await ChildProgram.start({
@@ -148,12 +148,12 @@
     );
   }
 
-  /** Ends every program of this cluster. */
+  /** Stops every process of this cluster. */
   async stop(): Promise<void> {
-    running.delete(this);
+    runningClusters.delete(this);
     for (const { program } of this.#backends) program.kill("SIGKILL");
     const programs = this.#programs();
-    await Promise.all(programs.map((it) => it.stop(STOP_TIMEOUT_MS)));
+    await Promise.all(programs.map((program) => program.stop(STOP_TIMEOUT_MS)));
   }
 
   #programs(): ChildProgram[] {
@@ -245,7 +245,7 @@
         churnWeight: 1,
         policy,
       },
-      // The limits of callers are not what these runs are about.
+      // High enough that caller limits don't affect these runs.
       partner: {
         kind: "partner",
         name: partner,
--- a/packages/standins/src/bench/bench_cost.ts
+++ b/packages/standins/src/bench/bench_cost.ts
@@ -1,6 +1,6 @@
 /**
- * The router's own cost: the same requests to the same server, half of them
- * through an entry VM and half directly, in the same run.
+ * Measures the router's overhead: the same requests to the same server, half of
+ * them through an entry VM and half directly, in the same run.
  */
 import * as fs from "node:fs";
 import * as os from "node:os";
@@ -25,7 +25,7 @@
   readonly p99Ms: number;
 }
 
-/** What a request costs on its way through an entry VM. */
+/** Overhead of requests that pass through an entry VM. */
 export interface CostFigures {
   readonly throughEntry: CostLatency;
   readonly direct: CostLatency;
@@ -36,7 +36,7 @@
   readonly loopDelayP99Ms: number;
 }
 
-/** One entry VM and one server with many slots, so that nothing waits. */
+/** One entry VM and one server with enough slots that no request waits. */
 const COST_SERVICE: BenchService = {
   name: "cost",
   zones: ["zone"],
@@ -51,7 +51,10 @@
 const SERVICE_MS = 2;
 const TIMEOUT_MS = 2000;
 
-/** Measures added latency and processor time. */
+/**
+ * Measures added latency and processor time. Errors: rejects if a process
+ * doesn't start or a caller fails.
+ */
 export async function benchCost(
   options: BenchCostOptions,
 ): Promise<CostFigures> {
@@ -64,8 +67,8 @@
   });
   try {
     const [throughEntry, direct] = await Promise.all([
-      runSide(cluster, { ...options, folder, isDirect: false }),
-      runSide(cluster, { ...options, folder, isDirect: true }),
+      runPath(cluster, { ...options, folder, isDirect: false }),
+      runPath(cluster, { ...options, folder, isDirect: true }),
     ]);
     const [usage] = await cluster.usages();
     return {
@@ -83,7 +86,7 @@
   }
 }
 
-async function runSide(
+async function runPath(
   cluster: BenchCluster,
   options: BenchCostOptions & {
     readonly folder: string;
--- a/packages/standins/src/bench/bench_entry_main.ts
+++ b/packages/standins/src/bench/bench_entry_main.ts
@@ -1,6 +1,6 @@
 /**
- * An entry process of the bench: the shipped request path over fixed servers
- * and peers, so that a figure is the request path's own.
+ * An entry process of the bench: the production request path with fixed servers
+ * and peers, so that figures show the request path alone.
  */
 import type {
   ConfigView,
@@ -23,11 +23,11 @@
 
 const HOST = "127.0.0.1";
 
-/** Everything one process needs, filled in by the setup. */
+/** One entry process; it routes once {@link BenchEntry.applySetup} ran. */
 class BenchEntry {
   readonly #argument: messages.EntryArgument;
   readonly #lifeCycle = new LifeCycle();
-  readonly #door: PeerDoor;
+  readonly #peerServer: PeerDoor;
   readonly #peers: BenchPeers;
   #setup: messages.EntrySetup | undefined;
   #addresses: ServerAddress[] = [];
@@ -36,12 +36,16 @@
 
   constructor(argument: messages.EntryArgument) {
     this.#argument = argument;
-    this.#door = new PeerDoor({ host: HOST, port: 0, secret: argument.secret });
-    this.#peers = new BenchPeers(argument, this.#door);
+    this.#peerServer = new PeerDoor({
+      host: HOST,
+      port: 0,
+      secret: argument.secret,
+    });
+    this.#peers = new BenchPeers(argument, this.#peerServer);
     this.#loopDelay.enable();
   }
 
-  /** Opens both ports. */
+  /** Listens for callers and for peers. */
   async listen(): Promise<{ callerPort: number; peerPort: number }> {
     const clock = new MonotonicClock();
     const router = new requests.RequestRouter({
@@ -71,11 +75,11 @@
     });
     return {
       callerPort: await listener.listen(),
-      peerPort: await this.#door.listen(this.#lifeCycle),
+      peerPort: await this.#peerServer.listen(this.#lifeCycle),
     };
   }
 
-  setUp(setup: messages.EntrySetup): void {
+  applySetup(setup: messages.EntrySetup): void {
     this.#setup = setup;
     this.#addresses = setup.servers.map((server) => ({
       ...server,
@@ -83,7 +87,7 @@
       host: HOST,
       state: "live",
     }));
-    this.#peers.setUp(setup.peers);
+    this.#peers.setPeers(setup.peers);
     this.#loopDelay.reset();
   }
 
@@ -115,7 +119,7 @@
   #servers(): ServerView {
     return {
       servers: () => this.#addresses,
-      server: (id) => this.#addresses.find((it) => it.server === id),
+      server: (id) => this.#addresses.find((address) => address.server === id),
       noteDraining: (id) => {
         this.#addresses = this.#addresses.map((address) =>
           address.server === id ? { ...address, state: "draining" } : address
@@ -140,7 +144,7 @@
   }
 }
 
-/** The bench's services are unkeyed. */
+/** No owners: the bench's services are unkeyed. */
 const NO_OWNERS: OwnerView = {
   lookup: () => ({ kind: "none" }),
   mayForward: () => false,
@@ -160,7 +164,7 @@
   const ports = await entry.listen();
   const app = new Hono<serve.StandInEnv>();
   app.post("/setup", async (context) => {
-    entry.setUp(messages.entrySetupSchema.parse(await context.req.json()));
+    entry.applySetup(messages.entrySetupSchema.parse(await context.req.json()));
     return context.json({});
   });
   app.get("/usage", (context) => context.json(entry.usage()));
--- a/packages/standins/src/bench/bench_figures.ts
+++ b/packages/standins/src/bench/bench_figures.ts
@@ -1,21 +1,21 @@
-/** Figures of one run, from what callers were told and servers ran. */
+/** Computes a run's figures from caller results and server journals. */
 import * as hdr from "hdr-histogram-js";
 import type { JournalEntry } from "../backend_server/journal.ts";
 import type { EntryUsage, OperationResult } from "./bench_messages.ts";
 
-/** Figures of the requests of one caller or of all. */
+/** Figures for the requests of one caller or of all callers. */
 export interface RequestFigures {
   readonly requests: number;
   readonly answered: number;
   /** Answers a second. */
   readonly goodputPerSecond: number;
-  /** Part of the requests that were answered. */
+  /** Fraction of the requests that were answered. */
   readonly answeredPart: number;
   readonly p50Ms: number;
   readonly p99Ms: number;
   /** Requests without an answer, by outcome and reason. */
   readonly notAnswered: Readonly<Record<string, number>>;
-  /** How long a caller waited for a refusal. */
+  /** 99th percentile of the time until a refusal. */
   readonly refusalP99Ms: number;
 }
 
@@ -23,47 +23,49 @@
 export interface RunFigures extends RequestFigures {
   readonly callers: Readonly<Record<string, RequestFigures>>;
   readonly retriesPerRequest: number;
-  /** Largest number of runs of a server over the mean. */
+  /** Largest number of runs at a server over the mean. */
   readonly imbalanceMaxOverMean: number;
-  /** Coefficient of variation of the servers' runs. */
+  /** Coefficient of variation of the number of runs per server. */
   readonly imbalanceCv: number;
-  /** Mean time that a run really took at a server. */
+  /** Measured mean time of a run at a server. */
   readonly runMs: number;
-  /** Operations of methods that are not idempotent which ran twice. */
+  /** Non-idempotent operations that ran more than once. */
   readonly runTwice: number;
+  /** Operations reported as not run that a server ran. */
   readonly toldNotRunButRan: number;
   readonly entryCpuMsPerRequest: number;
   readonly busiestEntryCpuMs: number;
   readonly peerMessagesPerRequest: number;
   readonly ejections: number;
-  /** How late timers fired at the entry VM where they were latest. */
+  /** Event loop lag of the entry VM where it was largest. */
   readonly loopDelayP99Ms: number;
 }
 
-/** Options of {@link runFigures}. */
+/** Options of {@link computeRunFigures}. */
 export interface RunFiguresOptions {
   readonly countedMs: number;
   readonly journal: readonly JournalEntry[];
-  /** Of each entry VM, when the counted time began and when it was over. */
+  /** Usage of each entry VM at the start of the measured time. */
   readonly usagesBefore: readonly EntryUsage[];
+  /** Usage of each entry VM at the end of the measured time. */
   readonly usages: readonly EntryUsage[];
   readonly isIdempotent: boolean;
 }
 
-/** Works out the figures of a run. */
-export function runFigures(
+/** Computes the figures of a run. */
+export function computeRunFigures(
   results: readonly OperationResult[],
   options: RunFiguresOptions,
 ): RunFigures {
   const counted = results.filter((result) => result.isCounted);
   const { countedMs, usagesBefore } = options;
   const usages = options.usages.map((usage, index) =>
-    spentSince(usage, usagesBefore[index]!)
+    usageSince(usage, usagesBefore[index]!)
   );
   const callers: Record<string, RequestFigures> = {};
   for (const caller of new Set(counted.map((result) => result.caller))) {
-    const own = counted.filter((result) => result.caller === caller);
-    callers[caller] = requestFigures(own, countedMs);
+    const ofCaller = counted.filter((result) => result.caller === caller);
+    callers[caller] = requestFigures(ofCaller, countedMs);
   }
   return {
     ...requestFigures(counted, countedMs),
@@ -144,7 +146,7 @@
   const variance = counts.reduce((a, b) => a + (b - mean) ** 2, 0) /
     counts.length;
   const twice = [...runs.values()].filter((count) => count > 1).length;
-  const lies = results.filter(({ outcome, id }) =>
+  const ranDespiteNotRun = results.filter(({ outcome, id }) =>
     outcome === "not-run" && runs.has(id)
   );
   return {
@@ -152,11 +154,11 @@
     imbalanceCv: Math.sqrt(variance) / mean,
     runMs: totalMs / ended,
     runTwice: options.isIdempotent ? 0 : twice,
-    toldNotRunButRan: lies.length,
+    toldNotRunButRan: ranDespiteNotRun.length,
   };
 }
 
-function spentSince(now: EntryUsage, before: EntryUsage): EntryUsage {
+function usageSince(now: EntryUsage, before: EntryUsage): EntryUsage {
   return {
     ...now,
     cpuMs: now.cpuMs - before.cpuMs,
--- a/packages/standins/src/bench/bench_main.ts
+++ b/packages/standins/src/bench/bench_main.ts
@@ -1,54 +1,54 @@
-/** The bench's command line. */
+/** Command line of the load bench. */
 import * as clipanion from "clipanion";
 import { BenchCluster } from "./bench_cluster.ts";
 import { benchCost } from "./bench_cost.ts";
 import { type BenchResult, benchRun } from "./bench_run.ts";
 import { BENCH_SCENARIOS, BENCH_SERVICES } from "./bench_scenarios.ts";
-import { formatTable, TABLE_HEAD } from "./bench_table.ts";
+import { formatTable, TABLE_HEADER } from "./bench_table.ts";
 
 const DEFAULT_POLICIES =
   "round-robin,least-outstanding,power-of-two,dispatched";
 
-/** Runs scenarios with policies side by side. */
+/** Runs scenarios with several load-balancing policies. */
 class BenchCommand extends clipanion.Command {
   static override usage = clipanion.Command.Usage({
-    description: "run the load bench on stand-ins of this machine",
+    description: "run the load bench with local stand-in processes",
   });
   scenario = clipanion.Option.String("--scenario", "all", {
-    description: `names, by comma; all: ${
+    description: `comma-separated names, or "all": ${
       BENCH_SCENARIOS.map((scenario) => scenario.name).join(", ")
     }`,
   });
   service = clipanion.Option.String("--service", "reservations", {
-    description: `names, by comma: ${
+    description: `comma-separated names: ${
       BENCH_SERVICES.map((service) => service.name).join(", ")
     }`,
   });
   policy = clipanion.Option.String("--policy", DEFAULT_POLICIES, {
-    description: "policies, by comma",
+    description: "comma-separated policies",
   });
   seconds = clipanion.Option.String("--seconds", "6", {
-    description: "counted time of a run",
+    description: "measured time of a run, without warm-up",
   });
   serviceMs = clipanion.Option.String("--service-ms", "20", {
-    description: "mean time a request runs at a server",
+    description: "mean time that a server works on a request",
   });
   timeScale = clipanion.Option.String("--time-scale", "1", {
-    description: "stretches run times, link delays and deadlines, so that " +
-      "a busy machine's noise weighs less",
+    description: "factor for run times, network delays and deadlines, to " +
+      "reduce the influence of noise on a busy machine",
   });
   method = clipanion.Option.String("--method", "POST", {
     description: "GET is idempotent, POST is not",
   });
   profileFolder = clipanion.Option.String("--profile-folder", {
-    description: "where entry processes leave CPU profiles",
+    description: "folder for CPU profiles of the entry processes",
   });
   seed = clipanion.Option.String("--seed", "1");
   json = clipanion.Option.Boolean("--json", false);
 
   async execute(): Promise<number> {
     const results: BenchResult[] = [];
-    if (!this.json) this.context.stdout.write(`${TABLE_HEAD}\n`);
+    if (!this.json) this.context.stdout.write(`${TABLE_HEADER}\n`);
     for (const service of pick(BENCH_SERVICES, this.service)) {
       for (const scenario of pick(BENCH_SCENARIOS, this.scenario)) {
         for (const policy of this.policy.split(",")) {
@@ -75,14 +75,14 @@
   }
 }
 
-/** Measures what the request path itself costs. */
+/** Measures the overhead of the request path. */
 class CostCommand extends clipanion.Command {
   static override paths = [["cost"]];
   static override usage = clipanion.Command.Usage({
     description: "compare requests through an entry VM with direct ones",
   });
   rate = clipanion.Option.String("--rate", "100", {
-    description: "requests a second, on each of the two ways",
+    description: "requests a second, on each of the two paths",
   });
   seconds = clipanion.Option.String("--seconds", "10");
   policy = clipanion.Option.String("--policy", "power-of-two");
@@ -113,7 +113,7 @@
   });
 }
 
-// Without these the programs of a bench that is stopped or fails go on.
+// Otherwise child processes survive a bench that is stopped or fails.
 process.once("exit", () => BenchCluster.killAll());
 for (const signal of ["SIGINT", "SIGTERM"] as const) {
   process.once(signal, () => process.exit(1));
--- a/packages/standins/src/bench/bench_messages.ts
+++ b/packages/standins/src/bench/bench_messages.ts
@@ -1,4 +1,4 @@
-/** What the bench and its processes tell each other. */
+/** Messages between the bench and its child processes. */
 import * as contracts from "@guavatide/contracts";
 import * as z from "zod";
 
@@ -26,10 +26,10 @@
     port: z.number().int(),
   })),
 });
-/** Sent to each entry process once all ports are known, and on a change. */
+/** Sent to each entry process once all ports are known, and on changes. */
 export type EntrySetup = z.infer<typeof entrySetupSchema>;
 
-/** What an entry process has spent since its start. */
+/** Resource usage and counters of an entry process since its start. */
 export interface EntryUsage {
   readonly cpuMs: number;
   readonly residentBytes: number;
@@ -37,7 +37,7 @@
   readonly retries: number;
   readonly peerMessages: number;
   readonly ejections: number;
-  /** How late timers fired: noise of the machine, or too much work. */
+  /** Event loop lag: due to noise of the machine or to overload. */
   readonly loopDelayP99Ms: number;
 }
 
@@ -49,25 +49,25 @@
   fromMs: z.number().min(0),
   toMs: z.number().min(0),
 });
-/** Requests of one caller, arriving by chance at a mean rate. */
+/** Requests of one caller, as a Poisson process with a mean rate. */
 export type LoadStream = z.infer<typeof loadStreamSchema>;
 
 /** Schema of {@link CallerArgument}. */
 export const callerArgumentSchema = z.strictObject({
-  /** Where the requests go: one is drawn for each. */
+  /** Targets; one is drawn at random for each request. */
   origins: z.array(z.string()).min(1),
   path: z.string(),
   method: z.string(),
-  /** Added to each request, for a server that is called directly. */
+  /** Whether to send a request id, as a directly called server needs it. */
   withRequestId: z.boolean(),
   streams: z.array(loadStreamSchema).min(1),
-  /** Time the caller waits. */
+  /** Deadline of each request. */
   timeoutMs: z.number().positive(),
   /** One-way delay between caller and entry VM. */
   clientDelayMs: z.number().min(0),
   /** Requests sent before this time are not counted in the figures. */
   warmUpMs: z.number().min(0),
-  /** Ends the names of operations, so that they are unique in a run. */
+  /** Prefix of operation ids that makes them unique in a run. */
   label: z.string(),
   seed: z.number().int(),
   resultFile: z.string(),
@@ -75,15 +75,15 @@
 /** Argument of a caller process. */
 export type CallerArgument = z.infer<typeof callerArgumentSchema>;
 
-/** What became of one operation. */
+/** Outcome of one operation. */
 export interface OperationResult {
   readonly id: string;
   readonly caller: string;
   readonly isCounted: boolean;
-  /** `answered`, `not-run`, `unknown`, or `none` when nothing came back. */
+  /** `answered`, `not-run`, `unknown`, or `none` if no answer came. */
   readonly outcome: string;
   readonly reason: string;
   readonly latencyMs: number;
-  /** When it was sent, from the start of the load. */
+  /** When it was due to be sent, since the start of the load. */
   readonly sentMs: number;
 }
--- a/packages/standins/src/bench/bench_peers.ts
+++ b/packages/standins/src/bench/bench_peers.ts
@@ -1,4 +1,4 @@
-/** Links between the bench's entry processes, with the brief's delay. */
+/** Connections between the bench's entry processes, with a set delay. */
 import type * as contracts from "@guavatide/contracts";
 import type { PeerCallOptions, PeerCalls } from "guavatide/requests/peer_calls";
 import type { PeerDoor } from "guavatide/vms/peer_door";
@@ -8,18 +8,18 @@
 import * as serve from "../http/serve.ts";
 import type { EntryArgument, EntrySetup } from "./bench_messages.ts";
 
-/** The shipped peer links to fixed peers. */
+/** Production peer connections to a fixed list of peers. */
 export class BenchPeers implements PeerCalls {
   readonly self: PeerCalls["self"];
   readonly #argument: EntryArgument;
-  readonly #door: PeerDoor;
-  readonly #links = new Map<contracts.VmId, PeerLink>();
+  readonly #peerServer: PeerDoor;
+  readonly #connections = new Map<contracts.VmId, PeerLink>();
   #members: contracts.VmId[] = [];
   #sent = 0;
 
-  constructor(argument: EntryArgument, door: PeerDoor) {
+  constructor(argument: EntryArgument, peerServer: PeerDoor) {
     this.#argument = argument;
-    this.#door = door;
+    this.#peerServer = peerServer;
     this.self = {
       vm: argument.vm,
       incarnation: crypto.randomUUID() as contracts.Incarnation,
@@ -31,13 +31,13 @@
     return this.#sent;
   }
 
-  setUp(peers: EntrySetup["peers"]): void {
+  setPeers(peers: EntrySetup["peers"]): void {
     this.#members = peers.map((peer) => peer.vm);
     for (const { vm, port } of peers) {
-      if (this.#links.has(vm)) continue;
+      if (this.#connections.has(vm)) continue;
       const address = { host: "127.0.0.1", port };
       const { secret } = this.#argument;
-      this.#links.set(vm, new PeerLink(address, { secret }));
+      this.#connections.set(vm, new PeerLink(address, { secret }));
     }
   }
 
@@ -51,10 +51,10 @@
     options: PeerCallOptions<Schema>,
   ): Promise<z.infer<Schema> | undefined> {
     this.#sent++;
-    const link = this.#links.get(vm);
-    if (link === undefined) return undefined;
+    const connection = this.#connections.get(vm);
+    if (connection === undefined) return undefined;
     await serve.delay(this.#argument.peerDelayMs);
-    const result = await link.call(method, options);
+    const result = await connection.call(method, options);
     await serve.delay(this.#argument.peerDelayMs);
     return result.isOk() ? result.value : undefined;
   }
@@ -64,6 +64,6 @@
     schema: Schema,
     handler: (params: z.infer<Schema>) => unknown,
   ): void {
-    this.#door.register(method, schema, handler);
+    this.#peerServer.register(method, schema, handler);
   }
 }
--- a/packages/standins/src/bench/bench_run.ts
+++ b/packages/standins/src/bench/bench_run.ts
@@ -5,7 +5,7 @@
 import * as serve from "../http/serve.ts";
 import * as standIns from "../processes/stand_ins.ts";
 import { BenchCluster } from "./bench_cluster.ts";
-import { type RunFigures, runFigures } from "./bench_figures.ts";
+import { computeRunFigures, type RunFigures } from "./bench_figures.ts";
 import type { LoadStream, OperationResult } from "./bench_messages.ts";
 import type { BenchScenario, BenchService } from "./bench_scenarios.ts";
 
@@ -15,41 +15,44 @@
   readonly policy: string;
   readonly durationMs: number;
   readonly meanServiceMs: number;
-  /** By how much deadlines and link delays are stretched. */
+  /** Factor for deadlines and network delays. */
   readonly timeScale: number;
-  /** Run time that the stand-ins really take, when it is known. */
+  /** Measured mean run time of the stand-in servers, if known. */
   readonly realServiceMs?: number;
   readonly method: "GET" | "POST";
   readonly seed: number;
   readonly profileFolder?: string;
 }
 
-/** One line of the bench's result. */
+/** Result of one run: one row of the table. */
 export interface BenchResult {
   readonly service: string;
   readonly scenario: string;
   readonly policy: string;
   readonly load: number;
-  /** Requests a second that the servers can run. */
+  /** Requests a second that the servers can process. */
   readonly capacityPerSecond: number;
   readonly figures: RunFigures;
 }
 
 const WARM_UP_MS = 5000;
 const TIMEOUT_MS = 1000;
-/** Node's timers fire this much late in the mean, at every run. */
-const TIMER_EXTRA_MS = 0.7;
-/** Faults last for the middle third of the counted time. */
+/** Mean lateness of Node's timers; it lengthens every run at a server. */
+const TIMER_LATENESS_MS = 0.7;
+/** Faults last for the middle third of the measured time. */
 const FAULT_PARTS = 3;
 
-/** Runs one cell of the table. */
+/**
+ * Runs one scenario with one policy. Errors: rejects if a process doesn't start
+ * or a caller fails.
+ */
 export async function benchRun(
   unscaled: BenchService,
   options: BenchRunOptions,
 ): Promise<BenchResult> {
-  const service = stretched(unscaled, options.timeScale);
+  const service = scaleDelays(unscaled, options.timeScale);
   const { scenario, policy, meanServiceMs, seed } = options;
-  const realMs = options.realServiceMs ?? meanServiceMs + TIMER_EXTRA_MS;
+  const realMs = options.realServiceMs ?? meanServiceMs + TIMER_LATENESS_MS;
   const capacity = service.servers * service.slots * 1000 / realMs;
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), "guavatide-bench-"));
   const resultFile = path.join(folder, "results.json");
@@ -61,7 +64,7 @@
     profileFolder: options.profileFolder,
   });
   try {
-    const fault = imposeFault(cluster, options);
+    const fault = injectFault(cluster, options);
     const usagesBefore = serve.delay(WARM_UP_MS).then(() => cluster.usages());
     await cluster.runCaller({
       origins: cluster.callerOrigins,
@@ -83,7 +86,7 @@
     const results = JSON.parse(
       fs.readFileSync(resultFile, "utf8"),
     ) as OperationResult[];
-    const figures = runFigures(results, {
+    const figures = computeRunFigures(results, {
       countedMs: options.durationMs,
       journal: await cluster.journals(),
       usagesBefore: await usagesBefore,
@@ -104,7 +107,7 @@
   }
 }
 
-function stretched(service: BenchService, timeScale: number): BenchService {
+function scaleDelays(service: BenchService, timeScale: number): BenchService {
   return {
     ...service,
     linkDelayMs: service.linkDelayMs * timeScale,
@@ -135,7 +138,7 @@
   return streams;
 }
 
-async function imposeFault(
+async function injectFault(
   cluster: BenchCluster,
   options: BenchRunOptions,
 ): Promise<void> {
@@ -189,7 +192,7 @@
   for (const program of programs) program.wake();
 }
 
-/** The entry VM that dispatches, if one does: it sends the most messages. */
+/** Entry VM with the most processor time: the dispatcher, if there is one. */
 async function busiestEntry(cluster: BenchCluster): Promise<Freezable> {
   await serve.delay(WARM_UP_MS / 2);
   const usages = await cluster.usages();
--- a/packages/standins/src/bench/bench_scenarios.ts
+++ b/packages/standins/src/bench/bench_scenarios.ts
@@ -1,6 +1,6 @@
-/** Services, loads and faults that the bench runs. */
+/** Services, loads and faults of the bench. */
 
-/** A service of one of the two deployments, in the brief's size. */
+/** A service of one of the two deployments, at its full size. */
 export interface BenchService {
   readonly name: string;
   readonly zones: readonly string[];
@@ -8,8 +8,9 @@
   readonly slots: number;
   readonly connections: number;
   readonly entryVms: number;
-  /** One-way delay between availability zones. */
+  /** One-way delay between availability zones, in milliseconds. */
   readonly linkDelayMs: number;
+  /** One-way delay between caller and entry VM, in milliseconds. */
   readonly clientDelayMs: number;
 }
 
@@ -39,29 +40,29 @@
   { name: "archive", servers: 10, ...MEXICO },
 ];
 
-/** A fault that is set while the load runs. */
+/** A fault that is injected while the load runs. */
 export type BenchFault =
   | "none"
-  /** One server is stopped and later woken. */
+  /** One server's process is paused and later resumed. */
   | "frozen"
   /** One server runs five times slower. */
   | "slow"
-  /** One server is killed, and starts again cold. */
+  /** One server is killed and restarts cold. */
   | "cold"
-  /** Load reports say that every server is idle. */
+  /** Load reports show every server as idle. */
   | "lagging-reports"
-  /** All servers of one availability zone are stopped and later woken. */
+  /** All servers of one availability zone are paused and later resumed. */
   | "zone-cut"
-  /** The entry VM that dispatches is stopped and later woken. */
+  /** The entry VM that dispatches is paused and later resumed. */
   | "frozen-entry";
 
 /** One load with one fault. */
 export interface BenchScenario {
   readonly name: string;
-  /** Mean load of all callers, as a part of the servers' capacity. */
+  /** Mean load of all callers, as a fraction of the servers' capacity. */
   readonly load: number;
   readonly fault: BenchFault;
-  /** Load of the anchor customer in the middle third, besides. */
+  /** Additional load of one large caller during the middle third. */
   readonly burst: number;
 }
 
@@ -73,7 +74,7 @@
   return { name, load, fault: "none", burst: 0, ...options };
 }
 
-/** All scenarios, by name. */
+/** All scenarios. */
 export const BENCH_SCENARIOS: readonly BenchScenario[] = [
   scenario("calm", 0.3),
   scenario("load-0.7", 0.7),
--- a/packages/standins/src/bench/bench_table.ts
+++ b/packages/standins/src/bench/bench_table.ts
@@ -1,18 +1,18 @@
-/** Prints results as lines of a Markdown table. */
+/** Formats results as rows of a Markdown table. */
 import type { BenchResult } from "./bench_run.ts";
 
-/** Heads of the columns of {@link formatTable}. */
-export const TABLE_HEAD =
+/** Header row for {@link formatTable}. */
+export const TABLE_HEADER =
   "| service | scenario | policy | p50 | p99 | goodput / capacity | answered " +
   "| refused | unknown | retries/req | max/mean | CV | twice | lies " +
   "| CPU ms/req | msgs/req | loop delay p99 |";
 
-/** Formats results, one line each. */
+/** Formats results, one row each. */
 export function formatTable(results: readonly BenchResult[]): string {
-  return results.map(formatLine).join("");
+  return results.map(formatRow).join("");
 }
 
-function formatLine(result: BenchResult): string {
+function formatRow(result: BenchResult): string {
   const { figures } = result;
   const cells = [
     result.service,
@@ -36,8 +36,8 @@
   return `| ${cells.join(" | ")} |\n`;
 }
 
-function percent(part: number): string {
-  return `${(part * 100).toFixed(2)} %`;
+function percent(fraction: number): string {
+  return `${(fraction * 100).toFixed(2)} %`;
 }
 
 function formatKinds(
