--- a/packages/standins/src/measure/placement/trial.ts
+++ b/packages/standins/src/measure/placement/simulation.ts
@@ -6,7 +6,7 @@
  */
 import * as ownership from "@guavatide/decisions/ownership/mod";
 import * as trace from "./trace.ts";
-import type { PlacementStrategy, TraceServer } from "./ways.ts";
+import type { PlacementStrategy, TraceServer } from "./strategies.ts";
 
 const STEP_S = 0.5;
 const SAMPLE_INTERVAL_S = 5;
--- a/packages/standins/src/measure/placement_main.ts
+++ b/packages/standins/src/measure/placement_main.ts
@@ -8,8 +8,8 @@
 import * as util from "node:util";
 import * as cost from "./placement/planner_cost.ts";
 import type * as trace from "./placement/trace.ts";
-import * as simulation from "./placement/trial.ts";
-import * as strategies from "./placement/ways.ts";
+import * as simulation from "./placement/simulation.ts";
+import * as strategies from "./placement/strategies.ts";
 
 const DEPLOYMENTS: readonly (trace.Deployment & { option: string })[] = [
   {
--- a/packages/standins/src/proofs/given_up_request_test.ts
+++ b/packages/standins/src/proofs/given_up_request_test.ts
@@ -23,7 +23,7 @@
   await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
   const { port } = server.address() as net.AddressInfo;
   const relay = new RelayedLink({ host: "127.0.0.1", port });
-  const link = new ServerConnection({
+  const connection = new ServerConnection({
     host: "127.0.0.1",
     port: await relay.listen(0),
     connectTimeoutMs: 1_000,
@@ -33,7 +33,7 @@
   });
   try {
     relay.setFaults({ mode: "hold" });
-    const sent = link.send({
+    const sent = connection.send({
       id: "1" as contracts.RequestId,
       method: "GET",
       path: "/",
@@ -43,14 +43,14 @@
       onServerStamp: () => {},
     });
     await timers.setTimeout(ARRIVAL_MS);
-    link.abandon("timeout-after-send", "No answer before the deadline");
+    connection.abandon("timeout-after-send", "No answer before the deadline");
     expect((await sent).kind).toEqual("unknown");
     await timers.setTimeout(ARRIVAL_MS);
     relay.setFaults({ mode: "pass" });
     await timers.setTimeout(ARRIVAL_MS);
     expect(arrivedBytes).toEqual(0);
   } finally {
-    link.retire();
+    connection.retire();
     await relay.close();
     server.close();
   }
--- a/packages/standins/src/proofs/proofs_main.ts
+++ b/packages/standins/src/proofs/proofs_main.ts
@@ -4,7 +4,7 @@
  * comma-separated list of name parts; a scenario runs if its name contains one.
  */
 import { CONFIG_SCENARIOS } from "./config_scenarios.ts";
-import { CONNECTION_SCENARIOS } from "./link_scenarios.ts";
+import { CONNECTION_SCENARIOS } from "./connection_scenarios.ts";
 import { OWNERSHIP_SCENARIOS } from "./ownership_scenarios.ts";
 import { type ProofRun, runScenarios } from "./proof_runner.ts";
 import { SHUTDOWN_SCENARIOS } from "./shutdown_scenarios.ts";
--- a/packages/standins/src/proofs/silent_peer_test.ts
+++ b/packages/standins/src/proofs/silent_peer_test.ts
@@ -19,12 +19,16 @@
     const port = await server.listen(lifeCycle);
     const relay = new RelayedLink({ host: "127.0.0.1", port });
     const relayPort = await relay.listen(0);
-    const link = new PeerLink(
+    const connection = new PeerLink(
       { host: "127.0.0.1", port: relayPort },
       { secret: SECRET },
     );
     const call = (timeoutMs: number) =>
-      link.call("echo", { params: "hello", schema: z.string(), timeoutMs });
+      connection.call("echo", {
+        params: "hello",
+        schema: z.string(),
+        timeoutMs,
+      });
     try {
       expect((await call(10_000)).isOk()).toEqual(true);
       relay.setFaults({ mode });
@@ -35,7 +39,7 @@
       await call(60);
       expect((await call(10_000)).isOk()).toEqual(true);
     } finally {
-      await link.close();
+      await connection.close();
       await relay.close();
       await lifeCycle.stop();
     }
--- a/packages/standins/src/proofs/store_scenarios.ts
+++ b/packages/standins/src/proofs/store_scenarios.ts
@@ -82,12 +82,12 @@
     fault: "store down, a server killed meanwhile: other servers' keys",
     async run(cluster) {
       const owners = await cluster.keysByOwner();
-      const [lost] = [...owners.keys()];
+      const [killed] = [...owners.keys()];
       const others = [...owners.entries()]
-        .filter(([owner]) => owner !== lost)
+        .filter(([owner]) => owner !== killed)
         .flatMap(([, keys]) => keys);
       await startLoadThenOutage(cluster, "hang");
-      await cluster.killServer(lost!);
+      await cluster.killServer(killed!);
       await waitUntilServedInOutage(cluster, others);
       await restoreStore(cluster);
       return [];
--- a/packages/standins/src/proofs/time_to_serve.ts
+++ b/packages/standins/src/proofs/time_to_serve.ts
@@ -81,8 +81,8 @@
       if (found === undefined) unserved++;
       else gaps.push(...found);
     }
-    const evidence = await cluster.finish();
-    const violations = totalOf(countViolations(evidence));
+    const observations = await cluster.finish();
+    const violations = totalOf(countViolations(observations));
     return { loss, losses, gaps, unserved, violations };
   } finally {
     await observer.stop();
