--- a/packages/standins/src/administration/config_delivery_main.ts
+++ b/packages/standins/src/administration/config_delivery_main.ts
@@ -36,7 +36,7 @@
 const isStoreAway = values["store-away"];
 
 async function main(): Promise<void> {
-  const plan = plans.scalePlan(plans.KAYFA, { entryVms, serversAtMost: 1 });
+  const plan = plans.scalePlan(plans.KAYFA, { entryVms, maxServersPerService: 1 });
   const deployment = await LocalDeployment.start({
     plan: zones === 0 ? plan : {
       ...plan,
--- a/packages/standins/src/demo/demo_main.ts
+++ b/packages/standins/src/demo/demo_main.ts
@@ -13,7 +13,7 @@
 const RETRY_INTERVAL_MS = 200;
 
 const PLAN: plans.DeploymentPlan = {
-  ...plans.scalePlan(plans.KAYFA, { entryVms: 3, serversAtMost: 4 }),
+  ...plans.scalePlan(plans.KAYFA, { entryVms: 3, maxServersPerService: 4 }),
   otherPartners: [plans.BITACORA.partner],
   services: [...plans.KAYFA.services, ...plans.BITACORA.services]
     .map((service) => ({ ...service, servers: 4 })),
--- a/packages/standins/src/deployment/deployment_plan.ts
+++ b/packages/standins/src/deployment/deployment_plan.ts
@@ -70,14 +70,14 @@
 /** The same plan with fewer entry VMs and servers. */
 export function scalePlan(
   plan: DeploymentPlan,
-  options: { readonly entryVms: number; readonly serversAtMost: number },
+  options: { readonly entryVms: number; readonly maxServersPerService: number },
 ): DeploymentPlan {
   return {
     ...plan,
     entryVms: options.entryVms,
     services: plan.services.map((service) => ({
       ...service,
-      servers: Math.min(service.servers, options.serversAtMost),
+      servers: Math.min(service.servers, options.maxServersPerService),
     })),
   };
 }
--- a/packages/standins/src/measure/control_main.ts
+++ b/packages/standins/src/measure/control_main.ts
@@ -52,7 +52,7 @@
 ): Promise<ControlCost> {
   const plan = plans.scalePlan(plans.KAYFA, {
     entryVms: 1,
-    serversAtMost: servers,
+    maxServersPerService: servers,
   });
   const deployment = await LocalDeployment.start({
     plan,
