--- a/packages/ctl/src/api_client.ts
+++ b/packages/ctl/src/api_client.ts
@@ -36,11 +36,11 @@
   readonly schema: Schema;
 }
 
-const errorSchema = z.object({
+const errorResponseSchema = z.object({
   error: z.looseObject({ kind: z.string(), message: z.string() }),
 });
 
-const EXIT_CODE_OF_STATUS: Readonly<Record<number, number>> = {
+const EXIT_CODES_BY_STATUS: Readonly<Record<number, number>> = {
   401: EXIT_CODES.denied,
   403: EXIT_CODES.denied,
   412: EXIT_CODES.conflict,
@@ -80,7 +80,7 @@
       return neverthrow.err(this.#notReached(call, error));
     }
     const body = parseJson(text);
-    if (status >= 400) return neverthrow.err(toCtlError(status, body));
+    if (status >= 400) return neverthrow.err(errorFromResponse(status, body));
     const parsed = call.schema.safeParse(body);
     if (parsed.success) return neverthrow.ok(parsed.data);
     return neverthrow.err({
@@ -116,11 +116,11 @@
    */
   #notReached(call: ApiCall<z.ZodType>, error: unknown): CtlError {
     const { url, timeoutMs } = this.#options;
-    const isHarmless = call.method === "GET" || isNotConnected(error);
+    const isHarmless = call.method === "GET" || isConnectFailure(error);
     if (isHarmless) {
       return {
         kind: "unreachable",
-        message: `${url} did not answer (${reasonOf(error)}): check --url, ` +
+        message: `${url} did not answer (${errorText(error)}): check --url, ` +
           "or try another entry VM",
         exitCode: EXIT_CODES.unavailable,
       };
@@ -128,16 +128,16 @@
     return {
       kind: "unknown",
       message: `${url} did not answer within ${timeoutMs} ms ` +
-        `(${reasonOf(error)}): look whether the change was made before you ` +
+        `(${errorText(error)}): look whether the change was made before you ` +
         "repeat it",
       exitCode: EXIT_CODES.unknown,
     };
   }
 }
 
-function toCtlError(status: number, body: unknown): CtlError {
-  const exitCode = EXIT_CODE_OF_STATUS[status] ?? EXIT_CODES.refused;
-  const parsed = errorSchema.safeParse(body);
+function errorFromResponse(status: number, body: unknown): CtlError {
+  const exitCode = EXIT_CODES_BY_STATUS[status] ?? EXIT_CODES.refused;
+  const parsed = errorResponseSchema.safeParse(body);
   if (!parsed.success) {
     const message = `The answer was ${status} without a reason: check that ` +
       "--url names the administration port";
@@ -148,14 +148,14 @@
   return { kind, message, exitCode, details: error };
 }
 
-function isNotConnected(error: unknown): boolean {
+function isConnectFailure(error: unknown): boolean {
   const { code } = error as { readonly code?: string };
   return code === "ECONNREFUSED" || code === "EHOSTUNREACH" ||
     code === "ENETUNREACH" || code === "ENOTFOUND" ||
     code === "UND_ERR_CONNECT_TIMEOUT";
 }
 
-function reasonOf(error: unknown): string {
+function errorText(error: unknown): string {
   return error instanceof Error ? error.message : String(error);
 }
 
--- a/packages/ctl/src/answers.ts
+++ b/packages/ctl/src/api_schemas.ts
@@ -2,19 +2,19 @@
 import * as contracts from "@guavatide/contracts";
 import * as z from "zod";
 
-const editSchema = z.looseObject({ operator: z.string(), at: z.string() });
+const lastEditSchema = z.looseObject({ operator: z.string(), at: z.string() });
 
 /** One object with its version. */
-export const draftAnswer = z.looseObject({
+export const draftSchema = z.looseObject({
   object: contracts.configObjectSchema,
   version: z.string(),
-  lastEdit: editSchema,
+  lastEdit: lastEditSchema,
 });
 
 /** All objects. */
-export const listAnswer = z.looseObject({
+export const objectListSchema = z.looseObject({
   tag: z.string(),
-  objects: z.array(draftAnswer),
+  objects: z.array(draftSchema),
 });
 
 const findingSchema = z.looseObject({
@@ -25,17 +25,17 @@
   remedy: z.string(),
 });
 /** One reason against publishing. */
-export type FindingAnswer = z.infer<typeof findingSchema>;
+export type Finding = z.infer<typeof findingSchema>;
 
 /** Result of a check. */
-export const checkAnswer = z.looseObject({
+export const checkSchema = z.looseObject({
   findings: z.array(findingSchema),
   tag: z.string(),
   currentRevision: z.number(),
 });
 
 /** Result of a diff. */
-export const diffAnswer = checkAnswer.extend({
+export const diffSchema = checkSchema.extend({
   changes: z.array(
     z.looseObject({
       change: z.string(),
@@ -52,16 +52,16 @@
 });
 
 /** Result of a publish. */
-export const publishAnswer = z.looseObject({
+export const publishedRevisionSchema = z.looseObject({
   revision: z.number(),
   publishedBy: z.string(),
   publishedAt: z.string(),
 });
 
 /** Past publishes and drains. */
-export const historyAnswer = z.looseObject({
+export const historySchema = z.looseObject({
   history: z.array(
-    publishAnswer.extend({
+    publishedRevisionSchema.extend({
       changes: z.array(z.string()),
       changeCount: z.number(),
     }),
@@ -69,10 +69,10 @@
 });
 
 /** The configuration in force at one VM; null before the first. */
-export const configAnswer = contracts.publishedConfigSchema.nullable();
+export const configSchema = contracts.publishedConfigSchema.nullable();
 
 /** What each entry VM has in force. */
-export const vmsAnswer = z.looseObject({
+export const vmsSchema = z.looseObject({
   vm: z.string(),
   isWatcher: z.boolean(),
   confirmedAgeMs: z.number().nullable(),
@@ -86,7 +86,7 @@
 });
 
 /** Backend servers. */
-export const serversAnswer = z.looseObject({
+export const serversSchema = z.looseObject({
   servers: z.array(
     z.looseObject({
       server: z.string(),
@@ -101,19 +101,19 @@
 });
 
 /** Drained servers. */
-export const drainsAnswer = z.looseObject({
+export const drainsSchema = z.looseObject({
   drains: z.array(contracts.drainSchema),
 });
 
 /** Slices of one service. */
-export const slicesAnswer = z.looseObject({
+export const slicesSchema = z.looseObject({
   service: z.string(),
   revision: z.number(),
   slices: z.array(contracts.sliceSchema.extend({ id: z.string() })),
 });
 
 /** Owner of one key. */
-export const keyOwnerAnswer = z.looseObject({
+export const keyOwnerSchema = z.looseObject({
   service: z.string(),
   key: z.string(),
   keyHash: z.number(),
@@ -126,7 +126,7 @@
 });
 
 /** Steps of moves, newest first. */
-export const movesAnswer = z.looseObject({
+export const handoverStepsSchema = z.looseObject({
   lines: z.array(
     z.looseObject({
       at: z.string(),
@@ -142,7 +142,7 @@
 });
 
 /** Changes by operators, newest first. */
-export const auditAnswer = z.looseObject({
+export const auditLogSchema = z.looseObject({
   lines: z.array(
     z.looseObject({
       at: z.string(),
--- a/packages/ctl/src/cli.ts
+++ b/packages/ctl/src/cli.ts
@@ -53,13 +53,13 @@
     const command = cli.process(args, context);
     return await cli.run(command, context);
   } catch (error) {
-    context.stderr.write(usageText(error, args));
+    context.stderr.write(formatUsageError(error, args));
     return EXIT_CODES.usage;
   }
 }
 
 /** One line, where the library would list every command there is. */
-function usageText(error: unknown, args: readonly string[]): string {
+function formatUsageError(error: unknown, args: readonly string[]): string {
   const { name, message } = error as Error;
   const reason = name === "UnknownSyntaxError"
     ? `Cannot read "${args.join(" ")}"`
--- a/packages/ctl/src/cli_test.ts
+++ b/packages/ctl/src/cli_test.ts
@@ -12,18 +12,18 @@
   lastEdit: { operator: "ana", at: "2026-01-01T00:00:00Z" },
 };
 
-interface Seen {
+interface RecordedRequest {
   readonly method: string;
   readonly path: string;
   readonly headers: http.IncomingHttpHeaders;
   readonly body: string;
 }
 
-type Handler = (seen: Seen, response: http.ServerResponse) => void;
+type Handler = (seen: RecordedRequest, response: http.ServerResponse) => void;
 
 /** An administration API that answers as the test says. */
 class FakeApi {
-  readonly seen: Seen[] = [];
+  readonly seen: RecordedRequest[] = [];
   readonly #server: http.Server;
 
   constructor(handler: Handler) {
@@ -78,14 +78,14 @@
   };
 }
 
-function answer(status: number, body: unknown): Handler {
+function respondWith(status: number, body: unknown): Handler {
   return (_seen, response) => {
     response.writeHead(status, { "content-type": "application/json" });
     response.end(JSON.stringify(body));
   };
 }
 
-const REFUSALS = [
+const ERROR_RESPONSES = [
   { status: 401, kind: "unauthorized", code: EXIT_CODES.denied },
   { status: 403, kind: "forbidden", code: EXIT_CODES.denied },
   { status: 404, kind: "not-found", code: EXIT_CODES.refused },
@@ -95,10 +95,10 @@
   { status: 504, kind: "unknown", code: EXIT_CODES.unknown },
 ];
 
-for (const { status, kind, code } of REFUSALS) {
+for (const { status, kind, code } of ERROR_RESPONSES) {
   test(`should exit with ${code} on ${status} and tell why`, async (t) => {
     const error = { kind, message: "What was seen: what to do" };
-    const api = await FakeApi.open(t, answer(status, { error }));
+    const api = await FakeApi.open(t, respondWith(status, { error }));
     const asText = await run(["history", "--url", api.url]);
     expect(asText.code).toEqual(code);
     expect(asText.err).toEqual(`guavatidectl: ${error.message}\n`);
@@ -120,7 +120,7 @@
 });
 
 test("should set fields on the version it has read", async (t) => {
-  const api = await FakeApi.open(t, answer(200, DRAFT));
+  const api = await FakeApi.open(t, respondWith(200, DRAFT));
   const edited = await run([
     "edit",
     "place/yoff",
@@ -137,7 +137,7 @@
 });
 
 test("should print an object that can be sent back", async (t) => {
-  const api = await FakeApi.open(t, answer(200, DRAFT));
+  const api = await FakeApi.open(t, respondWith(200, DRAFT));
   const got = await run(["get", "place/yoff", "--url", api.url]);
   expect(JSON.parse(got.out)).toEqual(DRAFT.object);
   expect(got.err).toEqual("version v1\n");
--- a/packages/ctl/src/commands/api_command.ts
+++ b/packages/ctl/src/commands/api_command.ts
@@ -8,7 +8,7 @@
 
 const DEFAULT_URL = "http://127.0.0.1:7402";
 const DEFAULT_TIMEOUT_MS = 10_000;
-const STANDARD_INPUT = 0;
+const STDIN_FILE_DESCRIPTOR = 0;
 
 /** Result of a command's work: what to print. */
 export interface CommandOutput {
@@ -55,7 +55,7 @@
   #client: ApiClient | undefined;
 
   /** Does the command's work. */
-  protected abstract work(): CommandResult;
+  protected abstract run(): CommandResult;
 
   /** Makes one call. */
   protected call<Schema extends z.ZodType>(
@@ -68,7 +68,7 @@
     const client = this.#createClient();
     if (client.isErr()) return this.#fail(client.error);
     this.#client = client.value;
-    const result = await this.work();
+    const result = await this.run();
     await this.#client.close();
     if (result.isErr()) return this.#fail(result.error);
     const { json, text, exitCode } = result.value;
@@ -110,9 +110,9 @@
 
   #readTls(): neverthrow.Result<ClientTls, CtlError> {
     return neverthrow.Result.combine([
-      readOptional(this.caFile),
-      readOptional(this.certFile),
-      readOptional(this.keyFile),
+      readOptionalFile(this.caFile),
+      readOptionalFile(this.certFile),
+      readOptionalFile(this.keyFile),
     ]).map(([ca, cert, key]) => ({ ca, cert, key }));
   }
 
@@ -130,7 +130,7 @@
 /** Reads a file, or standard input for `-`. */
 export function readFile(path: string): neverthrow.Result<string, CtlError> {
   try {
-    const source = path === "-" ? STANDARD_INPUT : path;
+    const source = path === "-" ? STDIN_FILE_DESCRIPTOR : path;
     return neverthrow.ok(fs.readFileSync(source, "utf8"));
   } catch (error) {
     const message = `Cannot read "${path}" (${String(error)}): check the path`;
@@ -152,7 +152,7 @@
   });
 }
 
-function readOptional(
+function readOptionalFile(
   path: string | undefined,
 ): neverthrow.Result<string | undefined, CtlError> {
   return path === undefined ? neverthrow.ok(undefined) : readFile(path);
--- a/packages/ctl/src/commands/drain_commands.ts
+++ b/packages/ctl/src/commands/drain_commands.ts
@@ -1,6 +1,6 @@
 /** Commands that drain servers and return them to service. */
 import * as clipanion from "clipanion";
-import * as answers from "../answers.ts";
+import * as answers from "../api_schemas.ts";
 import { formatTable } from "../table.ts";
 import { ApiCommand, type CommandResult } from "./api_command.ts";
 
@@ -14,11 +14,11 @@
     description: "List the servers that operators drain",
   });
 
-  protected override async work(): CommandResult {
+  protected override async run(): CommandResult {
     const read = await this.call({
       method: "GET",
       path: "/v1/drains",
-      schema: answers.drainsAnswer,
+      schema: answers.drainsSchema,
     });
     return read.map((json) => ({
       json,
@@ -52,12 +52,12 @@
     description: "Why, for the audit",
   });
 
-  protected override async work(): CommandResult {
+  protected override async run(): CommandResult {
     const drained = await this.call({
       method: "PUT",
       path: `/v1/drains/${encodeURIComponent(this.server)}`,
       body: { reason: this.reason },
-      schema: answers.drainsAnswer,
+      schema: answers.drainsSchema,
     });
     return drained.map((json) => ({
       json,
@@ -76,11 +76,11 @@
 
   server = clipanion.Option.String({ name: "server" });
 
-  protected override async work(): CommandResult {
+  protected override async run(): CommandResult {
     const returned = await this.call({
       method: "DELETE",
       path: `/v1/drains/${encodeURIComponent(this.server)}`,
-      schema: answers.drainsAnswer,
+      schema: answers.drainsSchema,
     });
     return returned.map((json) => ({
       json,
--- a/packages/ctl/src/commands/object_commands.ts
+++ b/packages/ctl/src/commands/object_commands.ts
@@ -2,13 +2,13 @@
 import * as clipanion from "clipanion";
 import * as neverthrow from "neverthrow";
 import * as z from "zod";
-import * as answers from "../answers.ts";
+import * as answers from "../api_schemas.ts";
 import { type CtlError, usageError } from "../ctl_error.ts";
 import { formatTable } from "../table.ts";
 import { ApiCommand, type CommandResult, readJsonFile } from "./api_command.ts";
 
 const CATEGORY = "Objects";
-const FILE_HELP = 'JSON file with the object, "-" for standard input';
+const FILE_DESCRIPTION = 'JSON file with the object, "-" for standard input';
 
 /** `list [KIND]`. */
 export class ListCommand extends ApiCommand {
@@ -21,14 +21,14 @@
 
   kind = clipanion.Option.String({ name: "kind", required: false });
 
-  protected override async work(): CommandResult {
+  protected override async run(): CommandResult {
     const query = this.kind === undefined
       ? ""
       : `?${new URLSearchParams({ kind: this.kind })}`;
     const listed = await this.call({
       method: "GET",
       path: `/v1/objects${query}`,
-      schema: answers.listAnswer,
+      schema: answers.objectListSchema,
     });
     return listed.map((json) => ({
       json,
@@ -60,15 +60,15 @@
     return neverthrow.ok(`/v1/objects/${parts.join("/")}`);
   }
 
-  protected async read(
+  protected async fetchObject(
     path: string,
   ): Promise<
-    neverthrow.Result<z.infer<typeof answers.draftAnswer>, CtlError>
+    neverthrow.Result<z.infer<typeof answers.draftSchema>, CtlError>
   > {
     return await this.call({
       method: "GET",
       path,
-      schema: answers.draftAnswer,
+      schema: answers.draftSchema,
     });
   }
 }
@@ -82,10 +82,10 @@
     examples: [["Get a split", "guavatidectl get cost-share/split"]],
   });
 
-  protected override async work(): CommandResult {
+  protected override async run(): CommandResult {
     const path = this.objectPath();
     if (path.isErr()) return neverthrow.err(path.error);
-    const read = await this.read(path.value);
+    const read = await this.fetchObject(path.value);
     return read.map((json) => {
       // Kept off standard output, so that it can be saved, edited and sent
       // back as it is.
@@ -109,10 +109,10 @@
 
   file = clipanion.Option.String("--file", {
     required: true,
-    description: FILE_HELP,
+    description: FILE_DESCRIPTION,
   });
 
-  protected override async work(): CommandResult {
+  protected override async run(): CommandResult {
     const path = this.objectPath();
     if (path.isErr()) return neverthrow.err(path.error);
     const body = readJsonFile(this.file);
@@ -122,7 +122,7 @@
       path: path.value,
       body: body.value,
       isCreation: true,
-      schema: answers.draftAnswer,
+      schema: answers.draftSchema,
     });
     return created.map((json) => ({
       json,
@@ -146,7 +146,7 @@
     ]],
   });
 
-  file = clipanion.Option.String("--file", { description: FILE_HELP });
+  file = clipanion.Option.String("--file", { description: FILE_DESCRIPTION });
   set = clipanion.Option.Array("--set", [], {
     description: "FIELD=JSON, may be repeated",
   });
@@ -154,7 +154,7 @@
     description: "Version that the edit is made on",
   });
 
-  protected override async work(): CommandResult {
+  protected override async run(): CommandResult {
     const path = this.objectPath();
     if (path.isErr()) return neverthrow.err(path.error);
     const edit = await this.#prepare(path.value);
@@ -164,7 +164,7 @@
       path: path.value,
       body: edit.value.body,
       ifMatch: edit.value.version,
-      schema: answers.draftAnswer,
+      schema: answers.draftSchema,
     });
     return edited.map((json) => ({
       json,
@@ -188,7 +188,7 @@
     }
     const fields = parseFields(this.set);
     if (fields.isErr()) return neverthrow.err(fields.error);
-    const read = await this.read(path);
+    const read = await this.fetchObject(path);
     return read.map(({ object, version }) => ({
       body: { ...object, ...fields.value },
       version: this.version ?? version,
@@ -209,7 +209,7 @@
     description: "Version that `get` has printed",
   });
 
-  protected override async work(): CommandResult {
+  protected override async run(): CommandResult {
     const path = this.objectPath();
     if (path.isErr()) return neverthrow.err(path.error);
     const deleted = await this.call({
--- a/packages/ctl/src/commands/publish_commands.ts
+++ b/packages/ctl/src/commands/publish_commands.ts
@@ -1,7 +1,7 @@
 /** Commands on the whole set: check, diff, publish, history, config. */
 import * as clipanion from "clipanion";
 import * as neverthrow from "neverthrow";
-import * as answers from "../answers.ts";
+import * as answers from "../api_schemas.ts";
 import { type CtlError, EXIT_CODES } from "../ctl_error.ts";
 import { formatTable } from "../table.ts";
 import { ApiCommand, type CommandResult } from "./api_command.ts";
@@ -16,15 +16,15 @@
     description: "Check the whole set; exit code 4 when something is wrong",
   });
 
-  protected override async work(): CommandResult {
+  protected override async run(): CommandResult {
     const checked = await this.call({
       method: "GET",
       path: "/v1/check",
-      schema: answers.checkAnswer,
+      schema: answers.checkSchema,
     });
     return checked.map((json) => ({
       json,
-      text: findingsText(json.findings),
+      text: formatFindings(json.findings),
       exitCode: json.findings.length === 0
         ? EXIT_CODES.ok
         : EXIT_CODES.findings,
@@ -40,17 +40,17 @@
     description: "Show what a publish would change, with the tag to publish",
   });
 
-  protected override async work(): CommandResult {
+  protected override async run(): CommandResult {
     const compared = await this.call({
       method: "GET",
       path: "/v1/diff",
-      schema: answers.diffAnswer,
+      schema: answers.diffSchema,
     });
     return compared.map((json) => ({
       json,
       text: `from revision ${json.currentRevision}\n` +
-        json.changes.map(changeText).join("") +
-        findingsText(json.findings) + `tag ${json.tag}\n`,
+        json.changes.map(formatChange).join("") +
+        formatFindings(json.findings) + `tag ${json.tag}\n`,
     }));
   }
 }
@@ -71,18 +71,18 @@
     description: "Tag that `diff` has printed",
   });
 
-  protected override async work(): CommandResult {
+  protected override async run(): CommandResult {
     const tag = await this.#tag();
     if (tag.isErr()) return neverthrow.err(tag.error);
     const published = await this.call({
       method: "POST",
       path: "/v1/publish",
       ifMatch: tag.value,
-      schema: answers.publishAnswer,
+      schema: answers.publishedRevisionSchema,
     });
     return published
       .map((json) => ({ json, text: `revision ${json.revision} published\n` }))
-      .mapErr(withFindings);
+      .mapErr(appendFindings);
   }
 
   async #tag(): Promise<neverthrow.Result<string, CtlError>> {
@@ -90,7 +90,7 @@
     const checked = await this.call({
       method: "GET",
       path: "/v1/check",
-      schema: answers.checkAnswer,
+      schema: answers.checkSchema,
     });
     return checked.map(({ tag }) => tag);
   }
@@ -104,11 +104,11 @@
     description: "Show past publishes and drains, newest first",
   });
 
-  protected override async work(): CommandResult {
+  protected override async run(): CommandResult {
     const read = await this.call({
       method: "GET",
       path: "/v1/history",
-      schema: answers.historyAnswer,
+      schema: answers.historySchema,
     });
     return read.map((json) => ({
       json,
@@ -118,7 +118,7 @@
           entry.revision,
           entry.publishedBy,
           entry.publishedAt,
-          changesText(entry.changes, entry.changeCount),
+          formatChangeSummary(entry.changes, entry.changeCount),
         ]),
       ),
     }));
@@ -133,11 +133,11 @@
     description: "Print the configuration in force at the VM that is asked",
   });
 
-  protected override async work(): CommandResult {
+  protected override async run(): CommandResult {
     const read = await this.call({
       method: "GET",
       path: "/v1/config",
-      schema: answers.configAnswer,
+      schema: answers.configSchema,
     });
     return read.map((json) => ({
       json,
@@ -146,39 +146,46 @@
   }
 }
 
-function findingsText(findings: readonly answers.FindingAnswer[]): string {
+function formatFindings(findings: readonly answers.Finding[]): string {
   if (findings.length === 0) return "nothing stands against publishing\n";
-  return findings.map(findingText).join("");
+  return findings.map(formatFinding).join("");
 }
 
-function findingText(finding: answers.FindingAnswer): string {
+function formatFinding(finding: answers.Finding): string {
   const { object, field, kind, message, remedy } = finding;
   const place = [object, field].filter((part) => part !== "").join(" ");
   return `${place || "(whole set)"}: ${kind}. ${message}. ${remedy}\n`;
 }
 
-type Change = { change: string; object: string; fields: readonly Field[] };
-type Field = { field: string; from?: string; to?: string };
+type ObjectChange = {
+  change: string;
+  object: string;
+  fields: readonly FieldChange[];
+};
+type FieldChange = { field: string; from?: string; to?: string };
 
-function changeText({ change, object, fields }: Change): string {
+function formatChange({ change, object, fields }: ObjectChange): string {
   const lines = fields.map(({ field, from, to }) =>
     `  ${field}: ${from ?? "(none)"} -> ${to ?? "(none)"}\n`
   );
   return `${change} ${object}\n${lines.join("")}`;
 }
 
-function changesText(changes: readonly string[], count: number): string {
+function formatChangeSummary(
+  changes: readonly string[],
+  count: number,
+): string {
   const more = count - changes.length;
   return changes.join(", ") + (more > 0 ? ` and ${more} more` : "");
 }
 
 /** Appends the findings to the message, as the refusal alone helps nobody. */
-function withFindings(error: CtlError): CtlError {
+function appendFindings(error: CtlError): CtlError {
   if (error.exitCode !== EXIT_CODES.findings) return error;
   const { details } = error;
-  const parsed = answers.checkAnswer.shape.findings
+  const parsed = answers.checkSchema.shape.findings
     .safeParse((details as { findings?: unknown }).findings);
   if (!parsed.success) return error;
-  const message = `${error.message}\n${findingsText(parsed.data).trimEnd()}`;
+  const message = `${error.message}\n${formatFindings(parsed.data).trimEnd()}`;
   return { ...error, message };
 }
--- a/packages/ctl/src/commands/request_commands.ts
+++ b/packages/ctl/src/commands/request_commands.ts
@@ -1,8 +1,8 @@
 /** Tell from log lines what became of requests. */
 import * as clipanion from "clipanion";
 import { EXIT_CODES } from "../ctl_error.ts";
-import { historyOf } from "../request_history.ts";
-import { lossesIn } from "../request_losses.ts";
+import { explainRequest } from "../request_explanation.ts";
+import { summarizeFailures } from "../request_failures.ts";
 import { formatTable } from "../table.ts";
 
 /** `explain ID < logs`. */
@@ -20,7 +20,7 @@
   id = clipanion.Option.String({ name: "id" });
 
   override async execute(): Promise<number> {
-    const lines = historyOf(this.id, await readAll(this.context.stdin));
+    const lines = explainRequest(this.id, await readAll(this.context.stdin));
     if (lines.length === 0) {
       this.context.stderr.write(
         `guavatidectl: no line names request "${this.id}"; give the logs of ` +
@@ -46,7 +46,9 @@
   });
 
   override async execute(): Promise<number> {
-    const { losses, unlisted } = lossesIn(await readAll(this.context.stdin));
+    const { groups: losses, omittedCount: unlisted } = summarizeFailures(
+      await readAll(this.context.stdin),
+    );
     this.context.stdout.write(formatTable(
       ["SECOND", "COUNT", "ROUTE", "STATUS", "MEAN MS", "REASON"],
       losses.map(({ second, count, route, status, meanTookMs, reason }) => [
--- a/packages/ctl/src/commands/state_commands.ts
+++ b/packages/ctl/src/commands/state_commands.ts
@@ -1,6 +1,6 @@
 /** Commands that show what is in force: vms, servers, owners, moves, audit. */
 import * as clipanion from "clipanion";
-import * as answers from "../answers.ts";
+import * as answers from "../api_schemas.ts";
 import { formatTable } from "../table.ts";
 import { ApiCommand, type CommandResult } from "./api_command.ts";
 
@@ -14,11 +14,11 @@
     description: "Show the revision that each entry VM has in force",
   });
 
-  protected override async work(): CommandResult {
+  protected override async run(): CommandResult {
     const read = await this.call({
       method: "GET",
       path: "/v1/vms",
-      schema: answers.vmsAnswer,
+      schema: answers.vmsSchema,
     });
     return read.map((json) => ({
       json,
@@ -38,11 +38,11 @@
     description: "Show the backend servers and their states",
   });
 
-  protected override async work(): CommandResult {
+  protected override async run(): CommandResult {
     const read = await this.call({
       method: "GET",
       path: "/v1/servers",
-      schema: answers.serversAnswer,
+      schema: answers.serversSchema,
     });
     return read.map((json) => ({
       json,
@@ -73,7 +73,7 @@
   service = clipanion.Option.String({ name: "service" });
   key = clipanion.Option.String("--key", { description: "Only this key" });
 
-  protected override work(): CommandResult {
+  protected override run(): CommandResult {
     const path = `/v1/owners/${encodeURIComponent(this.service)}`;
     return this.key === undefined
       ? this.#slices(path)
@@ -81,7 +81,7 @@
   }
 
   async #slices(path: string): CommandResult {
-    const schema = answers.slicesAnswer;
+    const schema = answers.slicesSchema;
     const read = await this.call({ method: "GET", path, schema });
     return read.map((json) => ({
       json,
@@ -99,7 +99,7 @@
   }
 
   async #owner(path: string): CommandResult {
-    const schema = answers.keyOwnerAnswer;
+    const schema = answers.keyOwnerSchema;
     const read = await this.call({ method: "GET", path, schema });
     return read.map((json) => {
       const { kind, server, slice, fence } = json.owner;
@@ -115,29 +115,29 @@
 }
 
 /** A command that prints the newest lines of a journal. */
-abstract class LinesCommand extends ApiCommand {
+abstract class JournalCommand extends ApiCommand {
   limit = clipanion.Option.String("--limit", "100", {
     description: "Number of lines (100)",
   });
 
-  protected query(): string {
+  protected limitQuery(): string {
     return `?${new URLSearchParams({ limit: this.limit })}`;
   }
 }
 
 /** `moves`. */
-export class MovesCommand extends LinesCommand {
+export class MovesCommand extends JournalCommand {
   static override paths = [["moves"]];
   static override usage = clipanion.Command.Usage({
     category: CATEGORY,
     description: "Show moves of slices and their reasons, newest first",
   });
 
-  protected override async work(): CommandResult {
+  protected override async run(): CommandResult {
     const read = await this.call({
       method: "GET",
-      path: `/v1/moves${this.query()}`,
-      schema: answers.movesAnswer,
+      path: `/v1/moves${this.limitQuery()}`,
+      schema: answers.handoverStepsSchema,
     });
     return read.map((json) => ({
       json,
@@ -159,18 +159,18 @@
 }
 
 /** `audit`. */
-export class AuditCommand extends LinesCommand {
+export class AuditCommand extends JournalCommand {
   static override paths = [["audit"]];
   static override usage = clipanion.Command.Usage({
     category: CATEGORY,
     description: "Show changes by operators, newest first",
   });
 
-  protected override async work(): CommandResult {
+  protected override async run(): CommandResult {
     const read = await this.call({
       method: "GET",
-      path: `/v1/audit${this.query()}`,
-      schema: answers.auditAnswer,
+      path: `/v1/audit${this.limitQuery()}`,
+      schema: answers.auditLogSchema,
     });
     return read.map((json) => ({
       json,
--- a/packages/ctl/src/log_line.ts
+++ b/packages/ctl/src/log_line.ts
@@ -1,7 +1,7 @@
 /** Lines of the log of an entry process. */
 import * as z from "zod";
 
-const lineSchema = z.looseObject({
+const logLineSchema = z.looseObject({
   time: z.string(),
   part: z.string(),
   sentence: z.string(),
@@ -18,11 +18,11 @@
  * The line as it was written; undefined for one that is not of such a log. Text
  * before the JSON, as a collector puts there, is kept.
  */
-export function parseLine(line: string): LogLine | undefined {
+export function parseLogLine(line: string): LogLine | undefined {
   const brace = line.indexOf("{");
   if (brace < 0) return undefined;
   try {
-    const parsed = lineSchema.safeParse(JSON.parse(line.slice(brace)));
+    const parsed = logLineSchema.safeParse(JSON.parse(line.slice(brace)));
     if (!parsed.success) return undefined;
     return {
       timeMs: Date.parse(parsed.data.time),
--- a/packages/ctl/src/request_history_test.ts
+++ b/packages/ctl/src/request_explanation_test.ts
@@ -1,8 +1,8 @@
 import { expect } from "earl";
 import { test } from "node:test";
-import { historyOf } from "./request_history.ts";
+import { explainRequest } from "./request_explanation.ts";
 
-function line(second: number, fields: Record<string, unknown>): string {
+function logLine(second: number, fields: Record<string, unknown>): string {
   const time = `2026-01-01T00:00:${String(second).padStart(2, "0")}.000Z`;
   return JSON.stringify({ time, level: "info", ...fields });
 }
@@ -13,10 +13,10 @@
  */
 test("should find the cause of a lost answer in another VM's lines", () => {
   const log = [
-    line(1, { part: "owner", sentence: "Server lost.", server: "i-9" }),
+    logLine(1, { part: "owner", sentence: "Server lost.", server: "i-9" }),
     "text of another program",
-    line(20, { part: "route", sentence: "Answered.", id: "other" }),
-    line(21, {
+    logLine(20, { part: "route", sentence: "Answered.", id: "other" }),
+    logLine(21, {
       part: "route",
       sentence: "Ended badly.",
       id: "q1",
@@ -24,31 +24,41 @@
       tookMs: 300,
       sends: "i-7 fence 3 with 1 there: unknown: reset after 290 ms",
     }),
-    line(20, { part: "owner", sentence: "Server lost.", server: "i-7" }),
-    line(20, { part: "member", sentence: "Server seen.", server: "i-8" }),
+    logLine(20, { part: "owner", sentence: "Server lost.", server: "i-7" }),
+    logLine(20, { part: "member", sentence: "Server seen.", server: "i-8" }),
   ].join("\n");
-  const sentences = historyOf("q1", log).map(({ fields }) =>
+  const sentences = explainRequest("q1", log).map(({ fields }) =>
     `${fields["sentence"]} ${fields["server"] ?? fields["id"]}`
   );
   expect(sentences).toEqual(["Server lost. i-7", "Ended badly. q1"]);
 });
 
 test("should find nothing for an unknown request", () => {
-  expect(historyOf("q2", line(1, { part: "route", sentence: "x", id: "q1" })))
+  expect(
+    explainRequest(
+      "q2",
+      logLine(1, { part: "route", sentence: "x", id: "q1" }),
+    ),
+  )
     .toEqual([]);
 });
 
 test("should name the evacuation that left a request without a server", () => {
   const log = [
-    line(1, { part: "member", sentence: "Zone is evacuated.", zone: "z2" }),
-    line(2, {
+    logLine(1, { part: "member", sentence: "Zone is evacuated.", zone: "z2" }),
+    logLine(2, {
       part: "member",
       sentence: "Server seen.",
       server: "i-8",
       zone: "z2",
     }),
-    line(40, { part: "route", sentence: "Ended badly.", id: "q1", sends: "" }),
+    logLine(40, {
+      part: "route",
+      sentence: "Ended badly.",
+      id: "q1",
+      sends: "",
+    }),
   ].join("\n");
-  expect(historyOf("q1", log).map(({ fields }) => fields["sentence"]))
+  expect(explainRequest("q1", log).map(({ fields }) => fields["sentence"]))
     .toEqual(["Zone is evacuated.", "Ended badly."]);
 });
--- a/packages/ctl/src/request_losses.ts
+++ b/packages/ctl/src/request_failures.ts
@@ -1,8 +1,8 @@
 /** Counts, from log lines, which requests ended badly, when and why. */
-import { type LogLine, parseLine } from "./log_line.ts";
+import { type LogLine, parseLogLine } from "./log_line.ts";
 
 /** Requests of one second and route that ended for one reason. */
-export interface Loss {
+export interface FailureGroup {
   readonly second: string;
   readonly route: string;
   readonly status: string;
@@ -14,43 +14,43 @@
 }
 
 /** What a log says of requests that ended badly. */
-export interface LossReport {
+export interface FailureReport {
   /** In the order of time, the most frequent of a second first. */
-  readonly losses: readonly Loss[];
+  readonly groups: readonly FailureGroup[];
   /** Requests whose lines were left out for their number. */
-  readonly unlisted: number;
+  readonly omittedCount: number;
 }
 
-const ENDED_BADLY = "Ended badly.";
-const LEFT_OUT = "Left out lines of requests that ended badly.";
+const FAILED_REQUEST = "Ended badly.";
+const OMITTED_LINES = "Left out lines of requests that ended badly.";
 /** Refusals that have one line a second with their number. */
-const COUNTED = new Set([
+const AGGREGATED_REFUSALS = new Set([
   "Refuses: the event loop is behind.",
   "Refuses what this VM has read too late.",
 ]);
 
 /** Counts the losses in the log lines of any number of processes. */
-export function lossesIn(log: string): LossReport {
-  const losses = new Map<string, Loss>();
+export function summarizeFailures(log: string): FailureReport {
+  const losses = new Map<string, FailureGroup>();
   let unlisted = 0;
   for (const text of log.split("\n")) {
-    const line = parseLine(text);
+    const line = parseLogLine(text);
     if (line === undefined) continue;
     const { sentence, count } = line.fields;
-    if (sentence === LEFT_OUT) unlisted += Number(count) || 0;
-    const loss = lossOf(line);
-    if (loss !== undefined) add(losses, loss);
+    if (sentence === OMITTED_LINES) unlisted += Number(count) || 0;
+    const loss = parseFailure(line);
+    if (loss !== undefined) addToGroup(losses, loss);
   }
   const sorted = [...losses.values()].sort((a, b) =>
     a.second.localeCompare(b.second) || b.count - a.count
   );
-  return { losses: sorted, unlisted };
+  return { groups: sorted, omittedCount: unlisted };
 }
 
-function lossOf({ timeMs, fields }: LogLine): Loss | undefined {
+function parseFailure({ timeMs, fields }: LogLine): FailureGroup | undefined {
   const second = new Date(timeMs).toISOString().slice(11, 19);
   const sentence = String(fields["sentence"]);
-  if (COUNTED.has(sentence)) {
+  if (AGGREGATED_REFUSALS.has(sentence)) {
     return {
       second,
       route: "",
@@ -60,7 +60,7 @@
       meanTookMs: Number(fields["lagMs"]) || 0,
     };
   }
-  if (sentence !== ENDED_BADLY) return undefined;
+  if (sentence !== FAILED_REQUEST) return undefined;
   return {
     second,
     route: String(fields["route"] ?? ""),
@@ -71,7 +71,10 @@
   };
 }
 
-function add(losses: Map<string, Loss>, loss: Loss): void {
+function addToGroup(
+  losses: Map<string, FailureGroup>,
+  loss: FailureGroup,
+): void {
   const { second, route, status, reason } = loss;
   const name = [second, route, status, reason].join(" ");
   const known = losses.get(name);
--- a/packages/ctl/src/request_losses_test.ts
+++ b/packages/ctl/src/request_failures_test.ts
@@ -1,14 +1,14 @@
 import { expect } from "earl";
 import { test } from "node:test";
-import { lossesIn } from "./request_losses.ts";
+import { summarizeFailures } from "./request_failures.ts";
 
-function line(second: number, fields: Record<string, unknown>): string {
+function logLine(second: number, fields: Record<string, unknown>): string {
   const time = `2026-01-01T00:00:${String(second).padStart(2, "0")}.500Z`;
   return `vm-1 ${JSON.stringify({ time, part: "route", ...fields })}`;
 }
 
-function refused(second: number, waitMs: number, tookMs: number): string {
-  return line(second, {
+function refusedLine(second: number, waitMs: number, tookMs: number): string {
+  return logLine(second, {
     sentence: "Ended badly.",
     route: "check",
     status: 503,
@@ -19,18 +19,18 @@
 
 test("should count what ended badly by second, route and reason", () => {
   const log = [
-    refused(2, 700, 30),
-    refused(1, 300, 10),
-    refused(1, 400, 20),
-    line(1, { sentence: "Answered.", route: "check", status: 200 }),
-    line(2, { sentence: "Refuses: the event loop is behind.", refused: 40 }),
-    line(2, {
+    refusedLine(2, 700, 30),
+    refusedLine(1, 300, 10),
+    refusedLine(1, 400, 20),
+    logLine(1, { sentence: "Answered.", route: "check", status: 200 }),
+    logLine(2, { sentence: "Refuses: the event loop is behind.", refused: 40 }),
+    logLine(2, {
       sentence: "Left out lines of requests that ended badly.",
       count: 7,
     }),
     "text of another program",
   ].join("\n");
-  const { losses, unlisted } = lossesIn(log);
+  const { groups: losses, omittedCount: unlisted } = summarizeFailures(log);
   const rows = losses.map(({ second, count, reason, meanTookMs }) =>
     `${second} ${count} ${reason} ${meanTookMs}`
   );
--- a/packages/decisions/src/cells/reader_duty.ts
+++ b/packages/decisions/src/cells/reader_election.ts
@@ -16,7 +16,7 @@
 export interface KnownReader {
   readonly vm: contracts.VmId;
   /** When it said so, on this VM's clock. */
-  readonly heardAtMs: number;
+  readonly receivedAtMs: number;
   /** How long it had then reached the store without a failure. */
   readonly storeCalmMs: number;
 }
@@ -25,11 +25,11 @@
 export interface ReaderView {
   readonly nowMs: number;
   /** How long the process has run. */
-  readonly lifeMs: number;
+  readonly uptimeMs: number;
   /** Whether this VM's last call to the store was answered. */
   readonly hasStore: boolean;
   /** VMs that may read, this one included, in the order of the duty. */
-  readonly order: readonly contracts.VmId[];
+  readonly ranking: readonly contracts.VmId[];
   /** Whether this VM may begin at once, before it has heard its peers. */
   readonly isSeed: boolean;
 }
@@ -56,7 +56,7 @@
 const RETRY_MS = 3_000;
 
 /** Decides for one VM whether it reads. */
-export class ReaderDuty {
+export class ReaderElection {
   readonly #vm: contracts.VmId;
   readonly #known = new Map<contracts.VmId, KnownReader>();
   #isReader = false;
@@ -74,29 +74,34 @@
   }
 
   /** A reader said, itself or through a peer, that it reaches the store. */
-  note(reader: KnownReader): void {
+  noteReader(reader: KnownReader): void {
     if (reader.vm === this.#vm) return;
     const known = this.#known.get(reader.vm);
-    const isOlder = known !== undefined && known.heardAtMs >= reader.heardAtMs;
+    const isOlder = known !== undefined &&
+      known.receivedAtMs >= reader.receivedAtMs;
     if (!isOlder) this.#known.set(reader.vm, reader);
   }
 
   /** Other readers whose word is still good. */
-  active(nowMs: number): KnownReader[] {
+  activeReaders(nowMs: number): KnownReader[] {
     return [...this.#known.values()]
-      .filter(({ heardAtMs }) => nowMs - heardAtMs < READER_TIMEOUT_MS);
+      .filter(({ receivedAtMs: heardAtMs }) =>
+        nowMs - heardAtMs < READER_TIMEOUT_MS
+      );
   }
 
   /** How long the store has answered some other reader without a failure. */
-  storeCalmMs(nowMs: number): number {
-    const calms = this.active(nowMs)
-      .map(({ heardAtMs, storeCalmMs }) => storeCalmMs + nowMs - heardAtMs);
+  storeHealthyMs(nowMs: number): number {
+    const calms = this.activeReaders(nowMs)
+      .map(({ receivedAtMs: heardAtMs, storeCalmMs }) =>
+        storeCalmMs + nowMs - heardAtMs
+      );
     return Math.max(0, ...calms);
   }
 
   /** Looks at the duty again. */
   review(view: ReaderView): ReaderStep {
-    const active = this.active(view.nowMs);
+    const active = this.activeReaders(view.nowMs);
     this.#forget(view.nowMs);
     if (this.#isReader) {
       if (!this.#isNeeded(view, active)) this.#isReader = false;
@@ -111,16 +116,16 @@
    * The attempt to reach the store has ended. With a slow store it takes longer
    * than the VMs wait for one another, so enough others may read by now.
    */
-  noteTried(isReached: boolean, view: ReaderView): void {
+  noteAttempt(isReached: boolean, view: ReaderView): void {
     const { nowMs } = view;
     if (!isReached) this.#noTryBeforeMs = nowMs + RETRY_MS;
     this.#isReader = isReached &&
-      (this.active(nowMs).length < READERS || this.#isFirst(view));
+      (this.activeReaders(nowMs).length < READERS || this.#isFirst(view));
   }
 
   /** Whether fewer than enough other readers go before this one. */
   #isNeeded(
-    { order, hasStore }: ReaderView,
+    { ranking: order, hasStore }: ReaderView,
     active: readonly KnownReader[],
   ): boolean {
     if (!hasStore) return active.length < READERS;
@@ -138,10 +143,10 @@
       this.#missingSinceMs = undefined;
       return false;
     }
-    if (view.lifeMs < START_GRACE_MS && !view.isSeed) return false;
+    if (view.uptimeMs < START_GRACE_MS && !view.isSeed) return false;
     this.#missingSinceMs ??= view.nowMs;
     const names = new Set(active.map(({ vm }) => vm));
-    const others = view.order.filter((vm) => !names.has(vm));
+    const others = view.ranking.filter((vm) => !names.has(vm));
     const place = Math.max(0, others.indexOf(this.#vm));
     const missing = READERS - active.length;
     const waitMs = STAGGER_MS * Math.max(0, place + 1 - missing);
@@ -149,7 +154,9 @@
   }
 
   /** Whether this VM has been among the first of the order for long. */
-  #isFirst({ order, nowMs, lifeMs, hasStore }: ReaderView): boolean {
+  #isFirst(
+    { ranking: order, nowMs, uptimeMs: lifeMs, hasStore }: ReaderView,
+  ): boolean {
     const isFirst = hasStore && order.slice(0, READERS).includes(this.#vm);
     if (!isFirst) this.#firstSinceMs = undefined;
     else this.#firstSinceMs ??= nowMs;
@@ -158,7 +165,7 @@
   }
 
   #forget(nowMs: number): void {
-    for (const [vm, { heardAtMs }] of this.#known) {
+    for (const [vm, { receivedAtMs: heardAtMs }] of this.#known) {
       if (nowMs - heardAtMs >= READER_TIMEOUT_MS) this.#known.delete(vm);
     }
   }
@@ -168,7 +175,7 @@
  * Candidates in the order in which they read: of equal duty the strongest, and
  * of each availability zone one before any second.
  */
-export function readerOrder(
+export function rankReaders(
   candidates: readonly ReaderCandidate[],
   rank: (vms: readonly contracts.VmId[]) => readonly contracts.VmId[],
 ): contracts.VmId[] {
--- a/packages/decisions/src/cells/reader_duty_test.ts
+++ b/packages/decisions/src/cells/reader_election_test.ts
@@ -2,17 +2,17 @@
 import { expect } from "earl";
 import { test } from "node:test";
 import {
+  rankReaders,
   type ReaderCandidate,
-  ReaderDuty,
-  readerOrder,
+  ReaderElection,
   type ReaderView,
-} from "./reader_duty.ts";
+} from "./reader_election.ts";
 
 const REVIEW_MS = 100;
 
 interface ModelVm {
   readonly vm: contracts.VmId;
-  duty: ReaderDuty;
+  duty: ReaderElection;
   startedAtMs: number;
   isUp: boolean;
   hasStore: boolean;
@@ -38,7 +38,7 @@
       const vm = `vm${String(index).padStart(3, "0")}` as contracts.VmId;
       return {
         vm,
-        duty: new ReaderDuty(vm),
+        duty: new ReaderElection(vm),
         startedAtMs: 0,
         isUp: true,
         hasStore: true,
@@ -55,7 +55,7 @@
 
   restart(vm: ModelVm): void {
     Object.assign(vm, {
-      duty: new ReaderDuty(vm.vm),
+      duty: new ReaderElection(vm.vm),
       startedAtMs: this.nowMs,
       isUp: true,
       hasStore: true,
@@ -91,7 +91,11 @@
       if (!from.isUp || !from.duty.isReader || !from.hasStore) continue;
       for (const to of this.vms) {
         if (to === from || this.isLost(from.vm, to.vm)) continue;
-        to.duty.note({ vm: from.vm, heardAtMs, storeCalmMs: 5_000 });
+        to.duty.noteReader({
+          vm: from.vm,
+          receivedAtMs: heardAtMs,
+          storeCalmMs: 5_000,
+        });
       }
     }
   }
@@ -99,10 +103,10 @@
   #review(vm: ModelVm): void {
     const view: ReaderView = {
       nowMs: this.nowMs,
-      lifeMs: this.nowMs - vm.startedAtMs,
+      uptimeMs: this.nowMs - vm.startedAtMs,
       hasStore: vm.hasStore,
       // Lost VMs stay in the order: their loss is known late.
-      order: this.vms.map((it) => it.vm),
+      ranking: this.vms.map((it) => it.vm),
       isSeed: false,
     };
     if (vm.triedAtMs === undefined) {
@@ -112,7 +116,7 @@
     }
     if (this.nowMs < vm.triedAtMs) return;
     vm.triedAtMs = undefined;
-    vm.duty.noteTried(vm.hasStore, view);
+    vm.duty.noteAttempt(vm.hasStore, view);
     if (vm.duty.isReader) this.begun++;
   }
 }
@@ -206,15 +210,15 @@
     .map(([vm, zone, processorCores]) =>
       ({ vm, zone, processorCores }) as ReaderCandidate
     );
-  const order = readerOrder(candidates, (vms) => vms);
+  const order = rankReaders(candidates, (vms) => vms);
   expect(order.map(String)).toEqual(["a2", "b1", "a1"]);
 });
 
 test("should count the time since the store failed from readers' words", () => {
-  const duty = new ReaderDuty("vm1" as contracts.VmId);
-  expect(duty.storeCalmMs(0)).toEqual(0);
+  const duty = new ReaderElection("vm1" as contracts.VmId);
+  expect(duty.storeHealthyMs(0)).toEqual(0);
   const reader = "vm2" as contracts.VmId;
-  duty.note({ vm: reader, heardAtMs: 1_000, storeCalmMs: 400 });
-  expect(duty.storeCalmMs(1_500)).toEqual(900);
-  expect(duty.storeCalmMs(2_500)).toEqual(0);
+  duty.noteReader({ vm: reader, receivedAtMs: 1_000, storeCalmMs: 400 });
+  expect(duty.storeHealthyMs(1_500)).toEqual(900);
+  expect(duty.storeHealthyMs(2_500)).toEqual(0);
 });
--- a/packages/decisions/src/grants/calm_load_test.ts
+++ b/packages/decisions/src/grants/even_load_test.ts
@@ -33,10 +33,10 @@
       { owner, capacityPerSecond: CAPACITY_PER_SECOND },
     ]),
   );
-  let ranges = grants.firstRanges(
+  let ranges = grants.initialRanges(
     owners.map((owner) => ({ ...owner, slots: 3 })),
   );
-  const loads = new grants.KeyLoads();
+  const loads = new grants.KeyRateTracker();
   let moves = 0;
   for (let nowMs = 0; nowMs < RUN_MS; nowMs += PLAN_MS) {
     loads.decay(nowMs);
@@ -45,18 +45,18 @@
       const key = Math.floor(arrivals.next() * contracts.KEY_COUNT);
       loads.add([[key, 1]]);
     }
-    const plan = grants.planRanges({
+    const plan = grants.planRangeMoves({
       ranges,
       servers,
       rates: loads.rates(),
       mayBalance: nowMs >= 1_000,
     });
     moves += plan.length;
-    const next = grants.vacate(ranges, plan, {
+    const next = grants.startHandovers(ranges, plan, {
       revision: nowMs + 2,
       lastFence: nowMs * 100 + SERVERS,
     });
-    ranges = grants.settle(next.ranges, () => true);
+    ranges = grants.finishHandovers(next.ranges, () => true);
   }
   return moves;
 }
--- a/packages/decisions/src/grants/fencing_releases.ts
+++ b/packages/decisions/src/grants/fencing_releases.ts
@@ -33,7 +33,7 @@
 
   /** Forgets old owners that own some of the keys again, with a higher fence. */
   noteRanges(ranges: readonly contracts.RangeState[]): void {
-    for (const [fence, { call: { range, old } }] of this.#pending) {
+    for (const [fence, { call: { range, oldOwner: old } }] of this.#pending) {
       const isBack = ranges.some((it) =>
         it.owner.server === old.server && overlaps(it, range)
       );
@@ -42,17 +42,17 @@
   }
 
   /** Calls to send now, one at a time to each server. */
-  take(
+  takeDue(
     nowMs: number,
     hasEnded: (owner: contracts.RangeOwner) => boolean,
   ): ReleaseCall[] {
     const calls: ReleaseCall[] = [];
     const busy = new Set<contracts.ServerId>();
     for (const { call, isUnderWay } of this.#pending.values()) {
-      if (isUnderWay) busy.add(call.old.server);
+      if (isUnderWay) busy.add(call.oldOwner.server);
     }
     for (const [fence, pending] of this.#pending) {
-      const { old } = pending.call;
+      const { oldOwner: old } = pending.call;
       if (nowMs - pending.sinceMs >= TRY_FOR_MS || hasEnded(old)) {
         this.#pending.delete(fence);
         continue;
@@ -66,7 +66,7 @@
   }
 
   /** A call was answered or failed; false when it was none of these. */
-  noteEnd(fence: number, isAnswered: boolean, nowMs: number): boolean {
+  noteResult(fence: number, isAnswered: boolean, nowMs: number): boolean {
     const pending = this.#pending.get(fence);
     if (pending === undefined) return false;
     if (isAnswered) this.#pending.delete(fence);
--- a/packages/decisions/src/grants/grant_model_test.ts
+++ b/packages/decisions/src/grants/grant_model_test.ts
@@ -74,8 +74,8 @@
 
 class ModelKeeper {
   readonly vm: contracts.VmId;
-  book = new grants.KeeperBook();
-  mover: grants.RangeMover;
+  book = new grants.VoterReports();
+  mover: grants.HandoverController;
   map: contracts.RangeMap | undefined;
   isSettled = false;
   startedMs = 0;
@@ -94,13 +94,13 @@
     this.mover = this.#newMover();
   }
 
-  #newMover(): grants.RangeMover {
+  #newMover(): grants.HandoverController {
     const service = "s" as contracts.ServiceId;
-    return new grants.RangeMover(service, this.book, TIMINGS);
+    return new grants.HandoverController(service, this.book, TIMINGS);
   }
 
   restart(nowMs: number): void {
-    this.book = new grants.KeeperBook();
+    this.book = new grants.VoterReports();
     this.mover = this.#newMover();
     this.map = undefined;
     this.isSettled = false;
@@ -113,7 +113,7 @@
   adopt(map: contracts.RangeMap): void {
     if (map.revision <= (this.map?.revision ?? 0)) return;
     this.map = map;
-    this.mover.noteNewer(map.revision);
+    this.mover.noteNewerRevision(map.revision);
   }
 }
 
@@ -202,8 +202,8 @@
     if (keeper.frozenUntilMs > this.nowMs) return;
     if (keeper.frozenUntilMs > 0) {
       keeper.frozenUntilMs = 0;
-      keeper.book.forgetEvidence();
-      keeper.mover.forget();
+      keeper.book.clearConfirmations();
+      keeper.mover.requireRead();
       keeper.isSettled = false;
     }
     this.#noteOwnWord(keeper);
@@ -221,7 +221,7 @@
       );
   }
 
-  #word(keeper: ModelKeeper, askedAtMs: number): grants.KeeperWord {
+  #word(keeper: ModelKeeper, askedAtMs: number): grants.VoterReport {
     const last = new Map<contracts.ServerId, number>();
     const unanswered = new Map<contracts.ServerId, number>();
     for (const [server, grant] of keeper.sent) {
@@ -235,8 +235,8 @@
     return {
       vm: keeper.vm,
       revision: keeper.map?.revision ?? 0,
-      isSettled: keeper.isSettled,
-      askedAtMs,
+      hasReadMap: keeper.isSettled,
+      requestedAtMs: askedAtMs,
       receivedAtMs: this.nowMs,
       startedAtMs: keeper.startedMs,
       lastGrantMs: last,
@@ -245,7 +245,7 @@
   }
 
   #noteOwnWord(keeper: ModelKeeper): void {
-    keeper.book.noteWord(this.#word(keeper, this.nowMs));
+    keeper.book.noteReport(this.#word(keeper, this.nowMs));
   }
 
   #tellStatus(keeper: ModelKeeper): void {
@@ -261,7 +261,7 @@
         if (other.startedMs !== run || other.frozenUntilMs > this.nowMs) return;
         other.echoes.set(keeper.vm, leftMs);
         const askedAtMs = echoMs >= other.startedMs ? echoMs : -Infinity;
-        other.book.noteWord({ ...word, askedAtMs });
+        other.book.noteReport({ ...word, requestedAtMs: askedAtMs });
       });
     }
   }
@@ -291,9 +291,9 @@
       const name = `${range.fromKey}/${range.fence}`;
       const renewedMs = keeper.renewedMs.get(name) ?? -Infinity;
       if (this.nowMs - renewedMs < TIMINGS.renewMs) continue;
-      const evidenceMs = this.nowMs - keeper.book.evidenceAtMs(map);
+      const evidenceMs = this.nowMs - keeper.book.confirmedAtMs(map);
       const isGood = this.#traps.noEvidenceEnd ||
-        evidenceMs < TIMINGS.evidenceMs;
+        evidenceMs < TIMINGS.confirmationTtlMs;
       if (!isGood) return this.#read(keeper);
       keeper.renewedMs.set(name, this.nowMs);
       this.#grant(keeper, range);
@@ -309,7 +309,7 @@
       { isUnderWay: false, endMs: 0, unansweredMs: undefined };
     keeper.sent.set(range.owner.server, state);
     state.isUnderWay = true;
-    const holdMs = grants.holdOf(keeper.map, TIMINGS);
+    const holdMs = grants.leaseDurationMs(keeper.map, TIMINGS);
     const end = (isAnswered: boolean) => {
       state.isUnderWay = false;
       state.endMs = this.nowMs;
@@ -317,7 +317,7 @@
     };
     const wayMs = this.#between(1, 120);
     const waitMs = this.#chance(0.3)
-      ? this.#between(0, TIMINGS.orderTimeoutMs)
+      ? this.#between(0, TIMINGS.grantTimeoutMs)
       : 0;
     const isLate = this.#chance(0.1);
     this.#after(waitMs + wayMs, () => {
@@ -333,13 +333,13 @@
     const giveUp = () => {
       if (state.isUnderWay) end(false);
     };
-    this.#after(TIMINGS.orderTimeoutMs, giveUp);
+    this.#after(TIMINGS.grantTimeoutMs, giveUp);
   }
 
   #move(keeper: ModelKeeper): void {
     const { mover } = keeper;
     const tick = this.#tick();
-    mover.checkPromises(this.nowMs, tick.gone);
+    mover.checkAcknowledgements(this.nowMs, tick.removedVoters);
     const neverEnded = () => false;
     for (const call of mover.takeReleases(this.nowMs, neverEnded)) {
       this.#release(keeper, call);
@@ -353,11 +353,11 @@
       const isSeen = !isLost && keeper.startedMs === run;
       if (!isSeen) {
         if (keeper.startedMs === run) {
-          keeper.mover.noteCallEnd({ kind: "unsure" }, this.nowMs);
+          keeper.mover.noteCallResult({ kind: "unsure" }, this.nowMs);
         }
         return;
       }
-      keeper.mover.noteCallEnd(end, this.nowMs);
+      keeper.mover.noteCallResult(end, this.nowMs);
       if (end.kind !== "written" && end.kind !== "found") return;
       keeper.isSettled = true;
       keeper.adopt(end.stored.map);
@@ -372,14 +372,17 @@
     });
   }
 
-  #release(keeper: ModelKeeper, { range, old }: grants.ReleaseCall): void {
+  #release(
+    keeper: ModelKeeper,
+    { range, oldOwner: old }: grants.ReleaseCall,
+  ): void {
     const server = this.servers.find(({ owner }) =>
       owner.server === old.server
     )!;
     const run = keeper.startedMs;
     const note = (end: { readonly handover: undefined } | "failed") => {
       if (keeper.startedMs !== run) return;
-      keeper.mover.noteRelease(range.fence, end, this.nowMs);
+      keeper.mover.noteReleaseResult(range.fence, end, this.nowMs);
     };
     this.#after(this.#between(1, 60), () => {
       if (server.silentUntilMs > this.nowMs) {
@@ -390,7 +393,7 @@
     });
   }
 
-  #tick(): grants.RangeMoverTick {
+  #tick(): grants.HandoverTick {
     const usable = new Map(
       this.servers.map(({ owner }) => [
         owner.server,
@@ -401,14 +404,14 @@
       nowMs: this.#traps.noWait ? this.nowMs + 1e6 : this.nowMs,
       usable,
       hasEnded: () => false,
-      keepers: this.keepers.map(({ vm }) => vm),
-      gone: this.#traps.noPromise
+      voters: this.keepers.map(({ vm }) => vm),
+      removedVoters: this.#traps.noPromise
         ? new Set(this.keepers.map(({ vm }) => vm))
         : new Set(),
       plan: () => this.#plan(),
       nonce: () => String(this.#version),
       // The service's work turns out to be long after half of the run.
-      holdMs: this.nowMs < RUN_MS / 2 ? TIMINGS.holdMs : LONG_HOLD_MS,
+      leaseMs: this.nowMs < RUN_MS / 2 ? TIMINGS.holdMs : LONG_HOLD_MS,
     };
   }
 
@@ -423,7 +426,7 @@
     }];
   }
 
-  #store(call: grants.MapCall, isReached: boolean): grants.MapCallEnd {
+  #store(call: grants.MapCall, isReached: boolean): grants.MapCallResult {
     if (!isReached) return { kind: "unsure" };
     if (call.kind === "read") {
       return this.#stored === undefined
--- a/packages/decisions/src/grants/grant_timings.ts
+++ b/packages/decisions/src/grants/grant_timings.ts
@@ -7,16 +7,16 @@
   /** Between two renewals of a range by one keeper. */
   readonly renewMs: number;
   /** How long evidence for a map revision is good. */
-  readonly evidenceMs: number;
+  readonly confirmationTtlMs: number;
   /**
    * A grant without an answer is given up after this time and its connection
    * reset, so that its bytes leave by then or never.
    */
-  readonly orderTimeoutMs: number;
+  readonly grantTimeoutMs: number;
   /** Longest time that bytes which have left are on their way. */
   readonly transitMs: number;
   /** A server counts as lost after so long without an answer to a grant. */
-  readonly silentMs: number;
+  readonly unresponsiveAfterMs: number;
   /** Largest relative difference in rate between two clocks. */
   readonly clockRateMargin: number;
 }
@@ -28,15 +28,15 @@
 export const DEFAULT_GRANT_TIMINGS: GrantTimings = {
   holdMs: 1_500,
   renewMs: 450,
-  evidenceMs: 700,
-  orderTimeoutMs: 300,
+  confirmationTtlMs: 700,
+  grantTimeoutMs: 300,
   transitMs: 100,
-  silentMs: 700,
+  unresponsiveAfterMs: 700,
   clockRateMargin: 0.02,
 };
 
 /** Longest time from the end of a grant call until what it gave is over. */
-export function grantLifeMs(
+export function maxLeaseLifetimeMs(
   { transitMs, clockRateMargin }: GrantTimings,
   holdMs: number,
 ): number {
--- a/packages/decisions/src/grants/ownerless_times.ts
+++ b/packages/decisions/src/grants/handover_ages.ts
@@ -2,7 +2,7 @@
 import type * as contracts from "@guavatide/contracts";
 
 /** Times of the ranges that are between two owners, as one VM saw them. */
-export class OwnerlessTimes {
+export class HandoverAges {
   /** By the fence that the next owner gets. */
   readonly #sinceMs = new Map<number, number>();
 
--- a/packages/decisions/src/grants/range_mover.ts
+++ b/packages/decisions/src/grants/handover_controller.ts
@@ -6,17 +6,17 @@
  */
 import type * as contracts from "@guavatide/contracts";
 import { FencingReleases } from "./fencing_releases.ts";
-import { holdOf } from "./grant_hold.ts";
+import { leaseDurationMs } from "./lease_duration.ts";
 import type { GrantTimings } from "./grant_timings.ts";
-import type { KeeperBook } from "./keeper_book.ts";
+import type { VoterReports } from "./voter_reports.ts";
 import * as edit from "./range_edit.ts";
 import { RELEASE_RETRY_MS, type ReleaseCall } from "./release_call.ts";
 import {
   type AnsweredRelease,
   freeAtMs,
+  type HandoverFacts,
   isReleaseVoid,
-  type RangeWaitFacts,
-} from "./range_wait.ts";
+} from "./handover_wait.ts";
 
 /** A range map with the store's version of it. */
 export interface StoredRangeMap {
@@ -25,7 +25,7 @@
 }
 
 /** What came of a call to the store. */
-export type MapCallEnd =
+export type MapCallResult =
   | { readonly kind: "found"; readonly stored: StoredRangeMap }
   | { readonly kind: "absent" }
   | { readonly kind: "written"; readonly stored: StoredRangeMap }
@@ -42,18 +42,18 @@
   };
 
 /** The world as the task sees it at a tick. */
-export interface RangeMoverTick {
+export interface HandoverTick {
   readonly nowMs: number;
   /** Servers that can take ranges now. */
   readonly usable: ReadonlyMap<contracts.ServerId, contracts.RegisteredServer>;
   /** Whether this run of a server is known to have ended. */
   hasEnded(owner: contracts.RangeOwner): boolean;
   /** Entry VMs that shall be keepers, in any order. */
-  readonly keepers: readonly contracts.VmId[];
+  readonly voters: readonly contracts.VmId[];
   /** Length of grants that the service's work needs. */
-  readonly holdMs: number;
+  readonly leaseMs: number;
   /** Keepers that are gone for good. */
-  readonly gone: ReadonlySet<contracts.VmId>;
+  readonly removedVoters: ReadonlySet<contracts.VmId>;
   /** Moves that placement asks for. */
   plan(map: contracts.RangeMap): readonly edit.RangeMove[];
   nonce(): string;
@@ -82,10 +82,10 @@
 const RETRY_MAX_MS = 1_000;
 
 /** Moves the ranges of one service. */
-export class RangeMover {
+export class HandoverController {
   readonly #service: contracts.ServiceId;
   readonly #timings: GrantTimings;
-  readonly #keepers: KeeperBook;
+  readonly #keepers: VoterReports;
   #stored: StoredRangeMap | undefined;
   #isAbsent = false;
   #mustRead = true;
@@ -102,7 +102,7 @@
 
   constructor(
     service: contracts.ServiceId,
-    keepers: KeeperBook,
+    keepers: VoterReports,
     timings: GrantTimings,
   ) {
     this.#service = service;
@@ -116,12 +116,12 @@
   }
 
   /** Reads anew before the next decision, for example after taking over. */
-  forget(): void {
+  requireRead(): void {
     this.#mustRead = true;
   }
 
   /** A newer revision than the one known here is said to exist. */
-  noteNewer(revision: number): void {
+  noteNewerRevision(revision: number): void {
     if (revision > (this.map?.revision ?? 0)) this.#mustRead = true;
   }
 
@@ -131,7 +131,7 @@
   }
 
   /** The next call to the store; at most one is under way. */
-  nextCall(tick: RangeMoverTick): MapCall | undefined {
+  nextCall(tick: HandoverTick): MapCall | undefined {
     if (this.#isCalling || tick.nowMs < this.#notBeforeMs) return undefined;
     const call = this.#mustRead ? { kind: "read" } as const : this.#write(tick);
     this.#isCalling = call !== undefined;
@@ -139,7 +139,7 @@
   }
 
   /** The call that `nextCall` asked for has ended. */
-  noteCallEnd(end: MapCallEnd, nowMs: number): void {
+  noteCallResult(end: MapCallResult, nowMs: number): void {
     this.#isCalling = false;
     if (end.kind === "unsure") return this.#backOff(nowMs);
     this.#failures = 0;
@@ -160,12 +160,15 @@
   }
 
   /** Takes note of promises; called after each keeper's status. */
-  checkPromises(nowMs: number, gone: ReadonlySet<contracts.VmId>): void {
+  checkAcknowledgements(
+    nowMs: number,
+    gone: ReadonlySet<contracts.VmId>,
+  ): void {
     const map = this.map;
     if (map === undefined) return;
     for (const revision of this.#openRevisions(map)) {
       if (this.#promisedAtMs.has(revision)) continue;
-      if (!this.#keepers.hasPromise(map, revision, gone)) continue;
+      if (!this.#keepers.isAcknowledged(map, revision, gone)) continue;
       this.#promisedAtMs.set(revision, nowMs);
     }
   }
@@ -184,18 +187,18 @@
       if (old === undefined || hasEnded(old)) continue;
       if (!this.#mayRelease(map!, range, nowMs)) continue;
       this.#release(range.fence).underWayMs = nowMs;
-      calls.push({ range, old });
+      calls.push({ range, oldOwner: old });
     }
-    return [...calls, ...this.#fencing.take(nowMs, hasEnded)];
+    return [...calls, ...this.#fencing.takeDue(nowMs, hasEnded)];
   }
 
   /** A release was answered, or failed and may be sent again. */
-  noteRelease(
+  noteReleaseResult(
     fence: number,
     end: { readonly handover: string | undefined } | "failed",
     nowMs: number,
   ): void {
-    if (this.#fencing.noteEnd(fence, end !== "failed", nowMs)) return;
+    if (this.#fencing.noteResult(fence, end !== "failed", nowMs)) return;
     const release = this.#release(fence);
     const leftAtMs = release.underWayMs ?? nowMs;
     release.underWayMs = undefined;
@@ -203,7 +206,7 @@
       release.notBeforeMs = nowMs + RELEASE_RETRY_MS;
       return;
     }
-    release.answered = { leftAtMs, doneAtMs: nowMs };
+    release.answered = { sentAtMs: leftAtMs, answeredAtMs: nowMs };
     release.handover = end.handover ?? release.handover;
   }
 
@@ -216,7 +219,7 @@
       const { fence, vacating: old } = range;
       if (old === undefined || !settled.has(fence)) continue;
       if (this.#releases.get(fence)?.answered !== undefined) continue;
-      this.#fencing.add({ range, old, isFencing: true }, nowMs);
+      this.#fencing.add({ range, oldOwner: old, isFencing: true }, nowMs);
     }
   }
 
@@ -235,7 +238,7 @@
       return isReleaseVoid(this.#facts(map, range, false));
     }
     const knows = (vm: contracts.VmId) => {
-      const word = this.#keepers.word(vm);
+      const word = this.#keepers.reportOf(vm);
       if (word === undefined || word.revision < revision) return false;
       const endMs = word.lastGrantMs.get(server) ?? Number.NEGATIVE_INFINITY;
       // A grant that is under way ends when the word is told.
@@ -249,38 +252,39 @@
     map: contracts.RangeMap,
     range: contracts.RangeState,
     hasEnded: boolean,
-  ): RangeWaitFacts {
+  ): HandoverFacts {
     return {
       map,
       range,
-      keepers: this.#keepers,
-      promisedAtMs: this.#promisedAtMs.get(range.vacating!.revision),
+      reports: this.#keepers,
+      acknowledgedAtMs: this.#promisedAtMs.get(range.vacating!.revision),
       release: this.#releases.get(range.fence)?.answered,
       hasEnded,
       timings: this.#timings,
     };
   }
 
-  #write(tick: RangeMoverTick): MapCall | undefined {
+  #write(tick: HandoverTick): MapCall | undefined {
     if (this.#stored === undefined) return this.#firstWrite(tick);
     const { map, version } = this.#stored;
     const revision = map.revision + 1;
     let freed = 0;
-    const settled = edit.settle(map.ranges, (range) => {
+    const settled = edit.finishHandovers(map.ranges, (range) => {
       const isFree = this.#isFree(map, range, tick);
       if (isFree) freed++;
       return isFree;
     });
     const moves = tick.plan(map);
-    const vacated = edit.vacate(settled, moves, {
+    const vacated = edit.startHandovers(settled, moves, {
       revision,
       lastFence: map.lastFence,
     });
     const keeperSets = this.#nextKeeperSets(map, tick);
-    const holdMs = Math.max(holdOf(map, this.#timings), tick.holdMs);
+    const holdMs = Math.max(leaseDurationMs(map, this.#timings), tick.leaseMs);
     const isSettling = freed > 0 && !this.#awaitsMore(tick.nowMs);
     const isChanged = isSettling || moves.length > 0 ||
-      keeperSets !== map.keeperSets || holdMs > holdOf(map, this.#timings);
+      keeperSets !== map.keeperSets ||
+      holdMs > leaseDurationMs(map, this.#timings);
     if (!isChanged) return undefined;
     this.#freeSinceMs = undefined;
     const next = { ...map, ...vacated, revision, keeperSets, holdMs };
@@ -296,18 +300,18 @@
     return isUnderWay && nowMs - this.#freeSinceMs < SETTLE_BATCH_MS;
   }
 
-  #firstWrite(tick: RangeMoverTick): MapCall | undefined {
+  #firstWrite(tick: HandoverTick): MapCall | undefined {
     const owners = [...tick.usable.values()];
     const isReady = this.#isAbsent && owners.length > 0 &&
-      tick.keepers.length > 0;
+      tick.voters.length > 0;
     if (!isReady) return undefined;
-    const ranges = edit.firstRanges(owners);
+    const ranges = edit.initialRanges(owners);
     const first = {
       service: this.#service,
       revision: 1,
       lastFence: owners.length,
-      keeperSets: [[...tick.keepers]],
-      holdMs: Math.max(this.#timings.holdMs, tick.holdMs),
+      keeperSets: [[...tick.voters]],
+      holdMs: Math.max(this.#timings.holdMs, tick.leaseMs),
       ranges,
     };
     return this.#writeCall(first, { kind: "absent" }, tick);
@@ -316,7 +320,7 @@
   #writeCall(
     map: Omit<contracts.RangeMap, "nonce">,
     condition: contracts.WriteCondition,
-    tick: RangeMoverTick,
+    tick: HandoverTick,
   ): MapCall {
     return { kind: "write", map: { ...map, nonce: tick.nonce() }, condition };
   }
@@ -324,7 +328,7 @@
   #isFree(
     map: contracts.RangeMap,
     range: contracts.RangeState,
-    tick: RangeMoverTick,
+    tick: HandoverTick,
   ): boolean {
     if (!tick.usable.has(range.owner.server)) return false;
     const old = range.vacating!;
@@ -335,18 +339,22 @@
   /** Keeper sets of the next revision; the same object when none changes. */
   #nextKeeperSets(
     map: contracts.RangeMap,
-    tick: RangeMoverTick,
+    tick: HandoverTick,
   ): contracts.RangeMap["keeperSets"] {
     const last = map.keeperSets.at(-1)!;
-    const isPromised = this.#keepers.hasPromise(map, map.revision, tick.gone);
+    const isPromised = this.#keepers.isAcknowledged(
+      map,
+      map.revision,
+      tick.removedVoters,
+    );
     const hasEarlier = map.keeperSets.length > 1;
     if (hasEarlier && isPromised) return [last];
-    const isSame = last.length === tick.keepers.length &&
-      tick.keepers.every((vm) => last.includes(vm));
-    if (hasEarlier || isSame || tick.keepers.length === 0) {
+    const isSame = last.length === tick.voters.length &&
+      tick.voters.every((vm) => last.includes(vm));
+    if (hasEarlier || isSame || tick.voters.length === 0) {
       return map.keeperSets;
     }
-    return [...map.keeperSets, [...tick.keepers]];
+    return [...map.keeperSets, [...tick.voters]];
   }
 
   #release(fence: number): Release {
--- a/packages/decisions/src/grants/range_mover_test.ts
+++ b/packages/decisions/src/grants/handover_controller_test.ts
@@ -18,8 +18,8 @@
 /** Two servers, of which one gives many ranges to the other. */
 class Fixture {
   nowMs = START_MS;
-  readonly #keepers = new grants.KeeperBook();
-  readonly mover = new grants.RangeMover(
+  readonly #keepers = new grants.VoterReports();
+  readonly mover = new grants.HandoverController(
     SERVICE,
     this.#keepers,
     grants.DEFAULT_GRANT_TIMINGS,
@@ -52,7 +52,7 @@
   /** Releases that are due now. */
   takeReleases(): grants.ReleaseCall[] {
     this.#hear();
-    this.mover.checkPromises(this.nowMs, new Set());
+    this.mover.checkAcknowledgements(this.nowMs, new Set());
     return this.mover.takeReleases(this.nowMs, () => false);
   }
 
@@ -63,33 +63,33 @@
   #step(): void {
     const { mover, nowMs } = this;
     this.#hear();
-    mover.checkPromises(nowMs, new Set());
+    mover.checkAcknowledgements(nowMs, new Set());
     for (const { range } of mover.takeReleases(nowMs, () => false)) {
       const atMs = nowMs + STEP_MS * (1 + this.#answers.length % MOVES);
       this.#answers.push({ fence: range.fence, atMs });
     }
     for (const { fence, atMs } of this.#answers) {
       if (atMs === nowMs) {
-        mover.noteRelease(fence, { handover: "h" }, nowMs);
+        mover.noteReleaseResult(fence, { handover: "h" }, nowMs);
       }
     }
     const call = mover.nextCall(this.#tick());
     if (call === undefined) return;
     if (call.kind === "read") {
-      return mover.noteCallEnd({ kind: "absent" }, nowMs);
+      return mover.noteCallResult({ kind: "absent" }, nowMs);
     }
     this.writes++;
     this.#map = call.map;
     const stored = { map: call.map, version: String(this.writes) };
-    mover.noteCallEnd({ kind: "written", stored }, nowMs);
+    mover.noteCallResult({ kind: "written", stored }, nowMs);
   }
 
   #hear(): void {
-    this.#keepers.noteWord({
+    this.#keepers.noteReport({
       vm: KEEPER,
       revision: this.#map?.revision ?? 0,
-      isSettled: true,
-      askedAtMs: this.nowMs,
+      hasReadMap: true,
+      requestedAtMs: this.nowMs,
       receivedAtMs: this.nowMs,
       startedAtMs: 0,
       // Its ranges would be free without a release only much later.
@@ -98,7 +98,7 @@
     });
   }
 
-  #tick(): grants.RangeMoverTick {
+  #tick(): grants.HandoverTick {
     const isFirst = this.#map === undefined;
     const usable = (isFirst ? ["a"] : ["a", "b"]).map((name) =>
       [
@@ -110,9 +110,9 @@
       nowMs: this.nowMs,
       usable: new Map(usable),
       hasEnded: () => false,
-      keepers: [KEEPER],
-      gone: new Set(),
-      holdMs: grants.DEFAULT_GRANT_TIMINGS.holdMs,
+      voters: [KEEPER],
+      removedVoters: new Set(),
+      leaseMs: grants.DEFAULT_GRANT_TIMINGS.holdMs,
       plan: () => {
         const moves = isFirst ? [] : this.#moves;
         if (!isFirst) this.#moves = [];
@@ -136,7 +136,7 @@
 test("should not release keys by a map that is known to be old", () => {
   const fixture = new Fixture();
   fixture.runUntilMoving();
-  fixture.mover.noteNewer(99);
+  fixture.mover.noteNewerRevision(99);
   expect(fixture.takeReleases()).toEqual([]);
 });
 
--- a/packages/decisions/src/grants/range_wait.ts
+++ b/packages/decisions/src/grants/handover_wait.ts
@@ -3,23 +3,23 @@
  * their arrival, so the end of the last grant call of any entry VM counts.
  */
 import type * as contracts from "@guavatide/contracts";
-import { holdOf } from "./grant_hold.ts";
-import { grantLifeMs, type GrantTimings } from "./grant_timings.ts";
-import type { KeeperBook, KeeperWord } from "./keeper_book.ts";
+import { leaseDurationMs } from "./lease_duration.ts";
+import { type GrantTimings, maxLeaseLifetimeMs } from "./grant_timings.ts";
+import type { VoterReport, VoterReports } from "./voter_reports.ts";
 
 /** A release that left after the promise and was answered. */
 export interface AnsweredRelease {
-  readonly leftAtMs: number;
-  readonly doneAtMs: number;
+  readonly sentAtMs: number;
+  readonly answeredAtMs: number;
 }
 
 /** What the mover knows of one vacating range. */
-export interface RangeWaitFacts {
+export interface HandoverFacts {
   readonly map: contracts.RangeMap;
   readonly range: contracts.RangeState;
-  readonly keepers: KeeperBook;
+  readonly reports: VoterReports;
   /** When a majority of each keeper set was known to know the revision. */
-  readonly promisedAtMs: number | undefined;
+  readonly acknowledgedAtMs: number | undefined;
   /** The release that the old owner answered. */
   readonly release: AnsweredRelease | undefined;
   /** Whether the old owner's run is known to have ended. */
@@ -31,8 +31,8 @@
  * When the range is free, on the mover's clock; undefined while that is not
  * known yet.
  */
-export function freeAtMs(facts: RangeWaitFacts): number | undefined {
-  const { promisedAtMs, release, hasEnded } = facts;
+export function freeAtMs(facts: HandoverFacts): number | undefined {
+  const { acknowledgedAtMs: promisedAtMs, release, hasEnded } = facts;
   if (hasEnded) return Number.NEGATIVE_INFINITY;
   if (promisedAtMs === undefined) return undefined;
   const waitedOutMs = lastGrantEndMs(facts, promisedAtMs, "lastGrantMs");
@@ -40,40 +40,41 @@
   // A release undoes a grant that was answered before; one that was not
   // answered may take effect after it.
   const releasedMs = lastGrantEndMs(facts, promisedAtMs, "lastUnansweredMs");
-  return Math.min(waitedOutMs, Math.max(release.doneAtMs, releasedMs));
+  return Math.min(waitedOutMs, Math.max(release.answeredAtMs, releasedMs));
 }
 
 /**
  * Whether a grant to the old owner may have crossed the release: the owner then
  * holds the range again and must release it anew.
  */
-export function isReleaseVoid(facts: RangeWaitFacts): boolean {
-  const { release, keepers, range, map } = facts;
+export function isReleaseVoid(facts: HandoverFacts): boolean {
+  const { release, reports: keepers, range, map } = facts;
   if (release === undefined) return false;
   const { server, revision } = range.vacating!;
   return [...new Set(map.keeperSets.flat())].some((vm) => {
-    const word = keepers.word(vm);
+    const word = keepers.reportOf(vm);
     // A keeper that is not heard is waited out instead.
     if (word === undefined || word.revision < revision) return false;
     const endMs = word.lastGrantMs.get(server) ?? Number.NEGATIVE_INFINITY;
-    return endMs >= release.leftAtMs;
+    return endMs >= release.sentAtMs;
   });
 }
 
 /** When the last grant that any keeper sent to the old owner is over. */
 function lastGrantEndMs(
-  { map, range, keepers, timings }: RangeWaitFacts,
+  { map, range, reports: keepers, timings }: HandoverFacts,
   promisedAtMs: number,
   kind: "lastGrantMs" | "lastUnansweredMs",
 ): number {
   const { server, revision } = range.vacating!;
-  const { evidenceMs, orderTimeoutMs } = timings;
+  const { confirmationTtlMs: evidenceMs, grantTimeoutMs: orderTimeoutMs } =
+    timings;
   // A keeper that is not heard may act on its evidence until that is too old,
   // and the bytes of its last call leave within the time of the call.
   const unheardMs = promisedAtMs + evidenceMs + orderTimeoutMs;
   let lastMs = Number.NEGATIVE_INFINITY;
   for (const vm of new Set(map.keeperSets.flat())) {
-    const word = keepers.word(vm);
+    const word = keepers.reportOf(vm);
     const isHeard = word !== undefined && word.revision >= revision;
     // What an earlier run of its process sent is not known to this one.
     const sentMs = isHeard
@@ -81,12 +82,12 @@
       : unheardMs;
     lastMs = Math.max(lastMs, sentMs);
   }
-  return lastMs + grantLifeMs(timings, holdOf(map, timings));
+  return lastMs + maxLeaseLifetimeMs(timings, leaseDurationMs(map, timings));
 }
 
 /** A grant that was under way when the keeper was heard leaves by its end. */
 function lastSentMs(
-  word: KeeperWord,
+  word: VoterReport,
   kind: "lastGrantMs" | "lastUnansweredMs",
   { server, timings }: {
     readonly server: contracts.ServerId;
@@ -95,5 +96,5 @@
 ): number {
   const endMs = word[kind].get(server) ?? Number.NEGATIVE_INFINITY;
   const isUnderWay = endMs >= word.receivedAtMs;
-  return isUnderWay ? endMs + timings.orderTimeoutMs : endMs;
+  return isUnderWay ? endMs + timings.grantTimeoutMs : endMs;
 }
--- a/packages/decisions/src/grants/range_wait_test.ts
+++ b/packages/decisions/src/grants/handover_wait_test.ts
@@ -4,7 +4,7 @@
 import * as grants from "./mod.ts";
 
 const TIMINGS = grants.DEFAULT_GRANT_TIMINGS;
-const GRANT_LIFE_MS = grants.grantLifeMs(TIMINGS, TIMINGS.holdMs);
+const GRANT_LIFE_MS = grants.maxLeaseLifetimeMs(TIMINGS, TIMINGS.holdMs);
 const A: contracts.RangeOwner = {
   server: "a" as contracts.ServerId,
   bornMs: 1,
@@ -19,7 +19,7 @@
 
 /** A move from a to b with three keepers, written at 10 000 ms. */
 class Fixture {
-  readonly keepers = new grants.KeeperBook();
+  readonly keepers = new grants.VoterReports();
   readonly map: contracts.RangeMap;
   readonly promisedAtMs = 10_050;
   releasedAtMs: number | undefined;
@@ -27,8 +27,8 @@
   hasEnded = false;
 
   constructor() {
-    const first = grants.firstRanges([{ ...A, slots: 1 }]);
-    const moved = grants.vacate(
+    const first = grants.initialRanges([{ ...A, slots: 1 }]);
+    const moved = grants.startHandovers(
       first,
       [{ fromKey: 0, toKey: 65_535, to: B }],
       { revision: 2, lastFence: 1 },
@@ -53,11 +53,11 @@
     } = {},
   ): void {
     const { sentMs, unansweredMs } = options;
-    this.keepers.noteWord({
+    this.keepers.noteReport({
       vm: vm as contracts.VmId,
       revision: options.revision ?? 2,
-      isSettled: true,
-      askedAtMs: 10_010,
+      hasReadMap: true,
+      requestedAtMs: 10_010,
       receivedAtMs: options.heardAtMs ?? HEARD_AT_MS,
       startedAtMs: options.startedAtMs ?? 0,
       lastGrantMs: new Map(sentMs === undefined ? [] : [[A.server, sentMs]]),
@@ -71,15 +71,15 @@
     return grants.freeAtMs(this.facts());
   }
 
-  facts(): grants.RangeWaitFacts {
+  facts(): grants.HandoverFacts {
     return {
       map: this.map,
       range: this.map.ranges[0]!,
-      keepers: this.keepers,
-      promisedAtMs: this.promisedAtMs,
+      reports: this.keepers,
+      acknowledgedAtMs: this.promisedAtMs,
       release: this.releasedAtMs === undefined
         ? undefined
-        : { leftAtMs: this.releaseLeftAtMs, doneAtMs: this.releasedAtMs },
+        : { sentAtMs: this.releaseLeftAtMs, answeredAtMs: this.releasedAtMs },
       hasEnded: this.hasEnded,
       timings: TIMINGS,
     };
@@ -98,8 +98,8 @@
 /** Guards against a grant that an unheard keeper checked in time and sent late. */
 test("should count a keeper that is not heard by its evidence", () => {
   const fixture = new Fixture();
-  const lastSentMs = fixture.promisedAtMs + TIMINGS.evidenceMs +
-    TIMINGS.orderTimeoutMs;
+  const lastSentMs = fixture.promisedAtMs + TIMINGS.confirmationTtlMs +
+    TIMINGS.grantTimeoutMs;
   fixture.hear("k1", { sentMs: 9_700 });
   fixture.hear("k2");
   expect(fixture.freeAtMs()).toEqual(lastSentMs + GRANT_LIFE_MS);
@@ -114,7 +114,7 @@
   fixture.hear("k1", { sentMs: HEARD_AT_MS, unansweredMs: HEARD_AT_MS });
   fixture.hear("k2");
   fixture.hear("k3");
-  const lastSentMs = HEARD_AT_MS + TIMINGS.orderTimeoutMs;
+  const lastSentMs = HEARD_AT_MS + TIMINGS.grantTimeoutMs;
   expect(fixture.freeAtMs()).toEqual(lastSentMs + GRANT_LIFE_MS);
   // It is not known to be answered, so a release does not undo it.
   fixture.releasedAtMs = 10_060;
--- a/packages/decisions/src/grants/lone_keys.ts
+++ b/packages/decisions/src/grants/hot_keys.ts
@@ -7,8 +7,8 @@
 import {
   type KeyRate,
   type RangePlanInput,
+  ratesWithin,
   type Utilization,
-  within,
 } from "./range_load.ts";
 
 /** Busy part of its owner that a key alone takes when it is too hot for it. */
@@ -24,7 +24,7 @@
 }
 
 /** Moves of the hottest keys to servers that can carry more of their requests. */
-export function planLoneKeys(
+export function planHotKeys(
   input: RangePlanInput,
   use: Utilization,
 ): RangeMove[] {
@@ -59,7 +59,7 @@
   for (const range of ranges) {
     const owner = range.owner.server;
     if (!servers.has(owner) || range.vacating !== undefined) continue;
-    for (const rate of within(rates, range)) {
+    for (const rate of ratesWithin(rates, range)) {
       const known = hottest.get(owner);
       if (known !== undefined && known.perSecond >= rate.perSecond) continue;
       hottest.set(owner, { ...rate, owner });
--- a/packages/decisions/src/grants/lone_keys_test.ts
+++ b/packages/decisions/src/grants/hot_keys_test.ts
@@ -22,7 +22,7 @@
 }
 
 function evenRanges(count: number): contracts.RangeState[] {
-  return grants.firstRanges(
+  return grants.initialRanges(
     Array.from({ length: count }, (_, index) => ({
       ...owner(index),
       slots: 6,
@@ -40,7 +40,7 @@
 }
 
 function movesOfKey(capacities: readonly number[], evenPerSecond = 60) {
-  return grants.planRanges({
+  return grants.planRangeMoves({
     ranges: evenRanges(capacities.length),
     servers: serversOf(capacities),
     rates: hotRates(evenPerSecond),
@@ -60,7 +60,7 @@
 });
 
 test("should clear the fastest server of other keys for the hot one", () => {
-  const moves = grants.planRanges({
+  const moves = grants.planRangeMoves({
     ranges: evenRanges(4),
     servers: serversOf([32, 64, 95, 64]),
     rates: hotRates(120),
@@ -81,7 +81,7 @@
     const key = Math.floor(random() * contracts.KEY_COUNT);
     counts.set(key, (counts.get(key) ?? 0) + 1);
   }
-  const moves = grants.planRanges({
+  const moves = grants.planRangeMoves({
     ranges: evenRanges(26),
     servers: serversOf(Array.from({ length: 26 }, () => 60)),
     rates: [...counts].map(([key, perSecond]) => ({ key, perSecond }))
@@ -96,7 +96,7 @@
   const ranges = evenRanges(4);
   const last = ranges.at(-1)!;
   const start = contracts.KEY_COUNT - 2_048;
-  const moves = grants.planRanges({
+  const moves = grants.planRangeMoves({
     ranges: [
       ...ranges.slice(0, -1),
       { ...last, toKey: start - 1 },
--- a/packages/decisions/src/grants/first_map_wait.ts
+++ b/packages/decisions/src/grants/initial_map_wait.ts
@@ -10,7 +10,7 @@
 const MAX_WAIT_MS = 4_000;
 
 /** Watches how the servers gather. */
-export class FirstMapWait {
+export class InitialMapWait {
   #serverCount = 0;
   #unchangedSinceMs = 0;
 
--- a/packages/decisions/src/grants/first_map_wait_test.ts
+++ b/packages/decisions/src/grants/initial_map_wait_test.ts
@@ -1,9 +1,9 @@
 import { expect } from "earl";
 import { test } from "node:test";
-import { FirstMapWait } from "./first_map_wait.ts";
+import { InitialMapWait } from "./initial_map_wait.ts";
 
 test("should wait until no server has joined for a while", () => {
-  const wait = new FirstMapWait();
+  const wait = new InitialMapWait();
   expect(wait.isOver(3, { nowMs: 1_000, lifeMs: 1_000 })).toEqual(false);
   expect(wait.isOver(5, { nowMs: 1_500, lifeMs: 1_500 })).toEqual(false);
   expect(wait.isOver(5, { nowMs: 2_400, lifeMs: 2_400 })).toEqual(false);
@@ -12,7 +12,7 @@
 
 /** Guards against a first map that waits for as long as servers join. */
 test("should not wait for ever while servers go on joining", () => {
-  const wait = new FirstMapWait();
+  const wait = new InitialMapWait();
   for (let nowMs = 500; nowMs < 4_000; nowMs += 500) {
     const isOver = wait.isOver(nowMs / 500, { nowMs, lifeMs: nowMs });
     expect(isOver).toEqual(false);
--- a/packages/decisions/src/grants/key_loads.ts
+++ b/packages/decisions/src/grants/key_rate_tracker.ts
@@ -13,7 +13,7 @@
 }
 
 /** Decaying request rates of the keys that were asked for lately. */
-export class KeyLoads {
+export class KeyRateTracker {
   /** Weight of each key; a rate once divided by the decay time. */
   readonly #weights = new Map<number, number>();
   #updatedMs: number | undefined;
--- a/packages/decisions/src/grants/grant_hold.ts
+++ b/packages/decisions/src/grants/lease_duration.ts
@@ -10,17 +10,17 @@
 /** The longest grant, whatever routes ask for. */
 const MAX_HOLD_MS = 6_000;
 
-/** Limits of {@link wishedHoldMs}. */
-export interface HoldLimits {
+/** Limits of {@link desiredLeaseMs}. */
+export interface LeaseLimits {
   readonly leastMs: number;
   /** Longest grant that servers take. */
   readonly mostMs: number;
 }
 
 /** The length of grants that fits the target latencies of a service's routes. */
-export function wishedHoldMs(
+export function desiredLeaseMs(
   targetLatenciesMs: readonly number[],
-  { leastMs, mostMs }: HoldLimits,
+  { leastMs, mostMs }: LeaseLimits,
 ): number {
   const wishedMs = Math.ceil(
     HOLD_PER_TARGET * Math.max(0, ...targetLatenciesMs),
@@ -29,7 +29,7 @@
 }
 
 /** Length of the grants of a map, which no earlier grant of it exceeds. */
-export function holdOf(
+export function leaseDurationMs(
   map: Pick<contracts.RangeMap, "holdMs"> | undefined,
   { holdMs }: Pick<GrantTimings, "holdMs">,
 ): number {
--- a/packages/decisions/src/grants/lost_servers.ts
+++ b/packages/decisions/src/grants/lost_servers.ts
@@ -24,12 +24,12 @@
   readonly #quarantined = new Set<contracts.ServerId>();
 
   /** A VM reported which servers leave its grants unanswered. */
-  noteSilent(vm: contracts.VmId, servers: readonly string[]): void {
+  noteUnresponsive(vm: contracts.VmId, servers: readonly string[]): void {
     this.#silentByVm.set(vm, new Set(servers));
   }
 
   /** Counts the votes. Returns servers that are newly lost. */
-  count(
+  countVotes(
     nowMs: number,
     renewersOf: (server: contracts.ServerId) => readonly contracts.VmId[],
   ): contracts.ServerId[] {
@@ -68,7 +68,7 @@
   }
 
   /** Whether a server is lost, or was until a short while ago. */
-  has(server: contracts.ServerId): boolean {
+  isQuarantined(server: contracts.ServerId): boolean {
     return this.#quarantined.has(server);
   }
 }
--- a/packages/decisions/src/grants/lost_servers_test.ts
+++ b/packages/decisions/src/grants/lost_servers_test.ts
@@ -8,13 +8,13 @@
 
 /** How long a server is lost after its renewers found it silent at a moment. */
 function restAfterLoss(lost: grants.LostServers, atMs: number): number {
-  for (const vm of RENEWERS) lost.noteSilent(vm, [SERVER]);
-  lost.count(atMs, () => RENEWERS);
-  for (const vm of RENEWERS) lost.noteSilent(vm, []);
+  for (const vm of RENEWERS) lost.noteUnresponsive(vm, [SERVER]);
+  lost.countVotes(atMs, () => RENEWERS);
+  for (const vm of RENEWERS) lost.noteUnresponsive(vm, []);
   let nowMs = atMs;
-  while (lost.has(SERVER)) {
+  while (lost.isQuarantined(SERVER)) {
     nowMs += 100;
-    lost.count(nowMs, () => RENEWERS);
+    lost.countVotes(nowMs, () => RENEWERS);
   }
   return nowMs - atMs;
 }
--- a/packages/decisions/src/grants/range_difference.ts
+++ b/packages/decisions/src/grants/range_difference.ts
@@ -22,7 +22,7 @@
  * The ranges of a map with the changed ones in place of those that they cover;
  * undefined when the result has a gap or an overlap, as with another base map.
  */
-export function withChanges(
+export function applyChanges(
   known: readonly RangeState[],
   changed: readonly RangeState[],
 ): RangeState[] | undefined {
--- a/packages/decisions/src/grants/range_edit.ts
+++ b/packages/decisions/src/grants/range_edit.ts
@@ -38,7 +38,7 @@
 }
 
 /** The first map: ranges of a width by the servers' slots. */
-export function firstRanges(
+export function initialRanges(
   owners: readonly (contracts.RangeOwner & { readonly slots: number })[],
 ): contracts.RangeState[] {
   const total = owners.reduce((sum, { slots }) => sum + slots, 0);
@@ -60,8 +60,8 @@
   return ranges;
 }
 
-/** Options of {@link vacate}. */
-export interface VacateOptions {
+/** Options of {@link startHandovers}. */
+export interface HandoverOptions {
   /** Revision of the map that takes the ranges from their owners. */
   readonly revision: number;
   /** Highest fence given out before. */
@@ -73,10 +73,10 @@
  * keep owner and fence; vacating keys only change their next owner. Returns the
  * ranges and the highest fence given out.
  */
-export function vacate(
+export function startHandovers(
   before: readonly contracts.RangeState[],
   moves: readonly RangeMove[],
-  { revision, lastFence }: VacateOptions,
+  { revision, lastFence }: HandoverOptions,
 ): { readonly ranges: contracts.RangeState[]; readonly lastFence: number } {
   let fence = lastFence;
   const split = moves.reduce(
@@ -98,7 +98,7 @@
 }
 
 /** Gives ranges that nobody else can hold any more to their next owners. */
-export function settle(
+export function finishHandovers(
   before: readonly contracts.RangeState[],
   isFree: (range: contracts.RangeState) => boolean,
 ): contracts.RangeState[] {
--- a/packages/decisions/src/grants/range_edit_test.ts
+++ b/packages/decisions/src/grants/range_edit_test.ts
@@ -26,7 +26,7 @@
   });
   fc.assert(
     fc.property(fc.array(moveArbitrary, { maxLength: 12 }), (moves) => {
-      let ranges = grants.firstRanges([
+      let ranges = grants.initialRanges([
         { ...owner("a"), slots: 3 },
         { ...owner("b"), slots: 2 },
       ]);
@@ -37,10 +37,13 @@
         const toKey = Math.min(contracts.KEY_COUNT - 1, from + width);
         const move = { fromKey: from, toKey, to: owner(to) };
         revision++;
-        const next = grants.vacate(ranges, [move], { revision, lastFence });
+        const next = grants.startHandovers(ranges, [move], {
+          revision,
+          lastFence,
+        });
         lastFence = next.lastFence;
         ranges = isSettled
-          ? grants.settle(next.ranges, () => true)
+          ? grants.finishHandovers(next.ranges, () => true)
           : next.ranges;
         if (!isWhole(ranges)) return false;
         // Fences only rise for a key.
@@ -58,13 +61,13 @@
 
 /** Guards against keys given to a third server while the first holds them. */
 test("should keep who has to let go when the next owner changes", () => {
-  const first = grants.firstRanges([{ ...owner("a"), slots: 1 }]);
-  const moved = grants.vacate(
+  const first = grants.initialRanges([{ ...owner("a"), slots: 1 }]);
+  const moved = grants.startHandovers(
     first,
     [{ fromKey: 0, toKey: 9, to: owner("b") }],
     { revision: 2, lastFence: 1 },
   );
-  const again = grants.vacate(
+  const again = grants.startHandovers(
     moved.ranges,
     [{ fromKey: 0, toKey: 9, to: owner("c") }],
     { revision: 3, lastFence: moved.lastFence },
--- a/packages/decisions/src/grants/range_load.ts
+++ b/packages/decisions/src/grants/range_load.ts
@@ -1,6 +1,6 @@
 /** Load of key ranges and of the servers that own them, as a plan sees it. */
 import type * as contracts from "@guavatide/contracts";
-import { rateDeviation } from "./key_loads.ts";
+import { rateDeviation } from "./key_rate_tracker.ts";
 
 /** A server that can take ranges. */
 export interface RangeServer {
@@ -52,7 +52,7 @@
   }
 
   /** Lower bound of the server's busy part: short counts scatter. */
-  atLeast(server: contracts.ServerId, deviations: number): number {
+  lowerBound(server: contracts.ServerId, deviations: number): number {
     const { capacityPerSecond } = this.#servers.get(server)!;
     const perSecond = this.#perSecond.get(server)!;
     const deviation = rateDeviation(perSecond);
@@ -72,17 +72,17 @@
   /** Whether some server is likely to be busier than a level. */
   exceeds(level: number, deviations: number): boolean {
     return [...this.#servers.keys()].some((server) =>
-      this.atLeast(server, deviations) > level
+      this.lowerBound(server, deviations) > level
     );
   }
 
   /** The server that is least busy. */
-  coldest(): contracts.ServerId | undefined {
+  leastUtilized(): contracts.ServerId | undefined {
     return this.#extreme((a, b) => a < b);
   }
 
   /** The server that is most busy, of those not left out. */
-  hottest(
+  mostUtilized(
     leftOut: ReadonlySet<contracts.ServerId>,
   ): contracts.ServerId | undefined {
     return this.#extreme((a, b) => a > b, leftOut);
@@ -104,16 +104,16 @@
 }
 
 /** Rate of a range, with a little for its width. */
-export function rateOf(
+export function rangeRate(
   rates: readonly KeyRate[],
   range: contracts.KeyRange,
 ): number {
   let sum = (range.toKey - range.fromKey + 1) * WIDTH_RATE_PER_KEY;
-  for (const { perSecond } of within(rates, range)) sum += perSecond;
+  for (const { perSecond } of ratesWithin(rates, range)) sum += perSecond;
   return sum;
 }
 
-export function within(
+export function ratesWithin(
   rates: readonly KeyRate[],
   { fromKey, toKey }: contracts.KeyRange,
 ): readonly KeyRate[] {
--- a/packages/decisions/src/grants/range_news.ts
+++ b/packages/decisions/src/grants/range_map_history.ts
@@ -3,7 +3,7 @@
 import { changedRanges } from "./range_difference.ts";
 
 /** A map as differences from an earlier revision. */
-export interface RangeMapChange {
+export interface RangeMapDelta {
   /** The map with only those ranges that differ. */
   readonly map: contracts.RangeMap;
   /** Whoever knows this revision or a later one can work out the map. */
@@ -16,7 +16,7 @@
 const MAX_RANGES = 90;
 
 /** The last maps of one service, to tell their differences. */
-export class RangeNews {
+export class RangeMapHistory {
   #history: { readonly map: contracts.RangeMap; readonly atMs: number }[] = [];
 
   /** A map came in force here. */
@@ -32,7 +32,7 @@
   }
 
   /** The latest map as differences; the whole of a small first one. */
-  change(): RangeMapChange | undefined {
+  latestDelta(): RangeMapDelta | undefined {
     const latest = this.#history.at(-1)?.map;
     if (latest === undefined) return undefined;
     if (latest.revision === 1 && latest.ranges.length <= MAX_RANGES) {
--- a/packages/decisions/src/grants/range_news_test.ts
+++ b/packages/decisions/src/grants/range_map_history_test.ts
@@ -18,7 +18,7 @@
     lastFence: servers,
     nonce: "n1",
     keeperSets: [["vm1" as contracts.VmId]],
-    ranges: grants.firstRanges(owners),
+    ranges: grants.initialRanges(owners),
   };
 }
 
@@ -34,12 +34,12 @@
   return {
     ...map,
     revision,
-    ...grants.vacate(map.ranges, [move], { revision, lastFence }),
+    ...grants.startHandovers(map.ranges, [move], { revision, lastFence }),
   };
 }
 
 function settled(map: contracts.RangeMap): contracts.RangeMap {
-  const ranges = grants.settle(map.ranges, () => true);
+  const ranges = grants.finishHandovers(map.ranges, () => true);
   return { ...map, revision: map.revision + 1, ranges };
 }
 
@@ -51,21 +51,21 @@
       step % 2 === 0 ? moved(last, 5_000 + 700 * step, step) : settled(last),
     );
   }
-  const news = new grants.RangeNews();
+  const news = new grants.RangeMapHistory();
   for (const [index, map] of maps.entries()) news.noteMap(map, index * 100);
-  const { map, baseRevision } = news.change()!;
+  const { map, baseRevision } = news.latestDelta()!;
   expect(baseRevision).toEqual(1);
   expect(map.ranges.length < 20).toEqual(true);
   for (const known of maps) {
-    const ranges = grants.withChanges(known.ranges, map.ranges);
+    const ranges = grants.applyChanges(known.ranges, map.ranges);
     expect(ranges).toEqual(maps.at(-1)!.ranges);
   }
 });
 
 test("should tell no more than fits into a datagram", () => {
-  const news = new grants.RangeNews();
+  const news = new grants.RangeMapHistory();
   news.noteMap(firstMap(400), 0);
-  const { map, baseRevision } = news.change()!;
+  const { map, baseRevision } = news.latestDelta()!;
   expect(map.ranges).toEqual([]);
   // Nobody can work the map out from this: all read the store.
   expect(baseRevision).toEqual(map.revision);
@@ -76,8 +76,8 @@
   const map = firstMap(3);
   const [first, second] = map.ranges;
   const shorter = { ...first!, toKey: first!.toKey - 5 };
-  expect(grants.withChanges(map.ranges, [shorter])).toEqual(undefined);
+  expect(grants.applyChanges(map.ranges, [shorter])).toEqual(undefined);
   const longer = { ...second!, toKey: second!.toKey + 5 };
-  expect(grants.withChanges(map.ranges, [longer])).toEqual(undefined);
-  expect(grants.withChanges([], [first!])).toEqual(undefined);
+  expect(grants.applyChanges(map.ranges, [longer])).toEqual(undefined);
+  expect(grants.applyChanges([], [first!])).toEqual(undefined);
 });
--- a/packages/decisions/src/grants/range_planner.ts
+++ b/packages/decisions/src/grants/range_planner.ts
@@ -4,15 +4,15 @@
  */
 import type * as contracts from "@guavatide/contracts";
 import { KEY_COUNT } from "@guavatide/contracts";
-import { planLoneKeys } from "./lone_keys.ts";
+import { planHotKeys } from "./hot_keys.ts";
 import { overlaps, type RangeMove } from "./range_edit.ts";
 import {
   type KeyRate,
   type RangePlanInput,
-  rateOf,
+  rangeRate,
+  ratesWithin,
   Utilization,
   WIDTH_RATE_PER_KEY,
-  within,
 } from "./range_load.ts";
 
 /**
@@ -39,15 +39,15 @@
 const MAX_RANGES_PER_SERVER = 10;
 
 /** Plans moves. An empty list means that all may stay as it is. */
-export function planRanges(input: RangePlanInput): RangeMove[] {
+export function planRangeMoves(input: RangePlanInput): RangeMove[] {
   if (input.servers.size === 0) return [];
   const use = new Utilization(input.servers);
   for (const range of input.ranges) {
-    use.add(range.owner.server, rateOf(input.rates, range));
+    use.add(range.owner.server, rangeRate(input.rates, range));
   }
   const moves = planLosses(input, use);
   if (!input.mayBalance || moves.length > 0) return moves;
-  const lone = planLoneKeys(input, use);
+  const lone = planHotKeys(input, use);
   // While keys of a lost server wait, only a lone key is moved: it takes one
   // server's place only.
   const isSettled = input.ranges.every(({ vacating }) =>
@@ -60,7 +60,7 @@
 
 function planLosses(input: RangePlanInput, use: Utilization): RangeMove[] {
   const moves: RangeMove[] = [];
-  const total = rateOf(input.rates, ALL_KEYS);
+  const total = rangeRate(input.rates, ALL_KEYS);
   const perPiece = total / input.servers.size / PIECES_PER_LOST_SERVER;
   for (const range of input.ranges) {
     const { owner } = range;
@@ -68,11 +68,15 @@
     if (server !== undefined && server.owner.bornMs === owner.bornMs) continue;
     // A range that already waits for its next owner is given on whole.
     const pieces = range.vacating === undefined
-      ? cut(input.rates, range, piecesOf(rateOf(input.rates, range), perPiece))
+      ? cut(
+        input.rates,
+        range,
+        piecesOf(rangeRate(input.rates, range), perPiece),
+      )
       : [range];
     for (const piece of pieces) {
-      const to = use.coldest()!;
-      use.add(to, rateOf(input.rates, piece));
+      const to = use.leastUtilized()!;
+      use.add(to, rangeRate(input.rates, piece));
       const { fromKey, toKey } = piece;
       moves.push({ fromKey, toKey, to: input.servers.get(to)!.owner });
     }
@@ -92,13 +96,13 @@
   range: contracts.KeyRange,
   count: number,
 ): contracts.KeyRange[] {
-  const perPiece = rateOf(rates, range) / count;
+  const perPiece = rangeRate(rates, range) / count;
   const pieces: contracts.KeyRange[] = [];
   let { fromKey } = range;
   let sum = 0;
   let nextKey = range.fromKey;
   const end = { key: range.toKey, perSecond: 0 };
-  for (const { key, perSecond } of [...within(rates, range), end]) {
+  for (const { key, perSecond } of [...ratesWithin(rates, range), end]) {
     // Between two keys that were asked for, load grows with the width.
     while (pieces.length < count - 1) {
       const missing = perPiece * (pieces.length + 1) - sum;
@@ -120,12 +124,12 @@
   const owners = new Set(input.ranges.map(({ owner }) => owner.server));
   const moves: RangeMove[] = [];
   const limit = movesPerPlan(input);
-  const total = rateOf(input.rates, ALL_KEYS);
+  const total = rangeRate(input.rates, ALL_KEYS);
   for (const [server, { owner, isCold }] of input.servers) {
     if (isCold || owners.has(server) || moves.length >= limit) continue;
     const piece = shareOfLargest(input, moves, total / input.servers.size);
     if (piece === undefined) break;
-    const rate = rateOf(input.rates, piece);
+    const rate = rangeRate(input.rates, piece);
     use.add(piece.from, -rate);
     use.add(server, rate);
     moves.push({ fromKey: piece.fromKey, toKey: piece.toKey, to: owner });
@@ -152,7 +156,7 @@
   let from: contracts.ServerId | undefined;
   let most = 0;
   for (const { part, server } of ownedParts(input, moves)) {
-    const rate = rateOf(input.rates, part);
+    const rate = rangeRate(input.rates, part);
     if (rate <= most || part.fromKey === part.toKey) continue;
     largest = part;
     from = server;
@@ -179,10 +183,10 @@
   // With no splits left, ranges still move whole, or the map stays uneven.
   const maySplit = input.ranges.length < limit;
   while (moves.length < movesPerPlan(input)) {
-    const hot = use.hottest(exhausted);
-    const cold = use.coldest();
+    const hot = use.mostUtilized(exhausted);
+    const cold = use.leastUtilized();
     if (hot === undefined || cold === undefined) break;
-    if (use.atLeast(hot, STOP_DEVIATIONS) <= level) break;
+    if (use.lowerBound(hot, STOP_DEVIATIONS) <= level) break;
     const targetPerSecond = loadToMove(input, use, { hot, cold, level });
     const piece = maySplit
       ? densePiece(input, moves, hot, targetPerSecond)
@@ -238,7 +242,7 @@
   let best: Piece | undefined;
   for (const owned of ownedParts(input, moves)) {
     if (owned.server !== server) continue;
-    const rates = within(input.rates, owned.part);
+    const rates = ratesWithin(input.rates, owned.part);
     const piece = denseWindow(rates, targetPerSecond);
     const isDenser = piece !== undefined &&
       (best === undefined || density(piece) > density(best));
@@ -260,7 +264,7 @@
   let best: Piece | undefined;
   for (const { part, server: owner } of ownedParts(input, moves)) {
     if (owner !== server) continue;
-    const perSecond = rateOf(input.rates, part);
+    const perSecond = rangeRate(input.rates, part);
     if (perSecond > targetPerSecond * MAX_PIECE_PART) continue;
     if (perSecond < targetPerSecond * MIN_WHOLE_RANGE_PART) continue;
     if (best !== undefined && best.perSecond >= perSecond) continue;
--- a/packages/decisions/src/grants/range_planner_test.ts
+++ b/packages/decisions/src/grants/range_planner_test.ts
@@ -17,7 +17,7 @@
 }
 
 function evenRanges(count: number): contracts.RangeState[] {
-  return grants.firstRanges(
+  return grants.initialRanges(
     Array.from({ length: count }, (_, index) => ({
       ...owner(index),
       slots: 3,
@@ -31,7 +31,10 @@
   moves: readonly grants.RangeMove[],
   rates: readonly grants.KeyRate[],
 ): Map<contracts.ServerId, number> {
-  const after = grants.vacate(ranges, moves, { revision: 2, lastFence: 99 });
+  const after = grants.startHandovers(ranges, moves, {
+    revision: 2,
+    lastFence: 99,
+  });
   const loads = new Map<contracts.ServerId, number>();
   for (const { key, perSecond } of rates) {
     const range = after.ranges[grants.rangeIndex(after.ranges, key)]!;
@@ -61,18 +64,18 @@
   let ranges: readonly contracts.RangeState[] = evenRanges(10);
   let keysMoved = 0;
   for (let plan = 0; plan < 2; plan++) {
-    const moves = grants.planRanges({
+    const moves = grants.planRangeMoves({
       ranges,
       servers,
       rates: hot,
       mayBalance: true,
     });
     for (const { fromKey, toKey } of moves) keysMoved += toKey - fromKey + 1;
-    const vacated = grants.vacate(ranges, moves, {
+    const vacated = grants.startHandovers(ranges, moves, {
       revision: 2,
       lastFence: 100 * (plan + 1),
     });
-    ranges = grants.settle(vacated.ranges, () => true);
+    ranges = grants.finishHandovers(vacated.ranges, () => true);
   }
   const loads = loadsAfter(ranges, [], hot);
   const busiest = Math.max(...loads.values()) / 33;
@@ -93,17 +96,17 @@
   const hot = rates(124, 97);
   let ranges: readonly contracts.RangeState[] = evenRanges(count);
   for (let plan = 0; plan < 3; plan++) {
-    const moves = grants.planRanges({
+    const moves = grants.planRangeMoves({
       ranges,
       servers,
       rates: hot,
       mayBalance: true,
     });
-    const vacated = grants.vacate(ranges, moves, {
+    const vacated = grants.startHandovers(ranges, moves, {
       revision: plan + 2,
       lastFence: 1_000 * (plan + 1),
     });
-    ranges = grants.settle(vacated.ranges, () => true);
+    ranges = grants.finishHandovers(vacated.ranges, () => true);
   }
   const loads = loadsAfter(ranges, [], hot);
   const busiest = Math.max(...loads.values()) / capacityPerSecond;
@@ -111,7 +114,7 @@
 });
 
 test("should leave an even load as it lies", () => {
-  const moves = grants.planRanges({
+  const moves = grants.planRangeMoves({
     ranges: evenRanges(10),
     servers: serversOf(10),
     rates: rates(200, 0),
@@ -125,7 +128,7 @@
   const servers = serversOf(10);
   servers.delete(owner(4).server);
   const ranges = evenRanges(10);
-  const moves = grants.planRanges({
+  const moves = grants.planRangeMoves({
     ranges,
     servers,
     rates: rates(200, 0),
@@ -138,7 +141,7 @@
 
 /** Guards against a new server that stays without keys. */
 test("should give a server that has joined its share of keys", () => {
-  const moves = grants.planRanges({
+  const moves = grants.planRangeMoves({
     ranges: evenRanges(4),
     servers: serversOf(5),
     rates: [],
@@ -151,12 +154,12 @@
 });
 
 test("should move nothing else while keys wait for their next owner", () => {
-  const vacated = grants.vacate(
+  const vacated = grants.startHandovers(
     evenRanges(4),
     [{ fromKey: 0, toKey: 10, to: owner(2) }],
     { revision: 2, lastFence: 4 },
   );
-  const moves = grants.planRanges({
+  const moves = grants.planRangeMoves({
     ranges: vacated.ranges,
     servers: serversOf(4),
     rates: rates(10, 200),
@@ -172,7 +175,7 @@
     ...range,
     owner: owner(index < 46 ? 0 : index % 4),
   }));
-  const balanced = grants.planRanges({
+  const balanced = grants.planRangeMoves({
     ranges: owned,
     servers: serversOf(4),
     rates: even,
@@ -192,8 +195,8 @@
   const [newcomer, entry] = [...servers].at(-1)!;
   const input = { ranges, rates: rates(100, 0), mayBalance: true };
   servers.set(newcomer, { ...entry, isCold: true });
-  expect(grants.planRanges({ ...input, servers })).toEqual([]);
+  expect(grants.planRangeMoves({ ...input, servers })).toEqual([]);
   servers.set(newcomer, entry);
-  const [move] = grants.planRanges({ ...input, servers });
+  const [move] = grants.planRangeMoves({ ...input, servers });
   expect(move?.to.server).toEqual(newcomer);
 });
--- a/packages/decisions/src/grants/release_call.ts
+++ b/packages/decisions/src/grants/release_call.ts
@@ -7,7 +7,7 @@
 /** A range that its old owner is to release, told of the next owner's fence. */
 export interface ReleaseCall {
   readonly range: contracts.RangeState;
-  readonly old: NonNullable<contracts.RangeState["vacating"]>;
+  readonly oldOwner: NonNullable<contracts.RangeState["vacating"]>;
   /** The keys are given on already; this one only tells of the new fence. */
   readonly isFencing?: boolean;
 }
--- a/packages/decisions/src/grants/renewal_order.ts
+++ b/packages/decisions/src/grants/renewal_order.ts
@@ -2,7 +2,7 @@
 import type * as contracts from "@guavatide/contracts";
 
 /** A range that is to be granted or renewed. */
-export interface RangeDue {
+export interface DueRange {
   readonly range: contracts.RangeState;
   /** How long it has been due; infinite for one that was never confirmed. */
   readonly overdueMs: number;
@@ -10,9 +10,9 @@
 
 /** The most overdue of one server's ranges: one grant is under way to it. */
 export function mostOverdue(
-  due: readonly RangeDue[],
+  due: readonly DueRange[],
 ): contracts.RangeState | undefined {
-  let first: RangeDue | undefined;
+  let first: DueRange | undefined;
   for (const candidate of due) {
     const isLater = first === undefined ||
       candidate.overdueMs > first.overdueMs;
@@ -22,14 +22,14 @@
 }
 
 /** Servers that ranges are taken from. */
-export function vacatingServers(
+export function releasingServers(
   ranges: readonly contracts.RangeState[],
 ): Set<contracts.ServerId> {
   return new Set(ranges.flatMap(({ vacating }) => vacating?.server ?? []));
 }
 
 /** Ranges by their owner, without those that nobody may hold yet. */
-export function ownedRanges(
+export function rangesByOwner(
   ranges: readonly contracts.RangeState[],
 ): Map<contracts.ServerId, contracts.RangeState[]> {
   const owned = new Map<contracts.ServerId, contracts.RangeState[]>();
--- a/packages/decisions/src/grants/duty_order.ts
+++ b/packages/decisions/src/grants/vm_ranking.ts
@@ -10,7 +10,7 @@
 }
 
 /** Orders of VMs by duty, kept while the VMs stay the same. */
-export class DutyOrder {
+export class VmRanking {
   readonly #hasher: KeyHasher;
   readonly #ranked = new Map<string, Ranked>();
 
@@ -19,7 +19,10 @@
   }
 
   /** The VMs in the order in which they take a duty, the same on every VM. */
-  of(duty: string, vms: readonly contracts.VmId[]): readonly contracts.VmId[] {
+  rank(
+    duty: string,
+    vms: readonly contracts.VmId[],
+  ): readonly contracts.VmId[] {
     const present = vms.join();
     const found = this.#ranked.get(duty);
     if (found?.present === present) return found.vms;
--- a/packages/decisions/src/grants/keeper_book.ts
+++ b/packages/decisions/src/grants/voter_reports.ts
@@ -5,14 +5,14 @@
 import type * as contracts from "@guavatide/contracts";
 
 /** What one keeper said of one service's map, in answer to a question. */
-export interface KeeperWord {
+export interface VoterReport {
   readonly vm: contracts.VmId;
   /** Highest revision that it knows; 0 for none. */
   readonly revision: number;
   /** Whether it has read the map from the store in this run of its process. */
-  readonly isSettled: boolean;
+  readonly hasReadMap: boolean;
   /** When the question left that this answers, on this VM's clock. */
-  readonly askedAtMs: number;
+  readonly requestedAtMs: number;
   readonly receivedAtMs: number;
   /** When its run began, on this VM's clock, at the latest. */
   readonly startedAtMs: number;
@@ -26,13 +26,13 @@
 }
 
 /** Words of all keepers of one service's map. */
-export class KeeperBook {
-  readonly #words = new Map<contracts.VmId, KeeperWord>();
+export class VoterReports {
+  readonly #words = new Map<contracts.VmId, VoterReport>();
   #readRevision = 0;
   #readAskedAtMs = Number.NEGATIVE_INFINITY;
 
   /** A keeper's word; the own VM's word is noted like the others'. */
-  noteWord(word: KeeperWord): void {
+  noteReport(word: VoterReport): void {
     this.#words.set(word.vm, word);
   }
 
@@ -44,12 +44,12 @@
   }
 
   /** The latest word of a keeper. */
-  word(vm: contracts.VmId): KeeperWord | undefined {
+  reportOf(vm: contracts.VmId): VoterReport | undefined {
     return this.#words.get(vm);
   }
 
   /** Forgets all evidence, as after the process stood still. */
-  forgetEvidence(): void {
+  clearConfirmations(): void {
     this.#words.clear();
     this.#readAskedAtMs = Number.NEGATIVE_INFINITY;
   }
@@ -60,7 +60,7 @@
    * newer. A restarted keeper may have forgotten one, so it counts after its
    * first read.
    */
-  evidenceAtMs(map: contracts.RangeMap): number {
+  confirmedAtMs(map: contracts.RangeMap): number {
     const readMs = this.#readRevision === map.revision
       ? this.#readAskedAtMs
       : Number.NEGATIVE_INFINITY;
@@ -68,8 +68,8 @@
     const asked: number[] = [];
     for (const vm of keepers) {
       const word = this.#words.get(vm);
-      if (word === undefined || !word.isSettled) continue;
-      if (word.revision <= map.revision) asked.push(word.askedAtMs);
+      if (word === undefined || !word.hasReadMap) continue;
+      if (word.revision <= map.revision) asked.push(word.requestedAtMs);
     }
     asked.sort((a, b) => b - a);
     const majority = Math.floor(keepers.length / 2) + 1;
@@ -82,7 +82,7 @@
    * good count as knowing it, or a map that lost its majority could never
    * change.
    */
-  hasPromise(
+  isAcknowledged(
     map: contracts.RangeMap,
     revision: number,
     gone: ReadonlySet<contracts.VmId>,
--- a/packages/decisions/src/grants/keeper_review.ts
+++ b/packages/decisions/src/grants/voter_selection.ts
@@ -12,19 +12,19 @@
 const KEEPER_GONE_AFTER_MS = 10_000;
 
 /** What a VM knows of the keepers. */
-export interface KeeperReviewInput {
+export interface VoterSelectionInput {
   readonly vm: contracts.VmId;
   readonly map: contracts.RangeMap | undefined;
   /** VMs that are up, in the order in which they become keepers. */
   readonly live: readonly contracts.VmId[];
   /** Time since a VM's last message; infinite for one never heard. */
-  readonly silentMs: (vm: contracts.VmId) => number;
+  readonly sinceLastMessageMs: (vm: contracts.VmId) => number;
   /** How long the process has run. */
-  readonly lifeMs: number;
+  readonly uptimeMs: number;
 }
 
 /** Keepers to have: those that serve now stay, silent ones are replaced. */
-export function wishedKeepers(input: KeeperReviewInput): contracts.VmId[] {
+export function selectVoters(input: VoterSelectionInput): contracts.VmId[] {
   const present = input.map?.keeperSets.at(-1) ?? [];
   const kept = present.filter((keeper) =>
     silenceMs(input, keeper) < KEEPER_REPLACE_AFTER_MS
@@ -34,7 +34,7 @@
 }
 
 /** Keepers that are gone for good. */
-export function goneKeepers(input: KeeperReviewInput): Set<contracts.VmId> {
+export function removedVoters(input: VoterSelectionInput): Set<contracts.VmId> {
   const keepers = input.map?.keeperSets.flat() ?? [];
   return new Set(
     keepers.filter((keeper) => silenceMs(input, keeper) > KEEPER_GONE_AFTER_MS),
@@ -46,7 +46,7 @@
  * keepers that it has not heard yet would count as gone.
  */
 function silenceMs(
-  { vm, silentMs, lifeMs }: KeeperReviewInput,
+  { vm, sinceLastMessageMs: silentMs, uptimeMs: lifeMs }: VoterSelectionInput,
   keeper: contracts.VmId,
 ): number {
   return keeper === vm ? 0 : Math.min(silentMs(keeper), lifeMs);
--- a/packages/decisions/src/membership/member.ts
+++ b/packages/decisions/src/membership/member.ts
@@ -40,9 +40,9 @@
   state: MemberState = "suspect";
   listed = false;
   /** The VM list calls it leaving. */
-  listedLeaving = false;
+  isListedLeaving = false;
   /** It said itself, in its present incarnation, that it leaves. */
-  saidLeaving = false;
+  hasAnnouncedLeave = false;
   incarnation: contracts.Incarnation | undefined;
   lastSeenMs: number | undefined;
   lastReplyMs: number | undefined;
@@ -65,18 +65,20 @@
    * old run would otherwise make a restarted VM look like the old one, and
    * its forgotten promises would count. Remembering replaced runs prevents it.
    */
-  adopt(incarnation: contracts.Incarnation): "same" | "new" | "stale" {
+  adoptIncarnation(
+    incarnation: contracts.Incarnation,
+  ): "same" | "new" | "stale" {
     if (this.incarnation === incarnation) return "same";
     if (this.#earlier.includes(incarnation)) return "stale";
     if (this.incarnation !== undefined) this.#earlier.push(this.incarnation);
     if (this.#earlier.length > REMEMBERED_INCARNATIONS) this.#earlier.shift();
     this.incarnation = incarnation;
-    this.saidLeaving = false;
+    this.hasAnnouncedLeave = false;
     return "new";
   }
 
   /** A sign of life as of `atMs`; an older one changes nothing. */
-  seen(atMs: number): void {
+  noteSeen(atMs: number): void {
     this.lastSeenMs = Math.max(this.lastSeenMs ?? atMs, atMs);
     if (this.unansweredSinceMs === undefined) return;
     if (atMs < this.unansweredSinceMs) return;
@@ -85,16 +87,16 @@
   }
 
   /** An answer to our question of `askedAtMs`. */
-  replied(askedAtMs: number): void {
+  noteReply(askedAtMs: number): void {
     this.lastReplyMs = Math.max(this.lastReplyMs ?? askedAtMs, askedAtMs);
     const unreplied = this.unrepliedSinceMs;
     if (unreplied !== undefined && askedAtMs >= unreplied) {
       this.unrepliedSinceMs = undefined;
     }
-    this.seen(askedAtMs);
+    this.noteSeen(askedAtMs);
   }
 
-  asked(nowMs: number): void {
+  noteProbe(nowMs: number): void {
     this.unansweredSinceMs ??= nowMs;
     this.unrepliedSinceMs ??= nowMs;
   }
@@ -106,6 +108,6 @@
   }
 
   isLeaving(): boolean {
-    return this.saidLeaving || this.listedLeaving;
+    return this.hasAnnouncedLeave || this.isListedLeaving;
   }
 }
--- a/packages/decisions/src/membership/membership.ts
+++ b/packages/decisions/src/membership/membership.ts
@@ -11,14 +11,14 @@
 import type * as contracts from "@guavatide/contracts";
 import type * as effects from "./effects.ts";
 import { Member, type MemberState, type MemberView } from "./member.ts";
-import { type MemberNews, NewsBoard } from "./news_board.ts";
-import * as targets from "./targets.ts";
+import { type MemberUpdate, UpdateQueue } from "./update_queue.ts";
+import * as targets from "./probe_targets.ts";
 
 /** The members and the rules by which their states change. */
 export class Membership {
   readonly #options: effects.MembershipOptions;
   readonly #members = new Map<contracts.VmId, Member>();
-  readonly #news: NewsBoard;
+  readonly #news: UpdateQueue;
   readonly #picker: targets.SamplePicker;
   #pinned: ReadonlySet<contracts.VmId> = new Set();
   #beats = 0;
@@ -27,7 +27,7 @@
 
   constructor(options: effects.MembershipOptions) {
     this.#options = options;
-    this.#news = new NewsBoard(options.newsPerMessage);
+    this.#news = new UpdateQueue(options.updatesPerMessage);
     this.#picker = new targets.SamplePicker(options.random);
   }
 
@@ -40,7 +40,7 @@
    * Takes the lagging VM list. A VM missing from it stays a member for as
    * long as it is heard: a new VM beats before the list names it.
    */
-  noteList(
+  noteVmList(
     vms: readonly contracts.ListedVm[],
     nowMs: number,
   ): effects.MemberEvent[] {
@@ -53,18 +53,22 @@
     }
     for (const member of this.#members.values()) {
       member.listed = named.has(member.vm);
-      if (!member.listed) member.listedLeaving = false;
+      if (!member.listed) member.isListedLeaving = false;
     }
     return this.#reviewAll(nowMs);
   }
 
   /** Call at each beat. Sends nothing itself. */
-  beat(nowMs: number): effects.BeatEffects {
+  heartbeat(nowMs: number): effects.HeartbeatEffects {
     this.#notePause(nowMs);
     const events = this.#reviewAll(nowMs);
     const chosen = this.#chooseTargets();
-    for (const vm of chosen) this.#members.get(vm)?.asked(nowMs);
-    return { targets: chosen, questions: this.#chooseQuestions(nowMs), events };
+    for (const vm of chosen) this.#members.get(vm)?.noteProbe(nowMs);
+    return {
+      targets: chosen,
+      indirectProbes: this.#chooseQuestions(nowMs),
+      events,
+    };
   }
 
   /**
@@ -84,7 +88,7 @@
     if (member === undefined) return [];
     const adopted = this.#adopt(member, incarnation);
     if (adopted === undefined) return [];
-    member.replied(askedAtMs);
+    member.noteReply(askedAtMs);
     return [...adopted, ...this.#review(member, nowMs)];
   }
 
@@ -95,7 +99,7 @@
   }
 
   /** A peer's heartbeat came in; the peer may be unknown so far. */
-  noteHeard(
+  noteHeartbeat(
     heartbeat: contracts.PeerHeartbeat,
     nowMs: number,
   ): effects.MemberEvent[] {
@@ -104,14 +108,14 @@
     const adopted = this.#adopt(member, heartbeat.incarnation);
     if (adopted === undefined) return [];
     member.address = addressOf(heartbeat);
-    member.saidLeaving = heartbeat.leaving;
-    member.seen(nowMs);
+    member.hasAnnouncedLeave = heartbeat.leaving;
+    member.noteSeen(nowMs);
     return [...adopted, ...this.#review(member, nowMs)];
   }
 
-  /** The answer to a {@link effects.HelperQuestion} that was sent at `askedAtMs`. */
-  noteHelper(
-    answer: effects.HelperAnswer,
+  /** The answer to a {@link effects.IndirectProbe} that was sent at `askedAtMs`. */
+  noteIndirectReply(
+    answer: effects.IndirectProbeReply,
     { askedAtMs, nowMs }: {
       readonly askedAtMs: number;
       readonly nowMs: number;
@@ -126,12 +130,15 @@
     }
     const adopted = this.#adopt(member, answer.incarnation);
     if (adopted === undefined) return [];
-    member.seen(seenAtMs);
+    member.noteSeen(seenAtMs);
     return [...adopted, ...this.#review(member, nowMs)];
   }
 
   /** This process's answer to another's question. */
-  answerHelper(about: contracts.VmId, nowMs: number): effects.HelperAnswer {
+  answerIndirectProbe(
+    about: contracts.VmId,
+    nowMs: number,
+  ): effects.IndirectProbeReply {
     const member = this.#members.get(about);
     return {
       from: this.#options.vm,
@@ -144,7 +151,7 @@
   }
 
   /** News to put into the next message to a peer; bounded. */
-  takeNews(): MemberNews[] {
+  takeUpdates(): MemberUpdate[] {
     return this.#news.take(this.#members.size);
   }
 
@@ -153,16 +160,19 @@
    * never a verdict: otherwise one paused VM, on waking, would have the whole
    * fleet drop members that are well.
    */
-  noteNews(news: readonly MemberNews[], nowMs: number): effects.MemberEvent[] {
+  noteUpdates(
+    news: readonly MemberUpdate[],
+    nowMs: number,
+  ): effects.MemberEvent[] {
     const events: effects.MemberEvent[] = [];
     for (const item of news) {
       const member = this.#members.get(item.vm);
       if (member === undefined || item.state === "alive") continue;
       if (member.state !== "alive") continue;
       if (member.incarnation !== item.incarnation) continue;
-      this.#picker.askSoon(item.vm);
+      this.#picker.prioritize(item.vm);
       // A VM says itself that it leaves and never takes it back in that run.
-      if (item.state === "left") member.saidLeaving = true;
+      if (item.state === "left") member.hasAnnouncedLeave = true;
       events.push(...this.#review(member, nowMs));
     }
     return events;
@@ -205,7 +215,7 @@
     };
     const member = this.#ensure(vm, address);
     if (member.incarnation === undefined) member.address = address;
-    member.listedLeaving = listed.state === "leaving";
+    member.isListedLeaving = listed.state === "leaving";
   }
 
   #ensure(vm: contracts.VmId, address: Member["address"]): Member {
@@ -222,7 +232,7 @@
     incarnation: contracts.Incarnation,
   ): effects.MemberEvent[] | undefined {
     const isFirst = member.incarnation === undefined;
-    const adopted = member.adopt(incarnation);
+    const adopted = member.adoptIncarnation(incarnation);
     if (adopted === "stale") return undefined;
     if (adopted === "same") return [];
     return [{ kind: isFirst ? "joined" : "restarted", vm: member.vm }];
@@ -234,7 +244,8 @@
    * beat that comes late tells, and silence is counted anew from there.
    */
   #notePause(nowMs: number): void {
-    const { beatMs, pauseMs } = this.#options;
+    const { heartbeatIntervalMs: beatMs, pauseThresholdMs: pauseMs } =
+      this.#options;
     const last = this.#lastBeatMs;
     this.#lastBeatMs = nowMs;
     if (last !== undefined && nowMs - last > beatMs + pauseMs) {
@@ -243,10 +254,11 @@
   }
 
   #chooseTargets(): contracts.VmId[] {
-    const { sampleVms, sampleEveryBeats } = this.#options;
+    const { sampleVms, sampleEveryHeartbeats: sampleEveryBeats } =
+      this.#options;
     this.#beats++;
     const isSampling = this.#beats % sampleEveryBeats === 0;
-    return targets.chooseTargets(this.#members, {
+    return targets.chooseProbeTargets(this.#members, {
       ...this.#options,
       sampleVms: isSampling ? sampleVms : 0,
       pinned: this.#pinned,
@@ -258,7 +270,7 @@
    * Others are asked before the verdict: behind a cut of one link, a VM that
    * they hear would otherwise go from alive to suspect and back at each round.
    */
-  #chooseQuestions(nowMs: number): effects.HelperQuestion[] {
+  #chooseQuestions(nowMs: number): effects.IndirectProbe[] {
     const quietMs = this.#options.suspectAfterMs / 2;
     const quiet: Member[] = [];
     for (const member of this.#members.values()) {
@@ -268,7 +280,10 @@
         quiet.push(member);
       }
     }
-    return targets.chooseQuestions(this.#members, { ...this.#options, quiet });
+    return targets.chooseIndirectProbes(this.#members, {
+      ...this.#options,
+      unresponsive: quiet,
+    });
   }
 
   #reviewAll(nowMs: number): effects.MemberEvent[] {
@@ -285,7 +300,7 @@
     if (next === member.state) return [];
     member.state = next;
     const { vm, incarnation } = member;
-    this.#news.post({ vm, incarnation, state: next });
+    this.#news.enqueue({ vm, incarnation, state: next });
     return [{ kind: next, vm }];
   }
 
@@ -299,7 +314,9 @@
     if (member.state === "left") return "left";
     if (member.state === "lost") return "lost";
     const agreed = member.confirmedBy.size > 0;
-    const waitMs = agreed ? options.lostAfterMs : options.lostAloneAfterMs;
+    const waitMs = agreed
+      ? options.lostAfterMs
+      : options.lostUnconfirmedAfterMs;
     return silentMs >= waitMs ? "lost" : "suspect";
   }
 
--- a/packages/decisions/src/membership/membership_test.ts
+++ b/packages/decisions/src/membership/membership_test.ts
@@ -3,7 +3,7 @@
 import { test } from "node:test";
 import * as membership from "./mod.ts";
 
-const BEAT_MS = membership.DEFAULT_MEMBERSHIP.beatMs;
+const BEAT_MS = membership.DEFAULT_MEMBERSHIP.heartbeatIntervalMs;
 
 function vmId(name: string): contracts.VmId {
   return name as contracts.VmId;
@@ -42,12 +42,12 @@
   }
 
   list(...vms: contracts.ListedVm[]): void {
-    this.#note(this.self.noteList(vms, this.nowMs));
+    this.#note(this.self.noteVmList(vms, this.nowMs));
   }
 
   hear(vm: string, incarnation: string, leaving = false): void {
     const { zone, host, port } = listed(vm);
-    this.#note(this.self.noteHeard({
+    this.#note(this.self.noteHeartbeat({
       vm: vmId(vm),
       incarnation: incarnation as contracts.Incarnation,
       zone,
@@ -69,17 +69,17 @@
   }
 
   /** Runs beats; those in `answering` answer at once. */
-  run(beats: number): membership.BeatEffects {
-    let effects!: membership.BeatEffects;
+  run(beats: number): membership.HeartbeatEffects {
+    let effects!: membership.HeartbeatEffects;
     for (let i = 0; i < beats; i++) {
       this.nowMs += BEAT_MS;
-      effects = this.self.beat(this.nowMs);
+      effects = this.self.heartbeat(this.nowMs);
       this.#note(effects.events);
       for (const vm of effects.targets) {
         const incarnation = this.answering.get(vm);
         if (incarnation) this.reply(vm, incarnation, this.nowMs);
       }
-      for (const question of effects.questions) this.#answer(question);
+      for (const question of effects.indirectProbes) this.#answer(question);
     }
     return effects;
   }
@@ -88,11 +88,11 @@
     return this.self.member(vmId(vm), this.nowMs)?.state;
   }
 
-  #answer({ to, about }: membership.HelperQuestion): void {
+  #answer({ to, about }: membership.IndirectProbe): void {
     if (!this.answering.has(to)) return;
     const seenAgeMs = this.helperSeenAgeMs.get(about);
     const incarnation = this.self.member(about, this.nowMs)?.incarnation;
-    this.#note(this.self.noteHelper(
+    this.#note(this.self.noteIndirectReply(
       { from: to, about, seenAgeMs, incarnation },
       { askedAtMs: this.nowMs, nowMs: this.nowMs },
     ));
@@ -282,7 +282,7 @@
 });
 
 test("should ask every VM of a large fleet in turn, a bounded number each beat", () => {
-  const fixture = new Fixture({ sampleEveryBeats: 1 });
+  const fixture = new Fixture({ sampleEveryHeartbeats: 1 });
   const names = Array.from({ length: 200 }, (_, i) => `v${i}`);
   for (const name of names) fixture.answering.set(name, `${name}-1`);
   fixture.list(...names.map((name) => listed(name)));
@@ -309,7 +309,7 @@
     incarnation: "v3-1" as contracts.Incarnation,
     state: "lost" as const,
   };
-  fixture.self.noteNews([news], fixture.nowMs);
+  fixture.self.noteUpdates([news], fixture.nowMs);
   fixture.run(40);
   expect(fixture.state("v3")).toEqual("alive");
 });
@@ -318,6 +318,6 @@
   const fixture = startTrio();
   fixture.hear("b", "b1", true);
   let told = 0;
-  for (let i = 0; i < 100; i++) told += fixture.self.takeNews().length;
+  for (let i = 0; i < 100; i++) told += fixture.self.takeUpdates().length;
   expect(told > 0 && told < 40).toEqual(true);
 });
--- a/packages/decisions/src/membership/mod.ts
+++ b/packages/decisions/src/membership/mod.ts
@@ -2,4 +2,4 @@
 export * from "./effects.ts";
 export * from "./member.ts";
 export * from "./membership.ts";
-export type * from "./news_board.ts";
+export type * from "./update_queue.ts";
--- a/packages/decisions/src/membership/targets.ts
+++ b/packages/decisions/src/membership/probe_targets.ts
@@ -17,7 +17,7 @@
   }
 
   /** Puts a peer ahead of the round. */
-  askSoon(vm: contracts.VmId): void {
+  prioritize(vm: contracts.VmId): void {
     this.#soon.add(vm);
   }
 
@@ -61,8 +61,8 @@
   return member.state === "suspect" && member.unansweredSinceMs === undefined;
 }
 
-/** Options of {@link chooseTargets}. */
-export interface ChooseTargetsOptions {
+/** Options of {@link chooseProbeTargets}. */
+export interface ChooseProbeTargetsOptions {
   readonly fullMeshVms: number;
   readonly sampleVms: number;
   readonly lostProbes: number;
@@ -75,9 +75,9 @@
 const SUSPECT_PROBES = 4;
 
 /** The peers that get a heartbeat at this beat. */
-export function chooseTargets(
+export function chooseProbeTargets(
   members: ReadonlyMap<contracts.VmId, Member>,
-  options: ChooseTargetsOptions,
+  options: ChooseProbeTargetsOptions,
 ): contracts.VmId[] {
   const chosen = new Set<contracts.VmId>();
   const suspects: contracts.VmId[] = [];
@@ -100,24 +100,24 @@
   return [...chosen];
 }
 
-/** Options of {@link chooseQuestions}. */
-export interface ChooseQuestionsOptions {
-  readonly helpers: number;
+/** Options of {@link chooseIndirectProbes}. */
+export interface ChooseIndirectProbesOptions {
+  readonly indirectProbes: number;
   readonly random: contracts.RandomSource;
   /** Members that have left a question unanswered for a while. */
-  readonly quiet: readonly Member[];
+  readonly unresponsive: readonly Member[];
 }
 
 /** Whom to ask about the quiet members that too few have confirmed yet. */
-export function chooseQuestions(
+export function chooseIndirectProbes(
   members: ReadonlyMap<contracts.VmId, Member>,
-  options: ChooseQuestionsOptions,
+  options: ChooseIndirectProbesOptions,
 ): { to: contracts.VmId; about: contracts.VmId }[] {
-  const open = options.quiet
-    .filter((member) => member.confirmedBy.size < options.helpers)
+  const open = options.unresponsive
+    .filter((member) => member.confirmedBy.size < options.indirectProbes)
     .map((member) => member.vm);
   return draw(open, SUSPECT_PROBES, options).flatMap((about) =>
-    draw(findHelpers(members, about), options.helpers, options)
+    draw(findHelpers(members, about), options.indirectProbes, options)
       .map((to) => ({ to, about }))
   );
 }
--- a/packages/decisions/src/membership/news_board.ts
+++ b/packages/decisions/src/membership/update_queue.ts
@@ -6,7 +6,7 @@
 import type { MemberState } from "./member.ts";
 
 /** One change, as told to a peer. */
-export interface MemberNews {
+export interface MemberUpdate {
   readonly vm: contracts.VmId;
   readonly incarnation?: contracts.Incarnation;
   readonly state: MemberState;
@@ -18,16 +18,16 @@
 const KEPT_NEWS = 256;
 
 /** Holds changes until each has been told often enough. */
-export class NewsBoard {
+export class UpdateQueue {
   readonly #perMessage: number;
-  readonly #told = new Map<contracts.VmId, { news: MemberNews; n: number }>();
+  readonly #told = new Map<contracts.VmId, { news: MemberUpdate; n: number }>();
 
   constructor(perMessage: number) {
     this.#perMessage = perMessage;
   }
 
   /** Adds a change; it replaces an earlier one about the same VM. */
-  post(news: MemberNews): void {
+  enqueue(news: MemberUpdate): void {
     this.#told.delete(news.vm);
     this.#told.set(news.vm, { news, n: 0 });
     if (this.#told.size <= KEPT_NEWS) return;
@@ -36,7 +36,7 @@
   }
 
   /** The next changes to tell; the least told first. */
-  take(fleetVms: number): MemberNews[] {
+  take(fleetVms: number): MemberUpdate[] {
     const limit = TELL_FACTOR * Math.ceil(Math.log2(fleetVms + 2));
     const chosen = [...this.#told.values()]
       .sort((a, b) => a.n - b.n)
--- a/packages/entry/src/administration/administration.ts
+++ b/packages/entry/src/administration/admin_api.ts
@@ -8,37 +8,37 @@
 import type { Settings } from "../settings/mod.ts";
 import type { ServerTls } from "../utils/http_server.ts";
 import type { LifeCycle } from "../utils/life_cycle.ts";
-import type { PartLog } from "../utils/log.ts";
-import { AdministrationDoor } from "./administration_door.ts";
-import type { OwnershipReport } from "./api_context.ts";
+import type { Logger } from "../utils/log.ts";
+import { AdminServer } from "./admin_server.ts";
+import type { OwnershipView } from "./api_context.ts";
 import { AUDIT_PREFIX, auditLineSchema } from "./journal_lines.ts";
 import { MoveJournal } from "./move_journal.ts";
 import { StoreJournal } from "./store_journal.ts";
 
-/** Options of {@link startAdministration}. */
-export interface StartAdministrationOptions {
+/** Options of {@link startAdminApi}. */
+export interface StartAdminApiOptions {
   readonly settings: Settings;
   readonly store: contracts.PlatformStore;
   readonly clock: contracts.Clock;
-  readonly log: PartLog;
+  readonly log: Logger;
   readonly config: configuration.ConfigTask;
   readonly servers: ServerView;
   readonly owners: OwnerView;
-  readonly ownership: OwnershipReport;
+  readonly ownership: OwnershipView;
   readonly moves: MoveJournal;
   readonly certificate?: ServerTls;
 }
 
 /** Options of {@link createMoveJournal}. */
 export type CreateMoveJournalOptions = Pick<
-  StartAdministrationOptions,
+  StartAdminApiOptions,
   "settings" | "store" | "clock" | "log"
 >;
 
-const FLUSH_MS = 1000;
-const MOVE_LINES = 300;
+const FLUSH_INTERVAL_MS = 1000;
+const MOVE_LINES_PER_SLOT = 300;
 /** Calls within which the fate of an edit must become known. */
-const WRITE_CALLS = 4;
+const STORE_CALLS_PER_WRITE = 4;
 
 /** The journal of moves, for the task that moves slices. */
 export function createMoveJournal(
@@ -49,15 +49,15 @@
     store: options.store,
     clock: options.clock,
     log: options.log,
-    lines: MOVE_LINES,
-    flushMs: FLUSH_MS,
+    linesPerSlot: MOVE_LINES_PER_SLOT,
+    flushIntervalMs: FLUSH_INTERVAL_MS,
     callTimeoutMs: options.settings.platform.storeTimeoutMs,
   });
 }
 
 /** Starts the administration API and returns its port. */
-export async function startAdministration(
-  options: StartAdministrationOptions,
+export async function startAdminApi(
+  options: StartAdminApiOptions,
   lifeCycle: LifeCycle,
 ): Promise<number> {
   const { settings, store, clock, log } = options;
@@ -68,7 +68,7 @@
     clock,
     log,
     callTimeoutMs,
-    timeoutMs: WRITE_CALLS * callTimeoutMs,
+    timeoutMs: STORE_CALLS_PER_WRITE * callTimeoutMs,
     valueLimitBytes: contracts.STORE_VALUE_LIMIT_BYTES,
     now: () => new Date().toISOString(),
   };
@@ -78,14 +78,14 @@
     ...shared,
     prefix: AUDIT_PREFIX,
     schema: auditLineSchema,
-    lines: settings.administration.auditLines,
-    flushMs: FLUSH_MS,
+    linesPerSlot: settings.administration.auditLines,
+    flushIntervalMs: FLUSH_INTERVAL_MS,
   });
   audit.start(lifeCycle);
   options.moves.start(lifeCycle);
   const publisher = new configuration.Publisher({ ...shared, drafts, reader });
-  const door = new AdministrationDoor({
-    parts: { ...options, vm: settings.vm, drafts, publisher, audit },
+  const door = new AdminServer({
+    dependencies: { ...options, vm: settings.vm, drafts, publisher, audit },
     tokens: settings.administration.tokens,
     host: settings.host,
     port: settings.ports.administration,
--- a/packages/entry/src/administration/administration_test.ts
+++ b/packages/entry/src/administration/admin_api_test.ts
@@ -2,14 +2,20 @@
 import { expect } from "earl";
 import { test } from "node:test";
 import { MonotonicClock } from "../utils/clock.ts";
-import { Desk, OBJECTS, QUIET, SERVER, split } from "./desk_test_support.ts";
+import {
+  AdminFixture,
+  costShare,
+  OBJECTS,
+  SERVER,
+  SILENT_LOG,
+} from "./admin_fixture_test_support.ts";
 import * as administration from "./mod.ts";
 
 // Somebody without a token tries paths and methods. Any difference between
 // two answers would tell what there is to attack.
 test("should tell a wrong token nothing", async (t) => {
-  const desk = await Desk.open(t);
-  await desk.fill();
+  const desk = await AdminFixture.open(t);
+  await desk.createObjects();
   const tries: readonly (readonly [method: string, path: string])[] = [
     ["GET", "/v1/objects/service/availability"],
     ["GET", "/v1/objects/service/nothing"],
@@ -59,15 +65,15 @@
     as: "blas",
     method: "PUT",
     path: "objects/cost-share/split",
-    body: split(50, 50),
+    body: costShare(50, 50),
     status: 200,
   },
 ];
 
 for (const { as, method, path, body, status } of RIGHT_CASES) {
   test(`should answer ${status} to ${as} for ${method} ${path}`, async (t) => {
-    const desk = await Desk.open(t);
-    await desk.fill();
+    const desk = await AdminFixture.open(t);
+    await desk.createObjects();
     await desk.publish();
     const isObject = path.startsWith("objects/");
     const ifMatch = isObject
@@ -84,13 +90,13 @@
 
 // Two partners open the same cost split and both save.
 test("should name the newer version to the slower of two editors", async (t) => {
-  const desk = await Desk.open(t);
-  await desk.fill();
+  const desk = await AdminFixture.open(t);
+  await desk.createObjects();
   const path = "/v1/objects/cost-share/split";
   const ifMatch = await desk.etagOf("cost-share/split");
   const answers = await Promise.all([
-    desk.call("PUT", path, { as: "ana", body: split(55, 45), ifMatch }),
-    desk.call("PUT", path, { as: "blas", body: split(50, 50), ifMatch }),
+    desk.call("PUT", path, { as: "ana", body: costShare(55, 45), ifMatch }),
+    desk.call("PUT", path, { as: "blas", body: costShare(50, 50), ifMatch }),
   ]);
   const [won, lost] = answers.sort((a, b) => a.status - b.status);
   expect([won!.status, lost!.status]).toEqual([200, 412]);
@@ -100,10 +106,10 @@
 });
 
 test("should ask for the version of every change", async (t) => {
-  const desk = await Desk.open(t);
-  await desk.fill();
+  const desk = await AdminFixture.open(t);
+  await desk.createObjects();
   const path = "/v1/objects/cost-share/split";
-  const edited = await desk.call("PUT", path, { body: split(50, 50) });
+  const edited = await desk.call("PUT", path, { body: costShare(50, 50) });
   const deleted = await desk.call("DELETE", path);
   const published = await desk.call("POST", "/v1/publish");
   expect([edited.status, deleted.status, published.status])
@@ -111,13 +117,13 @@
 });
 
 test("should publish a whole set and refuse a half-made one", async (t) => {
-  const desk = await Desk.open(t);
-  await desk.fill();
+  const desk = await AdminFixture.open(t);
+  await desk.createObjects();
   expect((await desk.publish()).body.revision).toEqual(1);
   expect(desk.config.revision).toEqual(1);
   const ifMatch = await desk.etagOf("cost-share/split");
   const path = "/v1/objects/cost-share/split";
-  await desk.call("PUT", path, { body: split(50, 40), ifMatch });
+  await desk.call("PUT", path, { body: costShare(50, 40), ifMatch });
   const refused = await desk.publish();
   expect(refused.status).toEqual(422);
   expect(refused.body.error.findings[0].kind).toEqual("shares-sum");
@@ -125,8 +131,8 @@
 });
 
 test("should not publish another partner's change", async (t) => {
-  const desk = await Desk.open(t);
-  await desk.fill();
+  const desk = await AdminFixture.open(t);
+  await desk.createObjects();
   await desk.publish();
   const path = "/v1/objects/partner/kayfa";
   const ifMatch = await desk.etagOf("partner/kayfa");
@@ -138,8 +144,8 @@
 });
 
 test("should drain a server and return it", async (t) => {
-  const desk = await Desk.open(t);
-  await desk.fill();
+  const desk = await AdminFixture.open(t);
+  await desk.createObjects();
   await desk.publish();
   const path = `/v1/drains/${SERVER}`;
   await desk.call("PUT", path, { body: { reason: "disk" } });
@@ -150,8 +156,8 @@
 });
 
 test("should keep an audit line of each change", async (t) => {
-  const desk = await Desk.open(t);
-  await desk.fill();
+  const desk = await AdminFixture.open(t);
+  await desk.createObjects();
   await desk.publish("blas");
   await desk.publish();
   await desk.audit.flush();
@@ -165,15 +171,15 @@
 // Entry VMs are replaced under new names all the time; audit lines without a
 // bound would fill the platform's store.
 test("should bound the journal and share its slots", async (t) => {
-  const desk = await Desk.open(t);
+  const desk = await AdminFixture.open(t);
   for (let vm = 0; vm < 40; vm++) {
     const journal = new administration.MoveJournal({
       vm: `entry-${vm}` as contracts.VmId,
       store: desk.store,
       clock: new MonotonicClock(),
-      log: QUIET,
-      lines: 3,
-      flushMs: 1000,
+      log: SILENT_LOG,
+      linesPerSlot: 3,
+      flushIntervalMs: 1000,
       callTimeoutMs: 100,
     });
     const step = { slice: "0-1", step: "settle", from: [], to: SERVER };
--- a/packages/entry/src/administration/desk_test_support.ts
+++ b/packages/entry/src/administration/admin_fixture_test_support.ts
@@ -15,7 +15,7 @@
 const ALL_RIGHTS: AdministrationRight[] = ["read", "edit", "publish", "drain"];
 export const VM = "entry-1" as contracts.VmId;
 export const SERVER = "availability-1" as contracts.ServerId;
-export const QUIET = {
+export const SILENT_LOG = {
   debug: () => undefined,
   info: () => undefined,
   warn: () => undefined,
@@ -32,10 +32,10 @@
     slotsPerServer: 3,
     connectionsPerServer: 110,
   },
-  "cost-share/split": split(60, 40),
+  "cost-share/split": costShare(60, 40),
 };
 
-export function split(kayfa: number, bitacora: number): object {
+export function costShare(kayfa: number, bitacora: number): object {
   return {
     service: "availability",
     shares: [
@@ -66,7 +66,7 @@
   token("reader", "*", ["read"]),
 ];
 
-interface Answer {
+interface ApiResponse {
   readonly status: number;
   readonly etag: string;
   // deno-lint-ignore no-explicit-any
@@ -81,12 +81,12 @@
 }
 
 /** One entry VM's administration on a store in memory. */
-export class Desk {
+export class AdminFixture {
   readonly store = new FakeStore();
   readonly lifeCycle = new LifeCycle();
   readonly config: configuration.ConfigTask;
   readonly audit: administration.StoreJournal<administration.AuditLine>;
-  readonly door: administration.AdministrationDoor;
+  readonly server: administration.AdminServer;
 
   constructor(
     choice: decisions.WatcherSelector,
@@ -97,7 +97,7 @@
       vm: VM,
       store: this.store,
       clock: new MonotonicClock(),
-      log: QUIET,
+      log: SILENT_LOG,
       timeoutMs: 400,
       callTimeoutMs: 100,
       valueLimitBytes: 1_000_000,
@@ -107,12 +107,12 @@
     const reader = new configuration.ConfigReader(shared);
     this.config = new configuration.ConfigTask({
       ...shared,
-      choice,
-      peers: aloneSource(),
+      watcherSelector: choice,
+      peers: singleVmSource(),
       random: { next: () => 0.5 },
       watchWaitMs: 100,
-      compareMs: 100,
-      settleMs: 50,
+      compareIntervalMs: 100,
+      peerDiscoveryMs: 50,
       storeTimeoutMs: 100,
       peerTimeoutMs: 100,
     });
@@ -122,8 +122,8 @@
       prefix: administration.AUDIT_PREFIX,
       schema: administration.auditLineSchema,
     });
-    this.door = new administration.AdministrationDoor({
-      parts: {
+    this.server = new administration.AdminServer({
+      dependencies: {
         ...shared,
         drafts,
         publisher: new configuration.Publisher({ ...shared, drafts, reader }),
@@ -148,8 +148,11 @@
   static async open(
     t: TestContext,
     limits: Partial<settings.Settings["limits"]> = {},
-  ): Promise<Desk> {
-    const desk = new Desk(await decisions.createWatcherSelector(), limits);
+  ): Promise<AdminFixture> {
+    const desk = new AdminFixture(
+      await decisions.createWatcherSelector(),
+      limits,
+    );
     t.after(() => desk.lifeCycle.stop());
     return desk;
   }
@@ -158,13 +161,13 @@
     method: string,
     path: string,
     options: CallOptions = {},
-  ): Promise<Answer> {
+  ): Promise<ApiResponse> {
     const headers = new Headers();
     const { as = "root", ifMatch, isCreation, body } = options;
     headers.set("authorization", `Bearer token-of-${as}`);
     if (ifMatch !== undefined) headers.set("if-match", ifMatch);
     if (isCreation) headers.set("if-none-match", "*");
-    const response = await this.door.createApp().request(path, {
+    const response = await this.server.createApp().request(path, {
       method,
       headers,
       body: body === undefined ? undefined : JSON.stringify(body),
@@ -177,7 +180,7 @@
     };
   }
 
-  async fill(): Promise<void> {
+  async createObjects(): Promise<void> {
     for (const [path, body] of Object.entries(OBJECTS)) {
       const options = { body, isCreation: true };
       const created = await this.call("PUT", `/v1/objects/${path}`, options);
@@ -185,7 +188,7 @@
     }
   }
 
-  async publish(as = "root"): Promise<Answer> {
+  async publish(as = "root"): Promise<ApiResponse> {
     const { tag } = (await this.call("GET", "/v1/diff")).body;
     return await this.call("POST", "/v1/publish", { as, ifMatch: `"${tag}"` });
   }
@@ -195,7 +198,7 @@
   }
 }
 
-function aloneSource(): configuration.PeerConfigSource {
+function singleVmSource(): configuration.PeerConfigSource {
   return {
     liveVms: () => [VM],
     serve: () => undefined,
--- a/packages/entry/src/administration/administration_door.ts
+++ b/packages/entry/src/administration/admin_server.ts
@@ -15,17 +15,17 @@
 } from "../settings/mod.ts";
 import * as httpServer from "../utils/http_server.ts";
 import type { LifeCycle } from "../utils/life_cycle.ts";
-import { Access } from "./access.ts";
-import type { ApiContext, ApiEnv, ApiParts } from "./api_context.ts";
-import { answerError } from "./api_error.ts";
+import { OperatorAuthenticator } from "./operator_authenticator.ts";
+import type { ApiContext, ApiDependencies, ApiEnv } from "./api_context.ts";
+import { errorResponse } from "./api_error.ts";
 import { createDrainRoutes } from "./drain_routes.ts";
 import { createObjectRoutes } from "./object_routes.ts";
 import { createPublishRoutes } from "./publish_routes.ts";
 import { createStateRoutes } from "./state_routes.ts";
 
-/** Options of {@link AdministrationDoor}. */
-export interface AdministrationDoorOptions {
-  readonly parts: ApiParts;
+/** Options of {@link AdminServer}. */
+export interface AdminServerOptions {
+  readonly dependencies: ApiDependencies;
   readonly tokens: readonly AdministrationToken[];
   /** IP number to listen on. */
   readonly host: string;
@@ -45,26 +45,26 @@
 }
 
 /** Requests handled at once; operators are few, and the store is shared. */
-const REQUESTS_IN_FLIGHT = 64;
+const MAX_REQUESTS_IN_FLIGHT = 64;
 const STOP_TIMEOUT_MS = 5000;
-const CHECK_INTERVAL_MS = 500;
+const CONNECTION_CHECK_INTERVAL_MS = 500;
 
 /** Listens for operators. */
-export class AdministrationDoor {
-  readonly #options: AdministrationDoorOptions;
-  readonly #access: Access;
+export class AdminServer {
+  readonly #options: AdminServerOptions;
+  readonly #access: OperatorAuthenticator;
   #inFlight = 0;
 
-  constructor(options: AdministrationDoorOptions) {
+  constructor(options: AdminServerOptions) {
     this.#options = options;
-    this.#access = new Access(options.tokens);
+    this.#access = new OperatorAuthenticator(options.tokens);
   }
 
   /** Starts listening and returns the port. Errors: the address is taken. */
   async listen(lifeCycle: LifeCycle): Promise<number> {
     const server = this.#createServer();
     server.maxConnections = this.#options.limits.connections;
-    server.on("clientError", answerBrokenRequest);
+    server.on("clientError", answerParserError);
     lifeCycle.onStop({
       name: "administration door",
       timeoutMs: STOP_TIMEOUT_MS,
@@ -80,7 +80,7 @@
       headersTimeout: limits.headerTimeoutMs,
       requestTimeout: limits.requestTimeoutMs,
       keepAliveTimeout: limits.keepAliveMs,
-      connectionsCheckingInterval: CHECK_INTERVAL_MS,
+      connectionsCheckingInterval: CONNECTION_CHECK_INTERVAL_MS,
     };
     const { fetch } = this.createApp();
     return httpServer.createHttpServer(options, certificate)
@@ -89,14 +89,14 @@
 
   /** The routes behind their checks, without a socket. */
   createApp(): hono.Hono<ApiEnv> {
-    const { parts, limits } = this.#options;
+    const { dependencies: parts, limits } = this.#options;
     const app = new hono.Hono<ApiEnv>();
     app.use((context, next) => this.#admit(context, next));
     app.use(bodyLimit.bodyLimit({
       maxSize: limits.bodyBytes,
       onError: (context) => {
         const message = `The body is over ${limits.bodyBytes} bytes: send less`;
-        return answerError(context, { kind: "too-large", message });
+        return errorResponse(context, { kind: "too-large", message });
       },
     }));
     app.use((context, next) => this.#checkRight(context, next));
@@ -106,12 +106,12 @@
     app.route("/v1", createStateRoutes(parts));
     app.notFound((context) => {
       const message = "No such path: see docs/operators/administration.md";
-      return answerError(context, { kind: "not-found", message });
+      return errorResponse(context, { kind: "not-found", message });
     });
     app.onError((error, context) => {
       parts.log.error("request failed", { reason: String(error) });
       const message = "The request failed inside: see this VM's log";
-      return answerError(context, { kind: "internal", message });
+      return errorResponse(context, { kind: "internal", message });
     });
     return app;
   }
@@ -125,18 +125,18 @@
     context: ApiContext,
     next: hono.Next,
   ): Promise<Response | void> {
-    const operator = this.#access.operatorOf(
+    const operator = this.#access.authenticate(
       context.req.header("authorization"),
     );
     if (operator === undefined) {
-      this.#options.parts.log.warn("unknown token refused");
+      this.#options.dependencies.log.warn("unknown token refused");
       const message = "Send a known token as Authorization: Bearer";
       context.header("www-authenticate", "Bearer");
-      return answerError(context, { kind: "unauthorized", message });
+      return errorResponse(context, { kind: "unauthorized", message });
     }
-    if (this.#inFlight >= REQUESTS_IN_FLIGHT) {
+    if (this.#inFlight >= MAX_REQUESTS_IN_FLIGHT) {
       const message = "Too many requests at once: come back later";
-      return answerError(context, { kind: "overloaded", message });
+      return errorResponse(context, { kind: "overloaded", message });
     }
     context.set("operator", operator);
     this.#inFlight++;
@@ -153,39 +153,39 @@
     next: hono.Next,
   ): Promise<Response | void> {
     const { method, path } = context.req;
-    const right = rightFor(method, path);
+    const right = requiredRight(method, path);
     const operator = context.get("operator");
-    if (operator.has(right)) return await next();
-    this.#options.parts.log.warn("right refused", {
+    if (operator.hasRight(right)) return await next();
+    this.#options.dependencies.log.warn("right refused", {
       operator: operator.name,
       right,
       path,
     });
     const message = `Your token lacks the right "${right}": ask for it`;
-    return answerError(context, { kind: "forbidden", message });
+    return errorResponse(context, { kind: "forbidden", message });
   }
 }
 
 /** The right that a request needs. */
-function rightFor(method: string, path: string): AdministrationRight {
+function requiredRight(method: string, path: string): AdministrationRight {
   if (method === "GET" || method === "HEAD") return "read";
   if (path.startsWith("/v1/drains")) return "drain";
   return path === "/v1/publish" ? "publish" : "edit";
 }
 
 /** Status of each error that Node's parser reports, besides 400. */
-const BROKEN_REQUEST_STATUS: Readonly<Record<string, string>> = {
+const PARSER_ERROR_STATUS: Readonly<Record<string, string>> = {
   ERR_HTTP_REQUEST_TIMEOUT: "408 Request Timeout",
   HPE_HEADER_OVERFLOW: "431 Request Header Fields Too Large",
 };
 
-function answerBrokenRequest(error: Error, socket: net.Socket): void {
+function answerParserError(error: Error, socket: net.Socket): void {
   const { code } = error as NodeJS.ErrnoException;
   if (code === "ECONNRESET" || !socket.writable) {
     socket.destroy();
     return;
   }
-  const status = BROKEN_REQUEST_STATUS[code ?? ""] ?? "400 Bad Request";
+  const status = PARSER_ERROR_STATUS[code ?? ""] ?? "400 Bad Request";
   socket.end(`HTTP/1.1 ${status}\r\nconnection: close\r\n\r\n`);
 }
 
--- a/packages/entry/src/administration/administration_door_test.ts
+++ b/packages/entry/src/administration/admin_server_test.ts
@@ -5,9 +5,9 @@
 import * as net from "node:net";
 import { test } from "node:test";
 import * as selfsigned from "selfsigned";
-import { Desk } from "./desk_test_support.ts";
+import { AdminFixture } from "./admin_fixture_test_support.ts";
 
-const BAD_REQUESTS: readonly {
+const INVALID_REQUESTS: readonly {
   readonly name: string;
   readonly body: string;
   readonly headers?: Record<string, string>;
@@ -25,10 +25,10 @@
   },
 ];
 
-for (const { name, body, headers, status } of BAD_REQUESTS) {
+for (const { name, body, headers, status } of INVALID_REQUESTS) {
   test(`should answer ${status} to ${name}`, async (t) => {
-    const desk = await Desk.open(t);
-    const port = await desk.door.listen(desk.lifeCycle);
+    const desk = await AdminFixture.open(t);
+    const port = await desk.server.listen(desk.lifeCycle);
     const seen = await new Promise<number | undefined>((resolve, reject) => {
       const request = http.request({
         host: "127.0.0.1",
@@ -55,8 +55,8 @@
 // Somebody opens a connection and sends a request byte by byte. Connections
 // held for good would keep operators out.
 test("should end a request whose headers do not arrive", async (t) => {
-  const desk = await Desk.open(t, { headerTimeoutMs: 50 });
-  const port = await desk.door.listen(desk.lifeCycle);
+  const desk = await AdminFixture.open(t, { headerTimeoutMs: 50 });
+  const port = await desk.server.listen(desk.lifeCycle);
   const answer = await new Promise<string>((resolve, reject) => {
     const socket = net.connect(port, "127.0.0.1");
     let text = "";
@@ -77,9 +77,9 @@
   });
   const certificate = { cert: pems.cert, key: pems.private };
   const choice = await decisions.createWatcherSelector();
-  const desk = new Desk(choice, {}, certificate);
+  const desk = new AdminFixture(choice, {}, certificate);
   t.after(() => desk.lifeCycle.stop());
-  const port = await desk.door.listen(desk.lifeCycle);
+  const port = await desk.server.listen(desk.lifeCycle);
   const at = { host: "127.0.0.1", port, path: "/v1/check", agent: false };
   const status = await new Promise((resolve, reject) => {
     const options = {
--- a/packages/entry/src/administration/api_context.ts
+++ b/packages/entry/src/administration/api_context.ts
@@ -4,8 +4,8 @@
 import * as crypto from "node:crypto";
 import type * as configuration from "../configuration/mod.ts";
 import type { OwnerView, ServerView } from "../contracts/views.ts";
-import type { PartLog } from "../utils/log.ts";
-import type { Operator } from "./access.ts";
+import type { Logger } from "../utils/log.ts";
+import type { Operator } from "./operator_authenticator.ts";
 import type { AuditLine, MoveLine } from "./journal_lines.ts";
 import type { StoreJournal } from "./store_journal.ts";
 
@@ -18,23 +18,23 @@
 export type ApiContext = hono.Context<ApiEnv>;
 
 /** Ownership as operators look at it. */
-export interface OwnershipReport {
+export interface OwnershipView {
   /** The newest assignment known here. */
   assignment(service: contracts.ServiceId): contracts.Assignment | undefined;
   /** Hash of a key, as the request path takes it. */
-  hashOf(key: string): number;
+  hashKey(key: string): number;
 }
 
 /** The parts behind the API. */
-export interface ApiParts {
+export interface ApiDependencies {
   readonly vm: contracts.VmId;
-  readonly log: PartLog;
+  readonly log: Logger;
   readonly drafts: configuration.DraftStore;
   readonly publisher: configuration.Publisher;
   readonly config: configuration.ConfigTask;
   readonly servers: ServerView;
   readonly owners: OwnerView;
-  readonly ownership: OwnershipReport;
+  readonly ownership: OwnershipView;
   readonly audit: StoreJournal<AuditLine>;
   readonly moves: StoreJournal<MoveLine>;
 }
@@ -46,8 +46,8 @@
 >;
 
 /** Writes the audit line of a change to the log and the journal. */
-export function noteChange(
-  parts: ApiParts,
+export function auditChange(
+  parts: ApiDependencies,
   context: ApiContext,
   change: AuditedChange,
 ): void {
@@ -57,7 +57,7 @@
     object: change.object,
     detail: change.detail,
   });
-  parts.audit.note({
+  parts.audit.append({
     ...change,
     id: crypto.randomUUID(),
     at: new Date().toISOString(),
@@ -67,7 +67,7 @@
 }
 
 /** How the failure of a change stands in its audit line. */
-export function resultOfError(error: { readonly kind: string }) {
+export function auditResultOfError(error: { readonly kind: string }) {
   const result = error.kind === "unknown" ? "unknown" : "refused";
   return { result, detail: error.kind } as const;
 }
--- a/packages/entry/src/administration/api_error.ts
+++ b/packages/entry/src/administration/api_error.ts
@@ -12,7 +12,7 @@
 /** Seconds after which an operator may ask again when the store is away. */
 const RETRY_AFTER_SECONDS = 2;
 
-const STATUS_OF_KIND: Readonly<
+const STATUS_BY_KIND: Readonly<
   Record<string, httpStatus.ContentfulStatusCode>
 > = {
   "bad-request": 400,
@@ -35,11 +35,11 @@
 };
 
 /** Answers with an error, with its own fields besides kind and message. */
-export function answerError(
+export function errorResponse(
   context: hono.Context,
   error: ApiError,
 ): Response {
-  const status = STATUS_OF_KIND[error.kind] ?? 500;
+  const status = STATUS_BY_KIND[error.kind] ?? 500;
   if (status === 503) {
     context.header("retry-after", String(RETRY_AFTER_SECONDS));
   }
--- a/packages/entry/src/administration/drain_routes.ts
+++ b/packages/entry/src/administration/drain_routes.ts
@@ -4,20 +4,22 @@
 import * as neverthrow from "neverthrow";
 import * as z from "zod";
 import * as api from "./api_context.ts";
-import { answerError, type ApiError, badRequest } from "./api_error.ts";
-import { highestRevision } from "./publish_routes.ts";
+import { type ApiError, badRequest, errorResponse } from "./api_error.ts";
+import { highestKnownRevision } from "./publish_routes.ts";
 
 const drainBodySchema = z.strictObject({
   reason: z.string().max(200).default(""),
 });
 
 /** Routes under `/v1/drains`. */
-export function createDrainRoutes(parts: api.ApiParts): hono.Hono<api.ApiEnv> {
+export function createDrainRoutes(
+  parts: api.ApiDependencies,
+): hono.Hono<api.ApiEnv> {
   const app = new hono.Hono<api.ApiEnv>();
   app.get("/", (context) => context.json({ drains: parts.config.drains() }));
   app.put("/:server", async (context) => {
-    const reason = await readReason(context);
-    if (reason.isErr()) return answerError(context, reason.error);
+    const reason = await parseReason(context);
+    if (reason.isErr()) return errorResponse(context, reason.error);
     return await setDrain(parts, context, reason.value);
   });
   app.delete("/:server", (context) => setDrain(parts, context, undefined));
@@ -26,13 +28,13 @@
 
 /** Drains when a reason is given; returns to service otherwise. */
 async function setDrain(
-  parts: api.ApiParts,
+  parts: api.ApiDependencies,
   context: api.ApiContext,
   reason: string | undefined,
 ): Promise<Response> {
   const server = context.req.param("server") as contracts.ServerId;
   const isDrained = reason !== undefined;
-  const allowed = mayDrain(parts, context, server);
+  const allowed = checkDrainAllowed(parts, context, server);
   const written = allowed.isErr()
     ? neverthrow.err(allowed.error)
     : await parts.publisher.setDrain({
@@ -40,25 +42,25 @@
       server,
       isDrained,
       reason: reason ?? "",
-      knownRevision: highestRevision(parts),
+      knownRevision: highestKnownRevision(parts),
     });
   if (written.isOk()) parts.config.notePublished(written.value);
-  api.noteChange(parts, context, {
+  api.auditChange(parts, context, {
     action: isDrained ? "drain" : "return",
     object: `server/${server}`,
     ...written.match(
       (config) => ({ result: "done" as const, detail: `${config.revision}` }),
-      api.resultOfError,
+      api.auditResultOfError,
     ),
   });
   return written.match(
     ({ revision, drains }) => context.json({ revision, drains: drains ?? [] }),
-    (error) => answerError(context, error),
+    (error) => errorResponse(context, error),
   );
 }
 
-function mayDrain(
-  parts: api.ApiParts,
+function checkDrainAllowed(
+  parts: api.ApiDependencies,
   context: api.ApiContext,
   server: contracts.ServerId,
 ): neverthrow.Result<void, ApiError> {
@@ -73,7 +75,7 @@
   const service = address && parts.config.service(address.service);
   const isAllowed = service === undefined
     // A server without a known service belongs to no single partner.
-    ? operator.actsForAll
+    ? operator.canAccessAllPartners
     : operator.mayChange(service);
   if (isAllowed) return neverthrow.ok(undefined);
   const message = `Your token has no rights for server "${server}": ask an ` +
@@ -81,7 +83,7 @@
   return neverthrow.err({ kind: "forbidden", message });
 }
 
-async function readReason(
+async function parseReason(
   context: api.ApiContext,
 ): Promise<neverthrow.Result<string, ApiError>> {
   const text = await context.req.text();
--- a/packages/entry/src/administration/mod.ts
+++ b/packages/entry/src/administration/mod.ts
@@ -1,7 +1,7 @@
 /** The administration API and its journals. */
-export * from "./access.ts";
-export * from "./administration.ts";
-export * from "./administration_door.ts";
+export * from "./operator_authenticator.ts";
+export * from "./admin_api.ts";
+export * from "./admin_server.ts";
 export * from "./api_context.ts";
 export * from "./journal_lines.ts";
 export * from "./move_journal.ts";
--- a/packages/entry/src/administration/move_journal.ts
+++ b/packages/entry/src/administration/move_journal.ts
@@ -1,7 +1,7 @@
 /** Keeps the steps of moves and their reasons, for operators to look up. */
 import type * as contracts from "@guavatide/contracts";
 import * as crypto from "node:crypto";
-import type { MovedSteps } from "../ownership/service_context.ts";
+import type { AssignmentSteps } from "../ownership/service_context.ts";
 import {
   type MoveLine,
   moveLineSchema,
@@ -25,9 +25,9 @@
   }
 
   /** Takes note of an update that the store has acknowledged. */
-  noteSteps({ service, revision, steps }: MovedSteps): void {
+  noteSteps({ service, revision, steps }: AssignmentSteps): void {
     for (const step of steps) {
-      this.note({
+      this.append({
         ...step,
         id: crypto.randomUUID(),
         at: new Date().toISOString(),
--- a/packages/entry/src/administration/object_routes.ts
+++ b/packages/entry/src/administration/object_routes.ts
@@ -9,13 +9,15 @@
 import * as z from "zod";
 import type { Draft, DraftName } from "../configuration/mod.ts";
 import * as api from "./api_context.ts";
-import { answerError, type ApiError, badRequest } from "./api_error.ts";
+import { type ApiError, badRequest, errorResponse } from "./api_error.ts";
 
 const kindSchema = z.enum(["service", "place", "partner", "cost-share"]);
 const OBJECT_PATH = "/:kind/:name";
 
 /** Routes under `/v1/objects`. */
-export function createObjectRoutes(parts: api.ApiParts): hono.Hono<api.ApiEnv> {
+export function createObjectRoutes(
+  parts: api.ApiDependencies,
+): hono.Hono<api.ApiEnv> {
   const app = new hono.Hono<api.ApiEnv>();
   app.get("/", (context) => listObjects(parts, context));
   app.get(OBJECT_PATH, (context) => getObject(parts, context));
@@ -25,7 +27,7 @@
 }
 
 async function listObjects(
-  parts: api.ApiParts,
+  parts: api.ApiDependencies,
   context: api.ApiContext,
 ): Promise<Response> {
   const kind = context.req.query("kind");
@@ -41,75 +43,75 @@
         }));
       return context.json({ tag, objects });
     },
-    (error) => answerError(context, error),
+    (error) => errorResponse(context, error),
   );
 }
 
 async function getObject(
-  parts: api.ApiParts,
+  parts: api.ApiDependencies,
   context: api.ApiContext,
 ): Promise<Response> {
-  const name = nameOf(context);
-  if (name.isErr()) return answerError(context, name.error);
+  const name = draftNameOf(context);
+  if (name.isErr()) return errorResponse(context, name.error);
   const read = await parts.drafts.get(name.value);
   return read.match(
-    (draft) => answerDraft(context, draft),
-    (error) => answerError(context, error),
+    (draft) => draftResponse(context, draft),
+    (error) => errorResponse(context, error),
   );
 }
 
 async function putObject(
-  parts: api.ApiParts,
+  parts: api.ApiDependencies,
   context: api.ApiContext,
 ): Promise<Response> {
-  const object = await readObject(context);
-  if (object.isErr()) return answerError(context, object.error);
+  const object = await parseObject(context);
+  if (object.isErr()) return errorResponse(context, object.error);
   const isCreation = context.req.header("if-none-match") === "*";
   const written = isCreation
-    ? await create(parts, context, object.value)
-    : await edit(parts, context, object.value);
-  api.noteChange(parts, context, {
+    ? await createDraft(parts, context, object.value)
+    : await replaceDraft(parts, context, object.value);
+  api.auditChange(parts, context, {
     action: isCreation ? "create" : "edit",
-    object: pathOf(object.value),
+    object: objectPath(object.value),
     ...written.match(
       (draft) => ({ result: "done" as const, detail: draft.version }),
-      api.resultOfError,
+      api.auditResultOfError,
     ),
   });
   return written.match(
-    (draft) => answerDraft(context, draft, isCreation ? 201 : 200),
-    (error) => answerError(context, error),
+    (draft) => draftResponse(context, draft, isCreation ? 201 : 200),
+    (error) => errorResponse(context, error),
   );
 }
 
 type DraftResult = Promise<neverthrow.Result<Draft, ApiError>>;
 
-async function create(
-  parts: api.ApiParts,
+async function createDraft(
+  parts: api.ApiDependencies,
   context: api.ApiContext,
   object: contracts.ConfigObject,
 ): DraftResult {
   const operator = context.get("operator");
-  if (!operator.mayChange(object)) return neverthrow.err(notYours(object));
+  if (!operator.mayChange(object)) return neverthrow.err(forbidden(object));
   return await parts.drafts.create(object, operator.name);
 }
 
-async function edit(
-  parts: api.ApiParts,
+async function replaceDraft(
+  parts: api.ApiDependencies,
   context: api.ApiContext,
   object: contracts.ConfigObject,
 ): DraftResult {
-  const version = versionOf(context);
-  if (version === undefined) return neverthrow.err(versionMissing());
-  const allowed = await mayReplace(parts, context, object);
+  const version = ifMatchVersion(context);
+  if (version === undefined) return neverthrow.err(missingVersionError());
+  const allowed = await checkReplaceAllowed(parts, context, object);
   if (allowed.isErr()) return neverthrow.err(allowed.error);
   const operator = context.get("operator").name;
   return await parts.drafts.replace(object, { operator, version });
 }
 
 /** Both what stands and what is to stand must be the operator's. */
-async function mayReplace(
-  parts: api.ApiParts,
+async function checkReplaceAllowed(
+  parts: api.ApiDependencies,
   context: api.ApiContext,
   object: contracts.ConfigObject,
 ): Promise<neverthrow.Result<void, ApiError>> {
@@ -120,46 +122,46 @@
     operator.mayChange(object);
   return isAllowed
     ? neverthrow.ok(undefined)
-    : neverthrow.err(notYours(object));
+    : neverthrow.err(forbidden(object));
 }
 
 async function deleteObject(
-  parts: api.ApiParts,
+  parts: api.ApiDependencies,
   context: api.ApiContext,
 ): Promise<Response> {
-  const name = nameOf(context);
-  if (name.isErr()) return answerError(context, name.error);
-  const removed = await remove(parts, context, name.value);
-  api.noteChange(parts, context, {
+  const name = draftNameOf(context);
+  if (name.isErr()) return errorResponse(context, name.error);
+  const removed = await removeDraft(parts, context, name.value);
+  api.auditChange(parts, context, {
     action: "delete",
-    object: pathOf(name.value),
+    object: objectPath(name.value),
     ...removed.match(
       () => ({ result: "done" as const, detail: "" }),
-      api.resultOfError,
+      api.auditResultOfError,
     ),
   });
   return removed.match(
     () => context.body(null, 204),
-    (error) => answerError(context, error),
+    (error) => errorResponse(context, error),
   );
 }
 
-async function remove(
-  parts: api.ApiParts,
+async function removeDraft(
+  parts: api.ApiDependencies,
   context: api.ApiContext,
   name: DraftName,
 ): Promise<neverthrow.Result<void, ApiError>> {
-  const version = versionOf(context);
-  if (version === undefined) return neverthrow.err(versionMissing());
+  const version = ifMatchVersion(context);
+  if (version === undefined) return neverthrow.err(missingVersionError());
   const before = await parts.drafts.get(name);
   if (before.isErr()) return neverthrow.err(before.error);
   if (!context.get("operator").mayChange(before.value.object)) {
-    return neverthrow.err(notYours(name));
+    return neverthrow.err(forbidden(name));
   }
   return await parts.drafts.remove(name, version);
 }
 
-function nameOf(
+function draftNameOf(
   context: api.ApiContext,
 ): neverthrow.Result<DraftName, ApiError> {
   const kind = kindSchema.safeParse(context.req.param("kind"));
@@ -171,10 +173,10 @@
   return neverthrow.ok({ kind: kind.data, name });
 }
 
-async function readObject(
+async function parseObject(
   context: api.ApiContext,
 ): Promise<neverthrow.Result<contracts.ConfigObject, ApiError>> {
-  const name = nameOf(context);
+  const name = draftNameOf(context);
   if (name.isErr()) return neverthrow.err(name.error);
   const raw = parseJson(await context.req.text());
   if (typeof raw !== "object" || raw === null) {
@@ -184,7 +186,7 @@
     ...name.value,
     ...raw,
   });
-  if (!parsed.success) return neverthrow.err(shapeError(parsed.error));
+  if (!parsed.success) return neverthrow.err(invalidFieldsError(parsed.error));
   const { kind, name: ownName } = parsed.data;
   if (kind !== name.value.kind || ownName !== name.value.name) {
     const message = `The body is "${kind}/${ownName}": name the same object ` +
@@ -194,13 +196,13 @@
   return neverthrow.ok(parsed.data);
 }
 
-function shapeError(error: z.ZodError): ApiError {
+function invalidFieldsError(error: z.ZodError): ApiError {
   const problems = error.issues
     .map((issue) => `${issue.path.join(".") || "object"}: ${issue.message}`);
   return badRequest(`Mend these fields: ${problems.join("; ")}`);
 }
 
-function answerDraft(
+function draftResponse(
   context: api.ApiContext,
   draft: Draft,
   status: 200 | 201 = 200,
@@ -209,23 +211,24 @@
   return context.json({ ...draft }, status);
 }
 
-function versionOf(context: api.ApiContext): string | undefined {
+function ifMatchVersion(context: api.ApiContext): string | undefined {
   return /^"(.+)"$/.exec(context.req.header("if-match") ?? "")?.[1];
 }
 
-function versionMissing(): ApiError {
+function missingVersionError(): ApiError {
   const message = 'Send If-Match with the ETag you have seen, or "*" in ' +
     "If-None-Match to create";
   return { kind: "precondition-required", message };
 }
 
-function notYours(name: DraftName): ApiError {
-  const message = `Your token has no rights for "${pathOf(name)}": ask an ` +
+function forbidden(name: DraftName): ApiError {
+  const message =
+    `Your token has no rights for "${objectPath(name)}": ask an ` +
     "operator of that partner";
   return { kind: "forbidden", message };
 }
 
-function pathOf(name: DraftName): string {
+function objectPath(name: DraftName): string {
   return `${name.kind}/${name.name}`;
 }
 
--- a/packages/entry/src/administration/access.ts
+++ b/packages/entry/src/administration/operator_authenticator.ts
@@ -18,17 +18,17 @@
     this.#rights = new Set(token.rights);
   }
 
-  has(right: AdministrationRight): boolean {
+  hasRight(right: AdministrationRight): boolean {
     return this.#rights.has(right);
   }
 
   /** Whether the operator acts for all partners. */
-  get actsForAll(): boolean {
+  get canAccessAllPartners(): boolean {
     return this.#partners === "*";
   }
 
   /** Whether the operator acts for this partner. */
-  actsFor(partner: contracts.PartnerId): boolean {
+  canAccessPartner(partner: contracts.PartnerId): boolean {
     return this.#partners === "*" || this.#partners.includes(partner);
   }
 
@@ -38,30 +38,32 @@
    * only an operator for all partners may change it.
    */
   mayChange(object: contracts.ConfigObject): boolean {
-    if (this.actsForAll) return true;
+    if (this.canAccessAllPartners) return true;
     switch (object.kind) {
       case "place":
         return false;
       case "partner":
-        return this.actsFor(object.name);
+        return this.canAccessPartner(object.name);
       case "service":
-        return this.actsFor(object.partner);
+        return this.canAccessPartner(object.partner);
       case "cost-share":
-        return object.shares.some((share) => this.actsFor(share.partner));
+        return object.shares.some((share) =>
+          this.canAccessPartner(share.partner)
+        );
     }
   }
 }
 
-interface KnownToken {
+interface HashedToken {
   readonly digest: Buffer;
   readonly operator: Operator;
 }
 
-const BEARER = "Bearer ";
+const BEARER_PREFIX = "Bearer ";
 
 /** Tells operators by their bearer tokens. */
-export class Access {
-  readonly #tokens: readonly KnownToken[];
+export class OperatorAuthenticator {
+  readonly #tokens: readonly HashedToken[];
 
   constructor(tokens: readonly AdministrationToken[]) {
     this.#tokens = tokens.map((token) => ({
@@ -75,8 +77,10 @@
    * compared in constant time and none ends the search, so that the time of a
    * refusal tells neither how near a guess came nor how many tokens there are.
    */
-  operatorOf(header: string | undefined): Operator | undefined {
-    const token = header?.startsWith(BEARER) ? header.slice(BEARER.length) : "";
+  authenticate(header: string | undefined): Operator | undefined {
+    const token = header?.startsWith(BEARER_PREFIX)
+      ? header.slice(BEARER_PREFIX.length)
+      : "";
     const digest = crypto.createHash("sha256").update(token).digest();
     let found: Operator | undefined;
     for (const known of this.#tokens) {
--- a/packages/entry/src/administration/publish_routes.ts
+++ b/packages/entry/src/administration/publish_routes.ts
@@ -1,13 +1,13 @@
 /** Checking, comparing and publishing the whole set. */
 import type * as decisions from "@guavatide/decisions";
 import * as hono from "hono";
-import type { Operator } from "./access.ts";
+import type { Operator } from "./operator_authenticator.ts";
 import * as api from "./api_context.ts";
-import { answerError } from "./api_error.ts";
+import { errorResponse } from "./api_error.ts";
 
 /** Routes `/v1/check`, `/v1/diff`, `/v1/publish` and `/v1/history`. */
 export function createPublishRoutes(
-  parts: api.ApiParts,
+  parts: api.ApiDependencies,
 ): hono.Hono<api.ApiEnv> {
   const app = new hono.Hono<api.ApiEnv>();
   app.get("/check", (context) => check(parts, context));
@@ -17,74 +17,74 @@
     const history = await parts.publisher.history();
     return history.match(
       (entries) => context.json({ history: [...entries].reverse() }),
-      (error) => answerError(context, error),
+      (error) => errorResponse(context, error),
     );
   });
   return app;
 }
 
 async function check(
-  parts: api.ApiParts,
+  parts: api.ApiDependencies,
   context: api.ApiContext,
 ): Promise<Response> {
   const plan = await parts.publisher.plan();
   return plan.match(
     ({ findings, tag, currentRevision }) =>
       context.json({ findings, tag, currentRevision }),
-    (error) => answerError(context, error),
+    (error) => errorResponse(context, error),
   );
 }
 
 async function diff(
-  parts: api.ApiParts,
+  parts: api.ApiDependencies,
   context: api.ApiContext,
 ): Promise<Response> {
   const plan = await parts.publisher.plan();
   return plan.match(
     ({ changes, findings, tag, currentRevision }) =>
       context.json({ changes, findings, tag, currentRevision }),
-    (error) => answerError(context, error),
+    (error) => errorResponse(context, error),
   );
 }
 
 async function publish(
-  parts: api.ApiParts,
+  parts: api.ApiDependencies,
   context: api.ApiContext,
 ): Promise<Response> {
   const tag = /^"(.+)"$/.exec(context.req.header("if-match") ?? "")?.[1];
   if (tag === undefined) {
     const message = "Send If-Match with the tag of the diff you have checked";
-    return answerError(context, { kind: "precondition-required", message });
+    return errorResponse(context, { kind: "precondition-required", message });
   }
   const operator = context.get("operator");
   const published = await parts.publisher.publish({
     operator: operator.name,
     tag,
-    knownRevision: highestRevision(parts),
-    forbidden: (changes) => forbiddenAmong(changes, operator),
+    knownRevision: highestKnownRevision(parts),
+    forbidden: (changes) => forbiddenObjects(changes, operator),
   });
   if (published.isOk()) parts.config.notePublished(published.value);
-  api.noteChange(parts, context, {
+  api.auditChange(parts, context, {
     action: "publish",
     object: "",
     ...published.match(
       (config) => ({ result: "done" as const, detail: `${config.revision}` }),
-      api.resultOfError,
+      api.auditResultOfError,
     ),
   });
   return published.match(
     ({ revision, publishedAt, publishedBy }) =>
       context.json({ revision, publishedAt, publishedBy }),
-    (error) => answerError(context, error),
+    (error) => errorResponse(context, error),
   );
 }
 
 /** Highest revision in force at any entry VM heard of. */
-export function highestRevision(parts: api.ApiParts): number {
+export function highestKnownRevision(parts: api.ApiDependencies): number {
   return Math.max(...parts.config.revisions().map((each) => each.revision));
 }
 
-function forbiddenAmong(
+function forbiddenObjects(
   changes: readonly decisions.ObjectChange[],
   operator: Operator,
 ): string[] {
--- a/packages/entry/src/administration/state_routes.ts
+++ b/packages/entry/src/administration/state_routes.ts
@@ -2,24 +2,29 @@
 import * as contracts from "@guavatide/contracts";
 import * as hono from "hono";
 import * as api from "./api_context.ts";
-import { answerError, badRequest } from "./api_error.ts";
+import { badRequest, errorResponse } from "./api_error.ts";
 
-const DEFAULT_LINES = 100;
-const MOST_LINES = 2000;
+const DEFAULT_LINE_LIMIT = 100;
+const MAX_LINE_LIMIT = 2000;
 
 /** Routes `/v1/config`, `/v1/vms`, `/v1/servers`, owners, moves, audit. */
-export function createStateRoutes(parts: api.ApiParts): hono.Hono<api.ApiEnv> {
+export function createStateRoutes(
+  parts: api.ApiDependencies,
+): hono.Hono<api.ApiEnv> {
   const app = new hono.Hono<api.ApiEnv>();
   app.get("/config", (context) => context.json(parts.config.config ?? null));
-  app.get("/vms", (context) => vms(parts, context));
-  app.get("/servers", (context) => servers(parts, context));
-  app.get("/owners/:service", (context) => owners(parts, context));
-  app.get("/moves", (context) => lines(context, parts.moves));
-  app.get("/audit", (context) => lines(context, parts.audit));
+  app.get("/vms", (context) => listVms(parts, context));
+  app.get("/servers", (context) => listServers(parts, context));
+  app.get("/owners/:service", (context) => getOwners(parts, context));
+  app.get("/moves", (context) => readLines(context, parts.moves));
+  app.get("/audit", (context) => readLines(context, parts.audit));
   return app;
 }
 
-function vms(parts: api.ApiParts, context: api.ApiContext): Response {
+function listVms(
+  parts: api.ApiDependencies,
+  context: api.ApiContext,
+): Response {
   const { config } = parts;
   const confirmedAgeMs = config.confirmedAgeMs === undefined
     ? null
@@ -32,7 +37,10 @@
   });
 }
 
-function servers(parts: api.ApiParts, context: api.ApiContext): Response {
+function listServers(
+  parts: api.ApiDependencies,
+  context: api.ApiContext,
+): Response {
   const drains = new Map(
     parts.config.drains().map((drain) => [drain.server, drain]),
   );
@@ -42,15 +50,18 @@
   return context.json({ servers: found });
 }
 
-function owners(parts: api.ApiParts, context: api.ApiContext): Response {
+function getOwners(
+  parts: api.ApiDependencies,
+  context: api.ApiContext,
+): Response {
   const service = context.req.param("service") as contracts.ServiceId;
   const key = context.req.query("key");
   if (parts.config.service(service) === undefined) {
     const message = `Service "${service}" is not in force: publish it first`;
-    return answerError(context, { kind: "not-found", message });
+    return errorResponse(context, { kind: "not-found", message });
   }
   if (key !== undefined) {
-    const keyHash = parts.ownership.hashOf(key);
+    const keyHash = parts.ownership.hashKey(key);
     const owner = parts.owners.lookup(service, keyHash);
     return context.json({ service, key, keyHash, owner });
   }
@@ -58,7 +69,7 @@
   if (assignment === undefined) {
     const message = `No assignment of "${service}" is known here: the ` +
       "service is not keyed, or its servers have not been seen yet";
-    return answerError(context, { kind: "not-found", message });
+    return errorResponse(context, { kind: "not-found", message });
   }
   const { revision, slices } = assignment;
   return context.json({
@@ -75,19 +86,19 @@
 interface ReadableJournal {
   read(
     limit: number,
-  ): ReturnType<api.ApiParts["audit" | "moves"]["read"]>;
+  ): ReturnType<api.ApiDependencies["audit" | "moves"]["read"]>;
 }
 
-async function lines(
+async function readLines(
   context: api.ApiContext,
   journal: ReadableJournal,
 ): Promise<Response> {
-  const limit = Number(context.req.query("limit") ?? DEFAULT_LINES);
-  if (!Number.isInteger(limit) || limit < 1 || limit > MOST_LINES) {
-    const message = `limit: use a whole number from 1 to ${MOST_LINES}`;
-    return answerError(context, badRequest(message));
+  const limit = Number(context.req.query("limit") ?? DEFAULT_LINE_LIMIT);
+  if (!Number.isInteger(limit) || limit < 1 || limit > MAX_LINE_LIMIT) {
+    const message = `limit: use a whole number from 1 to ${MAX_LINE_LIMIT}`;
+    return errorResponse(context, badRequest(message));
   }
   const read = await journal.read(limit);
-  if (read.isErr()) return answerError(context, read.error);
+  if (read.isErr()) return errorResponse(context, read.error);
   return context.json({ lines: read.value });
 }
--- a/packages/entry/src/administration/store_journal.ts
+++ b/packages/entry/src/administration/store_journal.ts
@@ -9,7 +9,7 @@
 import * as z from "zod";
 import * as storeWrite from "../configuration/store_write.ts";
 import type { LifeCycle } from "../utils/life_cycle.ts";
-import type { PartLog } from "../utils/log.ts";
+import type { Logger } from "../utils/log.ts";
 
 /** What every line has. */
 export interface JournalLine {
@@ -24,21 +24,21 @@
   readonly vm: contracts.VmId;
   readonly store: contracts.PlatformStore;
   readonly clock: contracts.Clock;
-  readonly log: PartLog;
+  readonly log: Logger;
   /** Start of the names of all slots, such as `audit/`. */
   readonly prefix: string;
   readonly schema: z.ZodType<Line>;
   /** Lines kept in each slot. */
-  readonly lines: number;
+  readonly linesPerSlot: number;
   /** Longest time a line waits before it is written. */
-  readonly flushMs: number;
+  readonly flushIntervalMs: number;
   /** Time for one call to the store. */
   readonly callTimeoutMs: number;
 }
 
-const SLOTS = 16;
+const SLOT_COUNT = 16;
 const STOP_TIMEOUT_MS = 1500;
-const WRITE_ATTEMPTS = 3;
+const MAX_WRITE_ATTEMPTS = 3;
 
 /** Collects lines and writes them to the store in batches. */
 export class StoreJournal<Line extends JournalLine> {
@@ -50,7 +50,7 @@
   constructor(options: StoreJournalOptions<Line>) {
     this.#options = options;
     const digest = crypto.createHash("sha256").update(options.vm).digest();
-    this.#slot = `${options.prefix}${digest[0]! % SLOTS}`;
+    this.#slot = `${options.prefix}${digest[0]! % SLOT_COUNT}`;
   }
 
   /** Writes waiting lines until the process stops, and then the rest. */
@@ -60,13 +60,13 @@
       timeoutMs: STOP_TIMEOUT_MS,
       run: () => this.flush(),
     });
-    lifeCycle.every(this.#options.flushMs, () => void this.flush());
+    lifeCycle.every(this.#options.flushIntervalMs, () => void this.flush());
   }
 
   /** Adds a line. While the store is away the oldest waiting lines give way. */
-  note(line: Line): void {
+  append(line: Line): void {
     this.#waiting.push(line);
-    this.#waiting = this.#waiting.slice(-this.#options.lines);
+    this.#waiting = this.#waiting.slice(-this.#options.linesPerSlot);
   }
 
   /** Writes what waits; what could not be written waits on. */
@@ -77,7 +77,9 @@
     this.#waiting = [];
     const isWritten = await this.#write(batch);
     if (!isWritten) {
-      this.#waiting = [...batch, ...this.#waiting].slice(-this.#options.lines);
+      this.#waiting = [...batch, ...this.#waiting].slice(
+        -this.#options.linesPerSlot,
+      );
     }
     this.#isFlushing = false;
   }
@@ -98,18 +100,21 @@
   }
 
   async #write(batch: readonly Line[]): Promise<boolean> {
-    for (let attempt = 1; attempt <= WRITE_ATTEMPTS; attempt++) {
+    for (let attempt = 1; attempt <= MAX_WRITE_ATTEMPTS; attempt++) {
       const before = await this.#readSlot();
       if (before === undefined) return false;
-      const lines = [...before.lines, ...batch].slice(-this.#options.lines);
+      const lines = [...before.lines, ...batch].slice(
+        -this.#options.linesPerSlot,
+      );
       const last = batch.at(-1)!.id;
-      const written = await storeWrite.writeResolved(
+      const written = await storeWrite.writeWithReadBack(
         this.#options.store,
         this.#slot,
         {
           value: JSON.stringify(lines),
           condition: before.condition,
-          isOurs: (value) => this.#parse(value).some(({ id }) => id === last),
+          isOwnWrite: (value) =>
+            this.#parse(value).some(({ id }) => id === last),
           clock: this.#options.clock,
           timeoutMs: 2 * this.#options.callTimeoutMs,
           callTimeoutMs: this.#options.callTimeoutMs,
--- a/packages/entry/src/commands/check_command.ts
+++ b/packages/entry/src/commands/check_command.ts
@@ -4,7 +4,7 @@
 import * as settings from "../settings/mod.ts";
 
 /** Exit code when settings are refused. */
-const REFUSED_EXIT_CODE = 2;
+const INVALID_SETTINGS_EXIT_CODE = 2;
 
 /** Checks a settings file without starting anything. */
 export class CheckCommand extends clipanion.Command {
@@ -24,12 +24,12 @@
       this.context.stderr.write(
         `Cannot read "${this.file}" (${String(error)}): check the path\n`,
       );
-      return Promise.resolve(REFUSED_EXIT_CODE);
+      return Promise.resolve(INVALID_SETTINGS_EXIT_CODE);
     }
     const loaded = settings.loadSettings(text);
     if (loaded.isErr()) {
       this.context.stderr.write(`${loaded.error.message}\n`);
-      return Promise.resolve(REFUSED_EXIT_CODE);
+      return Promise.resolve(INVALID_SETTINGS_EXIT_CODE);
     }
     this.context.stdout.write(`${this.file}: accepted\n`);
     return Promise.resolve(0);
--- a/packages/entry/src/commands/run_command.ts
+++ b/packages/entry/src/commands/run_command.ts
@@ -8,9 +8,9 @@
 import * as wire from "../wire.ts";
 
 /** Exit code when settings are refused. */
-const REFUSED_EXIT_CODE = 2;
+const INVALID_SETTINGS_EXIT_CODE = 2;
 /** Exit code when the process could not start. */
-const START_EXIT_CODE = 1;
+const START_FAILED_EXIT_CODE = 1;
 
 /** Runs the entry process. */
 export class RunCommand extends clipanion.Command {
@@ -30,20 +30,20 @@
     } catch (error) {
       return this.#fail(
         `Cannot read "${this.file}" (${String(error)}): check the path`,
-        REFUSED_EXIT_CODE,
+        INVALID_SETTINGS_EXIT_CODE,
       );
     }
     const loaded = settings.loadSettings(text);
     if (loaded.isErr()) {
-      return this.#fail(loaded.error.message, REFUSED_EXIT_CODE);
+      return this.#fail(loaded.error.message, INVALID_SETTINGS_EXIT_CODE);
     }
     const started = await wire.startEntry(loaded.value);
     if (started.isErr()) {
-      return this.#fail(started.error.message, START_EXIT_CODE);
+      return this.#fail(started.error.message, START_FAILED_EXIT_CODE);
     }
     const entry = started.value;
     this.context.stdout.write(JSON.stringify({ ready: entry.ports }) + "\n");
-    await untilSignal();
+    await waitForStopSignal();
     await entry.stop();
     return 0;
   }
@@ -54,7 +54,7 @@
   }
 }
 
-function untilSignal(): Promise<void> {
+function waitForStopSignal(): Promise<void> {
   return new Promise((resolve) => {
     process.once("SIGTERM", () => resolve());
     process.once("SIGINT", () => resolve());
--- a/packages/entry/src/configuration/config_reader.ts
+++ b/packages/entry/src/configuration/config_reader.ts
@@ -4,7 +4,7 @@
 import * as currentConfig from "./current_config.ts";
 
 /** What a read found. */
-export interface ReadConfig {
+export interface StoredConfig {
   readonly config: contracts.PublishedConfig;
   readonly current: currentConfig.CurrentConfig;
   /** Store version of the object that names the revision. */
@@ -19,7 +19,7 @@
 }
 
 type ReadResult<Value> = Promise<
-  neverthrow.Result<Value, currentConfig.ReadConfigError>
+  neverthrow.Result<Value, currentConfig.ConfigReadError>
 >;
 
 /** Reads what is in force by the store's word. */
@@ -34,11 +34,11 @@
    * Reads the configuration when it is newer than `aboveRevision`, otherwise
    * answers undefined without fetching chunks.
    */
-  async readNewer(aboveRevision: number): ReadResult<ReadConfig | undefined> {
+  async readNewer(aboveRevision: number): ReadResult<StoredConfig | undefined> {
     const stored = await this.#options.store.get(currentConfig.CURRENT_NAME, {
       timeoutMs: this.#options.callTimeoutMs,
     });
-    if (stored.isErr()) return neverthrow.err(toReadError(stored.error));
+    if (stored.isErr()) return neverthrow.err(toConfigReadError(stored.error));
     return await this.decodeNewer(stored.value, aboveRevision);
   }
 
@@ -46,14 +46,14 @@
   async decodeNewer(
     stored: contracts.StoredObject,
     aboveRevision: number,
-  ): ReadResult<ReadConfig | undefined> {
-    const parsed = currentConfig.parseCurrent(stored.value);
+  ): ReadResult<StoredConfig | undefined> {
+    const parsed = currentConfig.parseCurrentConfig(stored.value);
     if (parsed.isErr()) return neverthrow.err(parsed.error);
     const current = parsed.value;
     const { revision } = currentConfig.latestEntry(current);
     if (revision <= aboveRevision) return neverthrow.ok(undefined);
     const text = await this.#textOf(current);
-    return text.andThen((whole) => currentConfig.decodeSet(current, whole))
+    return text.andThen((whole) => currentConfig.decodeConfig(current, whole))
       .map((config) => ({ config, current, version: stored.version }));
   }
 
@@ -73,9 +73,9 @@
   }
 }
 
-function toReadError(
+function toConfigReadError(
   error: contracts.StoreError,
-): currentConfig.ReadConfigError {
+): currentConfig.ConfigReadError {
   if (error.kind === "not-found") {
     const message = "Nothing has been published yet: publish a set first";
     return { kind: "not-found", message };
@@ -87,7 +87,7 @@
 /** A chunk that is gone belongs to a set that was replaced meanwhile. */
 function chunkError(
   error: contracts.StoreError,
-): currentConfig.ReadConfigError {
+): currentConfig.ConfigReadError {
   const message = `A part of the configuration was not read ` +
     `(${error.message}): it is read again shortly`;
   return { kind: "unavailable", message };
