--- a/packages/entry/src/configuration/config_task.ts
+++ b/packages/entry/src/configuration/config_task.ts
@@ -9,13 +9,10 @@
 import * as decisions from "@guavatide/decisions";
 import type { ConfigView } from "../contracts/views.ts";
 import type { LifeCycle } from "../utils/life_cycle.ts";
-import type { PartLog } from "../utils/log.ts";
+import type { Logger } from "../utils/log.ts";
 import { ConfigReader } from "./config_reader.ts";
-import type { ReadConfigError } from "./current_config.ts";
-import type {
-  PeerConfigOwner,
-  PeerConfigSource,
-} from "./peer_config_source.ts";
+import type { ConfigReadError } from "./current_config.ts";
+import type { ConfigProvider, PeerConfigSource } from "./peer_config_source.ts";
 import * as storeWatch from "./store_watch.ts";
 
 /** Options of {@link ConfigTask}. */
@@ -23,16 +20,16 @@
   readonly vm: contracts.VmId;
   readonly store: contracts.PlatformStore;
   readonly peers: PeerConfigSource;
-  readonly choice: decisions.WatcherSelector;
+  readonly watcherSelector: decisions.WatcherSelector;
   readonly clock: contracts.Clock;
   readonly random: contracts.RandomSource;
-  readonly log: PartLog;
+  readonly log: Logger;
   /** Longest wait of one long poll of the store's watch. */
   readonly watchWaitMs: number;
   /** Mean time between two draws whether to compare with the store. */
-  readonly compareMs: number;
+  readonly compareIntervalMs: number;
   /** How long a fresh start listens before it takes a peer's word. */
-  readonly settleMs: number;
+  readonly peerDiscoveryMs: number;
   /** Time for one call to the store. */
   readonly storeTimeoutMs: number;
   /** Time for one call to a peer. */
@@ -51,7 +48,7 @@
 export type ConfigListener = (config: contracts.PublishedConfig) => void;
 
 /** Owns the configuration in force. */
-export class ConfigTask implements ConfigView, PeerConfigOwner {
+export class ConfigTask implements ConfigView, ConfigProvider {
   readonly #options: ConfigTaskOptions;
   readonly #state: decisions.ConfigState;
   readonly #deltas = new decisions.ConfigHistory();
@@ -71,7 +68,7 @@
   constructor(options: ConfigTaskOptions) {
     this.#options = options;
     this.#state = new decisions.ConfigState({
-      peerDiscoveryMs: options.settleMs,
+      peerDiscoveryMs: options.peerDiscoveryMs,
       startedMs: options.clock.nowMs(),
     });
     this.#reader = new ConfigReader({
@@ -82,8 +79,8 @@
       ...options,
       waitMs: options.watchWaitMs,
       callTimeoutMs: options.storeTimeoutMs,
-      idleMs: options.settleMs,
-      isChosen: () => this.isWatcher,
+      roleCheckIntervalMs: options.peerDiscoveryMs,
+      isWatcher: () => this.isWatcher,
       onObject: (stored) => this.#takeStored(stored),
     });
     options.peers.serve(this);
@@ -101,7 +98,9 @@
   /** Whether this VM is among those that watch the store. */
   get isWatcher(): boolean {
     const live = this.#options.peers.liveVms();
-    return this.#options.choice.select(live).includes(this.#options.vm);
+    return this.#options.watcherSelector.select(live).includes(
+      this.#options.vm,
+    );
   }
 
   /** Time since the store last confirmed the revision in force, if ever. */
@@ -163,13 +162,13 @@
     this.#options.peers.announce();
   }
 
-  noteHeard(vm: contracts.VmId, revision: number): void {
+  notePeerRevision(vm: contracts.VmId, revision: number): void {
     this.#heard.set(vm, { revision, atMs: this.#options.clock.nowMs() });
     this.#state.notePeerRevision(vm, revision);
     void this.#fetchFromPeer();
   }
 
-  answer(haveRevision: number): decisions.ConfigDelta | undefined {
+  deltaSince(haveRevision: number): decisions.ConfigDelta | undefined {
     return this.#deltas.since(haveRevision);
   }
 
@@ -194,10 +193,10 @@
   }
 
   async #compareLoop(signal: AbortSignal): Promise<void> {
-    const { compareMs, random } = this.#options;
+    const { compareIntervalMs: compareMs, random } = this.#options;
     let waitMs = compareMs * random.next();
     while (!signal.aborted) {
-      await storeWatch.pause(waitMs, signal);
+      await storeWatch.sleep(waitMs, signal);
       if (signal.aborted) return;
       const members = this.#options.peers.liveVms().length;
       if (decisions.shouldCompare(members, random)) await this.#compare();
@@ -282,7 +281,7 @@
   }
 
   /** The next comparison tries again. */
-  #logUnread(error: ReadConfigError): void {
+  #logUnread(error: ConfigReadError): void {
     const fields = { kind: error.kind, reason: error.message };
     if (error.kind === "unavailable") {
       this.#options.log.debug("published configuration not read", fields);
--- a/packages/entry/src/configuration/config_task_test.ts
+++ b/packages/entry/src/configuration/config_task_test.ts
@@ -10,7 +10,7 @@
 import * as configuration from "./mod.ts";
 
 const DEADLINE_MS = 8000;
-const QUIET = {
+const NOOP_LOG = {
   debug: () => undefined,
   info: () => undefined,
   warn: () => undefined,
@@ -20,14 +20,16 @@
 /** Carries revisions and sets between the tasks of one test. */
 class FakeNetwork {
   readonly tasks = new Map<contracts.VmId, configuration.ConfigTask>();
-  readonly cut = new Set<contracts.VmId>();
+  readonly partitioned = new Set<contracts.VmId>();
 
   /** One heartbeat of every VM to every other. */
-  beat(): void {
+  exchangeHeartbeats(): void {
     for (const [from, task] of this.tasks) {
       for (const [to, other] of this.tasks) {
-        if (from === to || this.cut.has(from) || this.cut.has(to)) continue;
-        other.noteHeard(from, task.revision);
+        if (
+          from === to || this.partitioned.has(from) || this.partitioned.has(to)
+        ) continue;
+        other.notePeerRevision(from, task.revision);
       }
     }
   }
@@ -35,25 +37,30 @@
   sourceFor(vm: contracts.VmId): configuration.PeerConfigSource {
     return {
       liveVms: () => {
-        if (this.cut.has(vm)) return [vm];
+        if (this.partitioned.has(vm)) return [vm];
         const others = [...this.tasks.keys()];
-        return others.filter((each) => each === vm || !this.cut.has(each));
+        return others.filter((each) =>
+          each === vm || !this.partitioned.has(each)
+        );
       },
       serve: () => undefined,
       fetch: (to, { haveRevision }) => {
         const task = this.tasks.get(to);
-        if (task === undefined || this.cut.has(vm) || this.cut.has(to)) {
+        if (
+          task === undefined || this.partitioned.has(vm) ||
+          this.partitioned.has(to)
+        ) {
           const message = "The test cut this peer off";
           return neverthrow.errAsync({ kind: "unreachable", message });
         }
-        return neverthrow.okAsync(task.answer(haveRevision) ?? null);
+        return neverthrow.okAsync(task.deltaSince(haveRevision) ?? null);
       },
-      announce: () => this.beat(),
+      announce: () => this.exchangeHeartbeats(),
     };
   }
 }
 
-class Fleet {
+class Cluster {
   readonly store = new FakeStore();
   readonly network = new FakeNetwork();
   readonly #choice: decisions.WatcherSelector;
@@ -69,9 +76,9 @@
     for (const vm of this.vms) this.add(vm);
   }
 
-  static async start(t: TestContext, size: number): Promise<Fleet> {
-    const fleet = new Fleet(await decisions.createWatcherSelector(), size);
-    const beats = setInterval(() => fleet.network.beat(), 10);
+  static async start(t: TestContext, size: number): Promise<Cluster> {
+    const fleet = new Cluster(await decisions.createWatcherSelector(), size);
+    const beats = setInterval(() => fleet.network.exchangeHeartbeats(), 10);
     t.after(() => clearInterval(beats));
     t.after(() => Promise.all(fleet.#lifeCycles.map((each) => each.stop())));
     return fleet;
@@ -83,13 +90,13 @@
       vm,
       store: this.store,
       peers: this.network.sourceFor(vm),
-      choice: this.#choice,
+      watcherSelector: this.#choice,
       clock: new MonotonicClock(),
       random: { next: Math.random },
-      log: QUIET,
+      log: NOOP_LOG,
       watchWaitMs: 200,
-      compareMs: 100,
-      settleMs: 50,
+      compareIntervalMs: 100,
+      peerDiscoveryMs: 50,
       storeTimeoutMs: 100,
       peerTimeoutMs: 100,
     });
@@ -145,7 +152,7 @@
 }
 
 test("should bring a revision to every VM through two watches", async (t) => {
-  const fleet = await Fleet.start(t, 7);
+  const fleet = await Cluster.start(t, 7);
   await fleet.write(1);
   await fleet.waitFor(1);
   await fleet.write(2);
@@ -159,10 +166,10 @@
 // ends: no event comes and no error either. The agreed split would stay out of
 // force for good.
 test("should notice a watch that has gone silent", async (t) => {
-  const fleet = await Fleet.start(t, 3);
+  const fleet = await Cluster.start(t, 3);
   await fleet.write(1);
   await fleet.waitFor(1);
-  fleet.store.isWatchSilent = true;
+  fleet.store.isWatchStalled = true;
   await fleet.write(2);
   await fleet.waitFor(2);
 });
@@ -170,7 +177,7 @@
 // The store goes away right after a publish was accepted, and an entry VM
 // restarts empty. It must serve the accepted split, not an older one or none.
 test("should get the revision from peers while the store is down", async (t) => {
-  const fleet = await Fleet.start(t, 3);
+  const fleet = await Cluster.start(t, 3);
   await fleet.write(4);
   await fleet.waitFor(4);
   fleet.store.fault = () => "down";
@@ -183,10 +190,10 @@
 // revision, and the store was restored from an old copy. Users would see the
 // old cost split return.
 test("should revert neither for a peer nor for the store", async (t) => {
-  const fleet = await Fleet.start(t, 4);
+  const fleet = await Cluster.start(t, 4);
   await fleet.write(1);
   await fleet.waitFor(1);
-  fleet.network.cut.add(fleet.vms[3]!);
+  fleet.network.partitioned.add(fleet.vms[3]!);
   fleet.store.fault = () => "down";
   const seen: number[] = [];
   fleet.task(0).onApplied((config) => seen.push(config.revision));
@@ -195,7 +202,7 @@
   fleet.task(0).notePublished({ ...by, revision: 3, objects });
   await waitUntil(() => fleet.task(1).revision === 3);
   expect(fleet.task(3).revision).toEqual(1);
-  fleet.network.cut.clear();
+  fleet.network.partitioned.clear();
   fleet.store.fault = () => "none";
   await fleet.write(2);
   await fleet.waitFor(3);
@@ -208,15 +215,15 @@
 // A whole publish fails on its way to a peer that has moved on meanwhile; a
 // delta for another revision must not be applied on top.
 test("should fetch the whole set when a delta does not fit", async (t) => {
-  const fleet = await Fleet.start(t, 2);
+  const fleet = await Cluster.start(t, 2);
   await fleet.write(1);
   await fleet.waitFor(1);
   fleet.store.fault = () => "down";
   const objects = [...fleet.task(0).config!.objects];
   const by = { publishedBy: "ana", publishedAt: "2026-01-01T00:00:00Z" };
-  const answer = fleet.task(0).answer.bind(fleet.task(0));
+  const answer = fleet.task(0).deltaSince.bind(fleet.task(0));
   let isFirst = true;
-  fleet.task(0).answer = (have) => {
+  fleet.task(0).deltaSince = (have) => {
     const delta = answer(isFirst ? have : 0);
     if (!isFirst || delta === undefined) return delta;
     isFirst = false;
--- a/packages/entry/src/configuration/current_config.ts
+++ b/packages/entry/src/configuration/current_config.ts
@@ -14,7 +14,7 @@
 export const CHUNK_PREFIX = "config-chunks/";
 
 /** Publishes remembered, the newest last. */
-export const REMEMBERED_PUBLISHES = 50;
+export const MAX_HISTORY_ENTRIES = 50;
 
 const publishEntrySchema = z.strictObject({
   revision: z.number().int().min(1),
@@ -46,7 +46,7 @@
 export type CurrentConfig = z.infer<typeof currentSchema>;
 
 /** Why the published configuration could not be read. */
-export type ReadConfigError =
+export type ConfigReadError =
   /** Nothing has been published yet. */
   | { readonly kind: "not-found"; readonly message: string }
   | { readonly kind: "unavailable"; readonly message: string }
@@ -59,9 +59,9 @@
 }
 
 /** Reads the text of `config/current`. */
-export function parseCurrent(
+export function parseCurrentConfig(
   value: string,
-): neverthrow.Result<CurrentConfig, ReadConfigError> {
+): neverthrow.Result<CurrentConfig, ConfigReadError> {
   const parsed = currentSchema.safeParse(parseJson(value));
   if (parsed.success) return neverthrow.ok(parsed.data);
   return neverthrow.err(unreadable("is not what this release writes"));
@@ -80,7 +80,7 @@
 /** Splits a set's text into values of at most `limitBytes`. */
 export function splitText(text: string, limitBytes: number): string[] {
   const encoded = Buffer.from(text, "utf8").toString("base64");
-  const size = limitBytes - CHUNK_FRAME_BYTES;
+  const size = limitBytes - CHUNK_OVERHEAD_BYTES;
   const chunks: string[] = [];
   for (let start = 0; start < encoded.length; start += size) {
     const base64 = encoded.slice(start, start + size);
@@ -89,14 +89,14 @@
   return chunks;
 }
 /** Room for the JSON around a chunk. */
-const CHUNK_FRAME_BYTES = 32;
+const CHUNK_OVERHEAD_BYTES = 32;
 
 const chunkSchema = z.strictObject({ base64: z.string() });
 
 /** Joins what {@link splitText} split. */
 export function joinChunks(
   values: readonly string[],
-): neverthrow.Result<string, ReadConfigError> {
+): neverthrow.Result<string, ConfigReadError> {
   let encoded = "";
   for (const value of values) {
     const parsed = chunkSchema.safeParse(parseJson(value));
@@ -107,10 +107,10 @@
 }
 
 /** Checks a set's text against its checksum and reads the objects. */
-export function decodeSet(
+export function decodeConfig(
   current: CurrentConfig,
   text: string,
-): neverthrow.Result<contracts.PublishedConfig, ReadConfigError> {
+): neverthrow.Result<contracts.PublishedConfig, ConfigReadError> {
   if (checksumOf(text) !== current.checksum) {
     return neverthrow.err(unreadable("does not match its checksum"));
   }
@@ -126,7 +126,7 @@
   return neverthrow.err(unreadable("holds objects of another release"));
 }
 
-function unreadable(what: string): ReadConfigError {
+function unreadable(what: string): ConfigReadError {
   const message = `The published configuration ${what}: delete ` +
     `"${CURRENT_NAME}" in the platform's store and publish again; until then ` +
     "entry VMs keep what they have in force";
--- a/packages/entry/src/configuration/drafts.ts
+++ b/packages/entry/src/configuration/draft_store.ts
@@ -13,7 +13,7 @@
 export const DRAFT_PREFIX = "drafts/";
 
 /** Edits remembered in each draft, the newest last. */
-const REMEMBERED_EDITS = 20;
+const MAX_EDITS = 20;
 
 const editSchema = z.strictObject({
   /** Drawn anew for each edit, to recognise one's own lost reply. */
@@ -102,7 +102,7 @@
     const listed = await this.#options.store.list(DRAFT_PREFIX, {
       timeoutMs: this.#options.callTimeoutMs,
     });
-    if (listed.isErr()) return neverthrow.err(readError(listed.error));
+    if (listed.isErr()) return neverthrow.err(toDraftError(listed.error));
     const stored = [...listed.value.objects]
       .sort((a, b) => a.name < b.name ? -1 : 1);
     return neverthrow.Result.combine(stored.map(parseDraft))
@@ -111,10 +111,10 @@
 
   /** One draft. */
   async get(name: DraftName): DraftResult<Draft> {
-    const read = await this.#options.store.get(storeName(name), {
+    const read = await this.#options.store.get(objectName(name), {
       timeoutMs: this.#options.callTimeoutMs,
     });
-    if (read.isErr()) return neverthrow.err(readError(read.error));
+    if (read.isErr()) return neverthrow.err(toDraftError(read.error));
     return parseDraft(read.value);
   }
 
@@ -129,7 +129,7 @@
     });
     return created.mapErr((error) =>
       error.kind === "conflict" && error.current !== undefined
-        ? { kind: "exists", message: existsText(object) }
+        ? { kind: "exists", message: existsMessage(object) }
         : error
     );
   }
@@ -139,10 +139,10 @@
     object: contracts.ConfigObject,
     options: ReplaceOptions,
   ): DraftResult<Draft> {
-    const read = await this.#options.store.get(storeName(object), {
+    const read = await this.#options.store.get(objectName(object), {
       timeoutMs: this.#options.callTimeoutMs,
     });
-    if (read.isErr()) return neverthrow.err(readError(read.error));
+    if (read.isErr()) return neverthrow.err(toDraftError(read.error));
     if (read.value.version !== options.version) {
       return neverthrow.err(conflictOf(object, read.value));
     }
@@ -154,9 +154,9 @@
 
   /** Deletes a draft on condition of its version. */
   async remove(name: DraftName, version: string): DraftResult<void> {
-    const deleted = await storeWrite.deleteResolved(
+    const deleted = await storeWrite.deleteWithReadBack(
       this.#options.store,
-      storeName(name),
+      objectName(name),
       { condition: { kind: "version", version }, ...this.#options },
     );
     return deleted.mapErr((error) => this.#draftError(name, error));
@@ -175,15 +175,15 @@
       operator,
       at: this.#options.now(),
     };
-    const kept = [...edits, edit].slice(-REMEMBERED_EDITS);
-    const written = await storeWrite.writeResolved(
+    const kept = [...edits, edit].slice(-MAX_EDITS);
+    const written = await storeWrite.writeWithReadBack(
       this.#options.store,
-      storeName(object),
+      objectName(object),
       {
         ...this.#options,
         value: JSON.stringify({ object, edits: kept }),
         condition,
-        isOurs: (value) =>
+        isOwnWrite: (value) =>
           editsOf(value).some((each) => each.nonce === edit.nonce),
       },
     );
@@ -199,7 +199,7 @@
   }
 }
 
-function storeName(name: DraftName): string {
+function objectName(name: DraftName): string {
   return `${DRAFT_PREFIX}${name.kind}/${name.name}`;
 }
 
@@ -236,11 +236,11 @@
   return { kind: "conflict", message, current };
 }
 
-function existsText(name: DraftName): string {
+function existsMessage(name: DraftName): string {
   return `${name.kind} "${name.name}" is already there: edit it instead`;
 }
 
-function readError(error: contracts.StoreError): DraftError {
+function toDraftError(error: contracts.StoreError): DraftError {
   if (error.kind === "not-found") {
     const message = "There is no such draft: list the drafts for their names";
     return { kind: "not-found", message };
--- a/packages/entry/src/configuration/fake_store_test.ts
+++ b/packages/entry/src/configuration/fake_store_test.ts
@@ -16,7 +16,7 @@
   /** Runs after a write took effect and before it is answered. */
   afterWrite: (name: string) => void = () => undefined;
   /** Watches that bring nothing, without an error. */
-  isWatchSilent = false;
+  isWatchStalled = false;
   readonly #events: contracts.WatchEvent[] = [];
   #version = 0;
 
@@ -85,12 +85,12 @@
     const until = performance.now() + options.waitMs;
     const start = Number(options.cursor);
     while (performance.now() < until && !options.signal?.aborted) {
-      const isReady = !this.isWatchSilent && this.#events.length > start;
+      const isReady = !this.isWatchStalled && this.#events.length > start;
       if (this.fault(`watch ${prefix}`) !== "none" || isReady) break;
       await timers.setTimeout(2);
     }
     return await this.#answer(`watch ${prefix}`, () => {
-      const all = this.isWatchSilent ? [] : this.#events.slice(start);
+      const all = this.isWatchStalled ? [] : this.#events.slice(start);
       const events = all.filter((event) => event.name.startsWith(prefix));
       const cursor = String(this.#events.length);
       return neverthrow.ok({ cursor, events, reset: false });
--- a/packages/entry/src/configuration/peer_config_source.ts
+++ b/packages/entry/src/configuration/peer_config_source.ts
@@ -8,12 +8,12 @@
 export const CONFIG_METHOD = "config";
 
 /** Schema of the question: which revision the asker has, 0 for none. */
-export const configQuestionSchema = z.strictObject({
+export const configRequestSchema = z.strictObject({
   haveRevision: z.number().int().min(0),
 });
 
 /** Schema of the answer; null when the peer has nothing newer. */
-export const configAnswerSchema = z.strictObject({
+export const configReplySchema = z.strictObject({
   baseRevision: z.number().int().min(0),
   revision: z.number().int().min(1),
   publishedBy: z.string().min(1),
@@ -36,13 +36,13 @@
 }
 
 /** The side of this process that owns the configuration. */
-export interface PeerConfigOwner {
+export interface ConfigProvider {
   /** Revision in force here, for heartbeats. */
   readonly revision: number;
   /** A peer said which revision it has in force. */
-  noteHeard(vm: contracts.VmId, revision: number): void;
+  notePeerRevision(vm: contracts.VmId, revision: number): void;
   /** Answers a peer that asks for what is newer than its revision. */
-  answer(haveRevision: number): decisions.ConfigDelta | undefined;
+  deltaSince(haveRevision: number): decisions.ConfigDelta | undefined;
 }
 
 /** Other entry VMs as sources of configuration. */
@@ -50,7 +50,7 @@
   /** Entry VMs that are not known to be lost or gone, this one included. */
   liveVms(): readonly contracts.VmId[];
   /** Connects the owner to heartbeats and to the peers' door. */
-  serve(owner: PeerConfigOwner): void;
+  serve(owner: ConfigProvider): void;
   fetch(
     vm: contracts.VmId,
     options: PeerConfigFetchOptions,
--- a/packages/entry/src/configuration/peer_task_config_source.ts
+++ b/packages/entry/src/configuration/peer_task_config_source.ts
@@ -2,7 +2,7 @@
 import type * as contracts from "@guavatide/contracts";
 import type * as decisions from "@guavatide/decisions";
 import * as neverthrow from "neverthrow";
-import type { PeerDoor } from "../vms/peer_door.ts";
+import type { PeerServer } from "../vms/peer_server.ts";
 import type { PeerTask } from "../vms/peer_task.ts";
 import * as source from "./peer_config_source.ts";
 
@@ -10,7 +10,7 @@
 export interface PeerTaskConfigSourceOptions {
   readonly vm: contracts.VmId;
   readonly peers: PeerTask;
-  readonly door: PeerDoor;
+  readonly door: PeerServer;
   readonly membership: decisions.Membership;
   readonly clock: contracts.Clock;
 }
@@ -34,21 +34,22 @@
     return [vm, ...others.map((member) => member.vm)];
   }
 
-  serve(owner: source.PeerConfigOwner): void {
-    this.#options.peers.join({
+  serve(owner: source.ConfigProvider): void {
+    this.#options.peers.addParticipant({
       fill: (draft) => {
         draft.configRevision = owner.revision;
       },
       answer: (beat, draft) => {
-        owner.noteHeard(beat.vm, beat.configRevision);
+        owner.notePeerRevision(beat.vm, beat.configRevision);
         draft.configRevision = owner.revision;
       },
-      noteReply: (reply) => owner.noteHeard(reply.vm, reply.configRevision),
+      noteReply: (reply) =>
+        owner.notePeerRevision(reply.vm, reply.configRevision),
     });
     this.#options.door.register(
       source.CONFIG_METHOD,
-      source.configQuestionSchema,
-      ({ haveRevision }) => owner.answer(haveRevision) ?? null,
+      source.configRequestSchema,
+      ({ haveRevision }) => owner.deltaSince(haveRevision) ?? null,
     );
   }
 
@@ -66,12 +67,12 @@
     }
     return link.call(source.CONFIG_METHOD, {
       params: { haveRevision: options.haveRevision },
-      schema: source.configAnswerSchema,
+      schema: source.configReplySchema,
       timeoutMs: options.timeoutMs,
     });
   }
 
   announce(): void {
-    void this.#options.peers.beatNow();
+    void this.#options.peers.sendHeartbeats();
   }
 }
--- a/packages/entry/src/configuration/publisher.ts
+++ b/packages/entry/src/configuration/publisher.ts
@@ -5,9 +5,9 @@
 import type * as contracts from "@guavatide/contracts";
 import * as decisions from "@guavatide/decisions";
 import * as neverthrow from "neverthrow";
-import type { ConfigReader, ReadConfig } from "./config_reader.ts";
+import type { ConfigReader, StoredConfig } from "./config_reader.ts";
 import * as currentConfig from "./current_config.ts";
-import type { DraftStore } from "./drafts.ts";
+import type { DraftStore } from "./draft_store.ts";
 import * as revisionWriter from "./revision_writer.ts";
 
 /** Why a set was not published. */
@@ -103,7 +103,7 @@
     const prepared = await this.#prepare();
     if (prepared.isErr()) return neverthrow.err(prepared.error);
     const { plan, before } = prepared.value;
-    const objection = objectionTo(plan, options);
+    const objection = findRejection(plan, options);
     if (objection !== undefined) return neverthrow.err(objection);
     return await this.#writer.write(before, {
       operator: options.operator,
@@ -134,7 +134,7 @@
       const written = await this.#writer.write(before.value, {
         operator: options.operator,
         knownRevision: options.knownRevision,
-        changes: [drainText(options)],
+        changes: [describeDrain(options)],
         objects: before.value.config.objects,
         drains: this.#drainsWith(drains, options),
       });
@@ -159,21 +159,23 @@
   }
 
   /** The set in force by the store's word; undefined before the first. */
-  async #readCurrent(): PublishResult<ReadConfig | undefined> {
+  async #readCurrent(): PublishResult<StoredConfig | undefined> {
     const read = await this.#options.reader.readNewer(0);
     if (read.isOk()) return neverthrow.ok(read.value);
     if (read.error.kind === "not-found") return neverthrow.ok(undefined);
     return neverthrow.err(read.error);
   }
 
-  async #prepare(): PublishResult<{ plan: PublishPlan; before?: ReadConfig }> {
+  async #prepare(): PublishResult<
+    { plan: PublishPlan; before?: StoredConfig }
+  > {
     // The revision is read before the drafts: a publish that comes between
     // the two then fails the conditional update instead of being overwritten.
     const read = await this.#readCurrent();
     if (read.isErr()) return neverthrow.err(read.error);
     const before = read.value;
     const drafts = await this.#options.drafts.list();
-    if (drafts.isErr()) return neverthrow.err(draftError(drafts.error));
+    if (drafts.isErr()) return neverthrow.err(toPublishError(drafts.error));
     const objects = decisions.sortObjects(
       drafts.value.drafts.map((draft) => draft.object),
     );
@@ -188,12 +190,12 @@
   }
 }
 
-function drainText(options: SetDrainOptions): string {
+function describeDrain(options: SetDrainOptions): string {
   const change = options.isDrained ? "drained" : "returned";
   return `${change} server/${options.server}`;
 }
 
-function objectionTo(
+function findRejection(
   plan: PublishPlan,
   options: PublishOptions,
 ): PublishError | undefined {
@@ -228,7 +230,7 @@
   return { kind: "not-found", message };
 }
 
-function draftError(
+function toPublishError(
   error: { readonly kind: string; readonly message: string },
 ): PublishError {
   const kind = error.kind === "unreadable" ? "unreadable" : "unavailable";
--- a/packages/entry/src/configuration/revision_writer.ts
+++ b/packages/entry/src/configuration/revision_writer.ts
@@ -5,7 +5,7 @@
 import type * as contracts from "@guavatide/contracts";
 import * as neverthrow from "neverthrow";
 import * as crypto from "node:crypto";
-import type { ReadConfig } from "./config_reader.ts";
+import type { StoredConfig } from "./config_reader.ts";
 import * as currentConfig from "./current_config.ts";
 import * as storeWrite from "./store_write.ts";
 
@@ -58,9 +58,9 @@
 }
 
 /** Changes named in the history. */
-const NAMED_CHANGES = 20;
+const MAX_LISTED_CHANGES = 20;
 /** Older revisions whose chunks each write deletes. */
-const DELETED_REVISIONS = 3;
+const MAX_REVISIONS_CLEANED_UP = 3;
 
 /** Writes revisions. */
 export class RevisionWriter {
@@ -72,18 +72,18 @@
 
   /** Writes the revision after `before`; returns what is then in force. */
   async write(
-    before: ReadConfig | undefined,
+    before: StoredConfig | undefined,
     content: RevisionContent,
   ): RevisionResult<contracts.PublishedConfig> {
     const history = [
       ...(before?.current.history ?? []),
       this.#entryFor(before, content),
-    ].slice(-currentConfig.REMEMBERED_PUBLISHES);
+    ].slice(-currentConfig.MAX_HISTORY_ENTRIES);
     const encoded = this.#encode(content, history);
     const { entry } = encoded;
     const chunked = await this.#writeChunks(encoded);
     if (chunked.isErr()) return neverthrow.err(chunked.error);
-    const written = await storeWrite.writeResolved(
+    const written = await storeWrite.writeWithReadBack(
       this.#options.store,
       currentConfig.CURRENT_NAME,
       {
@@ -92,7 +92,7 @@
         condition: before === undefined
           ? { kind: "absent" }
           : { kind: "version", version: before.version },
-        isOurs: (value) => hasNonce(value, entry.nonce),
+        isOwnWrite: (value) => hasNonce(value, entry.nonce),
       },
     );
     if (written.isErr()) {
@@ -112,7 +112,7 @@
   }
 
   #entryFor(
-    before: ReadConfig | undefined,
+    before: StoredConfig | undefined,
     content: RevisionContent,
   ): currentConfig.PublishEntry {
     const storedRevision = before?.config.revision ?? 0;
@@ -123,7 +123,7 @@
       publishedBy: content.operator,
       publishedAt: this.#options.now(),
       nonce: crypto.randomUUID(),
-      changes: content.changes.slice(0, NAMED_CHANGES),
+      changes: content.changes.slice(0, MAX_LISTED_CHANGES),
       changeCount: content.changes.length,
       chunks: 0,
     };
@@ -156,7 +156,7 @@
 
   async #writeChunks(encoded: EncodedRevision): RevisionResult<void> {
     for (const [index, value] of encoded.chunks.entries()) {
-      const written = await storeWrite.writeResolved(
+      const written = await storeWrite.writeWithReadBack(
         this.#options.store,
         currentConfig.chunkName(encoded.entry, index),
         {
@@ -164,7 +164,7 @@
           value,
           // The name holds this write's nonce, so nobody else uses it.
           condition: { kind: "any" },
-          isOurs: (stored) => stored === value,
+          isOwnWrite: (stored) => stored === value,
         },
       );
       if (written.isErr()) {
@@ -188,14 +188,14 @@
     }
     await this.#deleteChunks(entry);
     if (error.kind === "refused") return error;
-    return conflictOf(error.current);
+    return conflictError(error.current);
   }
 
   async #deleteOldChunks(
     history: readonly currentConfig.PublishEntry[],
   ): Promise<void> {
     // The one before stays for a reader that has just read its name.
-    const old = history.slice(0, -2).slice(-DELETED_REVISIONS);
+    const old = history.slice(0, -2).slice(-MAX_REVISIONS_CLEANED_UP);
     for (const entry of old) await this.#deleteChunks(entry);
   }
 
@@ -211,18 +211,18 @@
 }
 
 function hasNonce(value: string, nonce: string): boolean {
-  return currentConfig.parseCurrent(value).match(
+  return currentConfig.parseCurrentConfig(value).match(
     (current) => current.history.some((entry) => entry.nonce === nonce),
     () => false,
   );
 }
 
-function conflictOf(
+function conflictError(
   current: contracts.StoredObject | undefined,
 ): RevisionError {
   const parsed = current === undefined
     ? undefined
-    : currentConfig.parseCurrent(current.value).unwrapOr(undefined);
+    : currentConfig.parseCurrentConfig(current.value).unwrapOr(undefined);
   if (parsed === undefined) {
     const message = "Another publish came first: look at the diff again";
     return { kind: "conflict", message, revision: 0 };
--- a/packages/entry/src/configuration/storage_test.ts
+++ b/packages/entry/src/configuration/storage_test.ts
@@ -41,7 +41,7 @@
   });
 }
 
-class Desk {
+class StorageFixture {
   readonly store = new FakeStore();
   readonly drafts: configuration.DraftStore;
   readonly reader: configuration.ConfigReader;
@@ -100,7 +100,7 @@
 // Two partners open the same cost split and both save. Without the condition
 // the slower one would silently undo the other's agreed percentages.
 test("should let one of two racing editors win and tell the other", async () => {
-  const desk = new Desk();
+  const desk = new StorageFixture();
   await desk.fill(WHOLE);
   const { version } = (await desk.drafts.get(SPLIT))._unsafeUnwrap();
   const results = await Promise.all([
@@ -119,7 +119,7 @@
 interface LostReplyCase {
   readonly name: string;
   readonly call: string;
-  readonly run: (desk: Desk) => Promise<{ isOk(): boolean }>;
+  readonly run: (desk: StorageFixture) => Promise<{ isOk(): boolean }>;
 }
 
 const LOST_REPLIES: readonly LostReplyCase[] = [
@@ -156,7 +156,7 @@
     // The store's reply is lost, or the call never reached it. An operator
     // told of a failure would repeat what is there, or take it for undone.
     test(`should finish one ${name} after "${fault}"`, async () => {
-      const desk = new Desk();
+      const desk = new StorageFixture();
       await desk.fill(WHOLE);
       desk.store.fault = once(call, fault);
       expect((await run(desk)).isOk()).toEqual(true);
@@ -167,7 +167,7 @@
 // The reply of a publish is lost, and before it is read back another operator
 // publishes on top. Told of a conflict, the first would publish twice.
 test("should know its publish under a later one", async () => {
-  const desk = new Desk();
+  const desk = new StorageFixture();
   await desk.fill(WHOLE);
   desk.store.fault = once("put config/current", "lost-reply");
   desk.store.afterWrite = (name) => {
@@ -186,7 +186,7 @@
 // The store goes away in the middle of a publish and stays away. The operator
 // must not be told that nothing was published.
 test("should call the fate of a publish unknown when nobody says", async () => {
-  const desk = new Desk();
+  const desk = new StorageFixture();
   await desk.fill(WHOLE);
   let isDown = false;
   desk.store.fault = (call) => {
@@ -201,7 +201,7 @@
 // Two operators publish at once. Both told of success, one would believe in
 // force what is not.
 test("should let one of two racing publishers win", async () => {
-  const desk = new Desk();
+  const desk = new StorageFixture();
   await desk.fill(WHOLE);
   const results = await Promise.all([desk.publish(), desk.publish()]);
   const kinds = results.map((each) =>
@@ -213,7 +213,7 @@
 // Another partner goes on editing between the check and the publish, and the
 // half-made edit would reach traffic unseen.
 test("should not publish drafts that changed after the check", async () => {
-  const desk = new Desk();
+  const desk = new StorageFixture();
   await desk.fill(WHOLE);
   const { tag } = (await desk.publisher.plan())._unsafeUnwrap();
   const { version } = (await desk.drafts.get(SPLIT))._unsafeUnwrap();
@@ -228,7 +228,7 @@
 });
 
 test("should not publish a half-made set", async () => {
-  const desk = new Desk();
+  const desk = new StorageFixture();
   await desk.fill([PLACE, ...PARTNERS, SERVICE, split(60, 30)]);
   const error = (await desk.publish())._unsafeUnwrapErr();
   expect(error.kind).toEqual("findings");
@@ -236,7 +236,7 @@
 });
 
 test("should not publish what the operator may not", async () => {
-  const desk = new Desk();
+  const desk = new StorageFixture();
   await desk.fill(WHOLE);
   const error = (await desk.publish(0, ["place/plateau"]))._unsafeUnwrapErr();
   expect(error.kind).toEqual("forbidden");
@@ -245,14 +245,14 @@
 // The platform restores its store from an old copy. A revision that entry VMs
 // already left behind would be accepted and never come into force.
 test("should publish above every revision known to be in force", async () => {
-  const desk = new Desk();
+  const desk = new StorageFixture();
   await desk.fill(WHOLE);
   expect((await desk.publish(7))._unsafeUnwrap().revision).toEqual(8);
 });
 
 test("should split a set over the value limit and read it back", async () => {
   const limitBytes = 2000;
-  const desk = new Desk(limitBytes);
+  const desk = new StorageFixture(limitBytes);
   const places = Array.from(
     { length: 40 },
     (_, index) =>
@@ -270,7 +270,7 @@
 });
 
 test("should leave chunks of the last two revisions only", async () => {
-  const desk = new Desk(500);
+  const desk = new StorageFixture(500);
   await desk.fill(WHOLE);
   for (const percent of [50, 40, 30, 20]) {
     const { version } = (await desk.drafts.get(SPLIT))._unsafeUnwrap();
@@ -284,7 +284,7 @@
 });
 
 test("should call a set with a wrong checksum unreadable", async () => {
-  const desk = new Desk();
+  const desk = new StorageFixture();
   await desk.fill(WHOLE);
   await desk.publish();
   const name = configuration.CURRENT_NAME;
@@ -298,7 +298,7 @@
 // A server is drained while somebody publishes, and the drain's revision
 // loses the race. The operator saw no error, yet work would go on arriving.
 test("should keep drains through racing and later publishes", async () => {
-  const desk = new Desk();
+  const desk = new StorageFixture();
   await desk.fill(WHOLE);
   await desk.publish();
   const { version } = (await desk.drafts.get(SPLIT))._unsafeUnwrap();
--- a/packages/entry/src/configuration/store_watch.ts
+++ b/packages/entry/src/configuration/store_watch.ts
@@ -4,16 +4,16 @@
  */
 import type * as contracts from "@guavatide/contracts";
 import * as timers from "node:timers/promises";
-import type { PartLog } from "../utils/log.ts";
+import type { Logger } from "../utils/log.ts";
 import * as currentConfig from "./current_config.ts";
 
 /** Options of {@link StoreWatch}. */
 export interface StoreWatchOptions {
   readonly store: contracts.PlatformStore;
   readonly random: contracts.RandomSource;
-  readonly log: PartLog;
+  readonly log: Logger;
   /** Whether this VM is among those that watch, asked before each poll. */
-  readonly isChosen: () => boolean;
+  readonly isWatcher: () => boolean;
   /** Takes the object as it stands now. */
   readonly onObject: (stored: contracts.StoredObject) => Promise<void>;
   /** Longest wait of one poll. */
@@ -21,19 +21,19 @@
   /** Time for one call besides that wait. */
   readonly callTimeoutMs: number;
   /** Between two questions whether this VM is chosen. */
-  readonly idleMs: number;
+  readonly roleCheckIntervalMs: number;
 }
 
 /** Longest wait for the VM list before the first question who watches. */
-const START_PAUSE_MS = 300;
-const FIRST_PAUSE_MS = 200;
-const LONGEST_PAUSE_MS = 5000;
+const MAX_START_DELAY_MS = 300;
+const MIN_RETRY_DELAY_MS = 200;
+const MAX_RETRY_DELAY_MS = 5000;
 
 /** Runs the watch until the process stops. */
 export class StoreWatch {
   readonly #options: StoreWatchOptions;
   #cursor: string | undefined;
-  #pauseMs = FIRST_PAUSE_MS;
+  #pauseMs = MIN_RETRY_DELAY_MS;
   #poll = new AbortController();
 
   constructor(options: StoreWatchOptions) {
@@ -43,11 +43,11 @@
   /** Resolves when the signal ends the watch. */
   async run(signal: AbortSignal): Promise<void> {
     signal.addEventListener("abort", () => this.#poll.abort());
-    await pause(START_PAUSE_MS * this.#options.random.next(), signal);
+    await sleep(MAX_START_DELAY_MS * this.#options.random.next(), signal);
     while (!signal.aborted) {
-      if (!this.#options.isChosen()) {
+      if (!this.#options.isWatcher()) {
         this.#cursor = undefined;
-        await pause(this.#options.idleMs, signal);
+        await sleep(this.#options.roleCheckIntervalMs, signal);
         continue;
       }
       await this.#step(signal);
@@ -70,15 +70,15 @@
       ? await this.#list()
       : await this.#watch(this.#cursor);
     if (ok || signal.aborted) {
-      this.#pauseMs = FIRST_PAUSE_MS;
+      this.#pauseMs = MIN_RETRY_DELAY_MS;
       return;
     }
     // Drawn at random, so that watchers do not all return to a store that
     // has just come back in the same moment.
     const pauseMs = this.#pauseMs * this.#options.random.next();
-    this.#pauseMs = Math.min(this.#pauseMs * 2, LONGEST_PAUSE_MS);
+    this.#pauseMs = Math.min(this.#pauseMs * 2, MAX_RETRY_DELAY_MS);
     this.#cursor = undefined;
-    await pause(pauseMs, signal);
+    await sleep(pauseMs, signal);
   }
 
   async #list(): Promise<boolean> {
@@ -124,6 +124,6 @@
 }
 
 /** Waits, at most until the signal. */
-export async function pause(ms: number, signal: AbortSignal): Promise<void> {
+export async function sleep(ms: number, signal: AbortSignal): Promise<void> {
   await timers.setTimeout(ms, undefined, { signal }).catch(() => undefined);
 }
--- a/packages/entry/src/configuration/store_write.ts
+++ b/packages/entry/src/configuration/store_write.ts
@@ -23,12 +23,12 @@
   /** Time ran out before the fate of the write was known. */
   | { readonly kind: "unknown"; readonly message: string };
 
-/** Options of {@link writeResolved}. */
-export interface WriteResolvedOptions {
+/** Options of {@link writeWithReadBack}. */
+export interface WriteWithReadBackOptions {
   readonly value: string;
   readonly condition: contracts.WriteCondition;
   /** Whether an object's text shows that this write took effect. */
-  readonly isOurs: (value: string) => boolean;
+  readonly isOwnWrite: (value: string) => boolean;
   readonly clock: contracts.Clock;
   /** Time for all attempts together. */
   readonly timeoutMs: number;
@@ -36,19 +36,19 @@
   readonly callTimeoutMs: number;
 }
 
-/** Options of {@link deleteResolved}. */
-export type DeleteResolvedOptions = Pick<
-  WriteResolvedOptions,
+/** Options of {@link deleteWithReadBack}. */
+export type DeleteWithReadBackOptions = Pick<
+  WriteWithReadBackOptions,
   "condition" | "clock" | "timeoutMs" | "callTimeoutMs"
 >;
 
-const RETRY_PAUSE_MS = 100;
+const RETRY_DELAY_MS = 100;
 
 /** Writes an object and returns its new version. */
-export async function writeResolved(
+export async function writeWithReadBack(
   store: contracts.PlatformStore,
   name: string,
-  options: WriteResolvedOptions,
+  options: WriteWithReadBackOptions,
 ): Promise<neverthrow.Result<string, WriteFailure>> {
   const until = options.clock.nowMs() + options.timeoutMs;
   while (options.clock.nowMs() < until) {
@@ -61,22 +61,24 @@
     if (kind === "refused") return neverthrow.err({ kind, message });
     const found = await readBack(store, name, { until, ...options });
     if (found === undefined) break;
-    if (found.object !== undefined && options.isOurs(found.object.value)) {
+    if (found.object !== undefined && options.isOwnWrite(found.object.value)) {
       return neverthrow.ok(found.object.version);
     }
-    if (kind !== "unavailable" || !holds(options.condition, found.object)) {
-      return neverthrow.err(conflict(name, found.object));
+    if (
+      kind !== "unavailable" || !conditionHolds(options.condition, found.object)
+    ) {
+      return neverthrow.err(conflictFailure(name, found.object));
     }
-    await timers.setTimeout(RETRY_PAUSE_MS);
+    await timers.setTimeout(RETRY_DELAY_MS);
   }
-  return neverthrow.err(unknownFate(name));
+  return neverthrow.err(unknownOutcomeFailure(name));
 }
 
 /** Deletes an object. A lost reply counts as done once the object is gone. */
-export async function deleteResolved(
+export async function deleteWithReadBack(
   store: contracts.PlatformStore,
   name: string,
-  options: DeleteResolvedOptions,
+  options: DeleteWithReadBackOptions,
 ): Promise<neverthrow.Result<void, WriteFailure>> {
   const until = options.clock.nowMs() + options.timeoutMs;
   let mayHaveTakenEffect = false;
@@ -94,12 +96,14 @@
     if (found.object === undefined && mayHaveTakenEffect) {
       return neverthrow.ok(undefined);
     }
-    if (kind !== "unavailable" || !holds(options.condition, found.object)) {
-      return neverthrow.err(conflict(name, found.object));
+    if (
+      kind !== "unavailable" || !conditionHolds(options.condition, found.object)
+    ) {
+      return neverthrow.err(conflictFailure(name, found.object));
     }
-    await timers.setTimeout(RETRY_PAUSE_MS);
+    await timers.setTimeout(RETRY_DELAY_MS);
   }
-  return neverthrow.err(unknownFate(name));
+  return neverthrow.err(unknownOutcomeFailure(name));
 }
 
 interface ReadBackOptions {
@@ -118,12 +122,12 @@
     const read = await store.get(name, { timeoutMs: options.callTimeoutMs });
     if (read.isOk()) return { object: read.value };
     if (read.error.kind === "not-found") return {};
-    await timers.setTimeout(RETRY_PAUSE_MS);
+    await timers.setTimeout(RETRY_DELAY_MS);
   }
   return undefined;
 }
 
-function holds(
+function conditionHolds(
   condition: contracts.WriteCondition,
   object: contracts.StoredObject | undefined,
 ): boolean {
@@ -137,7 +141,7 @@
   }
 }
 
-function conflict(
+function conflictFailure(
   name: string,
   current: contracts.StoredObject | undefined,
 ): WriteFailure {
@@ -148,7 +152,7 @@
   return { kind: "conflict", message, current };
 }
 
-function unknownFate(name: string): WriteFailure {
+function unknownOutcomeFailure(name: string): WriteFailure {
   const message = `The platform's store did not say whether "${name}" was ` +
     "written: read it again before you repeat the change";
   return { kind: "unknown", message };
--- a/packages/entry/src/settings_of_parts.ts
+++ b/packages/entry/src/derived_settings.ts
@@ -5,7 +5,7 @@
 import type { Settings } from "./settings/mod.ts";
 
 /** Settings of the request path. */
-export function requestSettingsOf(
+export function toRequestSettings(
   settings: Settings,
 ): requests.RequestSettings {
   const { limits } = settings;
@@ -25,7 +25,7 @@
 }
 
 /** Times of the ownership tasks. */
-export function ownershipTimingsOf(
+export function toOwnershipTimings(
   { timings, platform }: Settings,
 ): OwnershipTimings {
   return {
--- a/packages/entry/src/gateway/cold_start_limits.ts
+++ b/packages/entry/src/gateway/cold_start_limits.ts
@@ -25,12 +25,12 @@
 /** Creates the rate limits on requests to cold servers. */
 export class ColdStartLimits {
   readonly #options: ColdStartLimitsOptions;
-  readonly #rankOrder: grants.DutyOrder;
+  readonly #rankOrder: grants.VmRanking;
   readonly #startedMs: number;
 
   constructor(options: ColdStartLimitsOptions) {
     this.#options = options;
-    this.#rankOrder = new grants.DutyOrder(options.hasher);
+    this.#rankOrder = new grants.VmRanking(options.hasher);
     this.#startedMs = options.clock.nowMs();
     options.registry.onChange(() =>
       this.#rankOrder.keepOnly(options.registry.ids())
@@ -74,7 +74,7 @@
     const zone = registry.zoneOf(server);
     const inZone = gossip.knownIn(zone);
     const vms = inZone.length > 0 ? inZone : gossip.knownIn(undefined);
-    const rank = this.#rankOrder.of(server, vms).indexOf(vm);
+    const rank = this.#rankOrder.rank(server, vms).indexOf(vm);
     return rank < 0 ? undefined : rank;
   }
 }
--- a/packages/entry/src/gateway/config_holder.ts
+++ b/packages/entry/src/gateway/config_holder.ts
@@ -1,7 +1,7 @@
 /** The configuration in force on this VM; its version never decreases. */
 import type * as contracts from "@guavatide/contracts";
 import * as routes from "@guavatide/decisions/routes/mod";
-import type { PartLog } from "../utils/log.ts";
+import type { Logger } from "../utils/log.ts";
 import type { PlatformAdapter } from "./platform_adapter.ts";
 
 /** A configuration with its compiled route table. */
@@ -13,7 +13,7 @@
 /** Options of {@link ConfigHolder}. */
 export interface ConfigHolderOptions {
   readonly adapter: Pick<PlatformAdapter, "decodeConfig" | "prefixes">;
-  readonly log: PartLog;
+  readonly log: Logger;
 }
 
 /** Decodes configurations from the store and puts newer ones in force. */
--- a/packages/entry/src/gateway/forwarder.ts
+++ b/packages/entry/src/gateway/forwarder.ts
@@ -2,9 +2,9 @@
 import type * as contracts from "@guavatide/contracts";
 import * as admission from "@guavatide/decisions/admission/mod";
 import type { ConnectionPools } from "../links/connection_pools.ts";
-import { FoldedLine } from "../utils/folded_line.ts";
-import type { LifeCycle, RegularWork } from "../utils/life_cycle.ts";
-import type { PartLog } from "../utils/log.ts";
+import { ThrottledWarning } from "../utils/throttled_warning.ts";
+import type { LifeCycle, PeriodicTask } from "../utils/life_cycle.ts";
+import type { Logger } from "../utils/log.ts";
 import type { ColdStartLimits } from "./cold_start_limits.ts";
 import type { ConfigHolder } from "./config_holder.ts";
 import {
@@ -42,7 +42,7 @@
   readonly coldStarts: ColdStartLimits;
   readonly clock: contracts.Clock;
   readonly random: contracts.RandomSource;
-  readonly log: PartLog;
+  readonly log: Logger;
   readonly onFinished: (record: RequestRecord) => void;
 }
 
@@ -76,12 +76,12 @@
   /** Current slowdown ratios of servers, not yet sent to peers. */
   #slowdowns: Record<string, number> | undefined;
   #inFlight = 0;
-  #reviewWork: RegularWork | undefined;
-  readonly #overloadLog: FoldedLine;
+  #reviewWork: PeriodicTask | undefined;
+  readonly #overloadLog: ThrottledWarning;
 
   constructor(options: ForwarderOptions) {
     this.#options = options;
-    this.#overloadLog = new FoldedLine(
+    this.#overloadLog = new ThrottledWarning(
       options.log,
       "Refuses what this VM has read too late.",
     );
@@ -140,7 +140,7 @@
       serviceMs: state.times.estimateMs(route),
     });
     if (isOverloaded) {
-      this.#overloadLog.note(nowMs, {
+      this.#overloadLog.warn(nowMs, {
         id: request.id,
         lagMs: Math.round(request.lagMs),
         inFlight: this.#inFlight,
--- a/packages/entry/src/gateway/front_listener.ts
+++ b/packages/entry/src/gateway/front_listener.ts
@@ -6,11 +6,11 @@
 import { requestHeaders } from "../links/header_list.ts";
 import type { ServerAnswer } from "../requests/caller_request.ts";
 import * as httpServer from "../utils/http_server.ts";
-import { FoldedLine } from "../utils/folded_line.ts";
+import { ThrottledWarning } from "../utils/throttled_warning.ts";
 import type { LifeCycle } from "../utils/life_cycle.ts";
-import { LoopLag } from "../utils/loop_lag.ts";
+import { EventLoopLagMonitor } from "../utils/event_loop_lag_monitor.ts";
 import * as bodies from "../utils/read_body.ts";
-import type { PartLog } from "../utils/log.ts";
+import type { Logger } from "../utils/log.ts";
 import {
   type FrontAnswer,
   type FrontRequest,
@@ -27,7 +27,7 @@
   readonly clock: contracts.Clock;
   readonly random: contracts.RandomSource;
   readonly lifeCycle: LifeCycle;
-  readonly log: PartLog;
+  readonly log: Logger;
   readonly connectionLimit: number;
   /** Time from the stop signal until the process is killed. */
   readonly graceMs: number;
@@ -85,23 +85,23 @@
 export class FrontListener {
   readonly #options: FrontListenerOptions;
   readonly #server: http.Server;
-  readonly #lag = new LoopLag();
+  readonly #lag = new EventLoopLagMonitor();
   #inFlight = 0;
   #stoppedAtMs = Number.POSITIVE_INFINITY;
   #connections = 0;
   /** When a caller last closed its connection early. */
   #lastEarlyCloseMs = Number.NEGATIVE_INFINITY;
-  readonly #shedLog: FoldedLine;
-  readonly #stopLog: FoldedLine;
+  readonly #shedLog: ThrottledWarning;
+  readonly #stopLog: ThrottledWarning;
 
   constructor(options: FrontListenerOptions) {
     this.#options = options;
     this.#lag.start(options.lifeCycle, () => this.#connections === 0);
-    this.#shedLog = new FoldedLine(
+    this.#shedLog = new ThrottledWarning(
       options.log,
       "Refuses: the event loop is behind.",
     );
-    this.#stopLog = new FoldedLine(
+    this.#stopLog = new ThrottledWarning(
       options.log,
       "Refuses requests: this VM is stopping.",
     );
@@ -186,7 +186,7 @@
     const answer = this.#refuseEarly(readMs, lagMs) ??
       await this.#readAndForward(incoming, {
         arrivedMs,
-        lagMs: this.#lag.isLasting ? lagMs : 0,
+        lagMs: this.#lag.isSustained ? lagMs : 0,
       }, callerGone.signal);
     if (response.destroyed) return;
     const mustClose = !incoming.complete || this.#options.lifeCycle.isStopping;
@@ -197,11 +197,11 @@
   #refuseEarly(readMs: number, lagMs: number): FrontAnswer | undefined {
     const inFlight = this.#inFlight;
     if (this.#isClosing(readMs)) {
-      this.#stopLog.note(readMs, { inFlight });
+      this.#stopLog.warn(readMs, { inFlight });
       return notRunAnswer("Not run: this VM stops", STOPPING_RETRY_AFTER_MS);
     }
     if (lagMs <= SHEDDING_LAG_MS) return undefined;
-    this.#shedLog.note(readMs - lagMs, { lagMs: Math.round(lagMs), inFlight });
+    this.#shedLog.warn(readMs - lagMs, { lagMs: Math.round(lagMs), inFlight });
     return overloadAnswer(this.#options.random);
   }
 
--- a/packages/entry/src/gateway/gateway_metrics.ts
+++ b/packages/entry/src/gateway/gateway_metrics.ts
@@ -6,7 +6,7 @@
 import type { Metrics } from "../metrics/metrics.ts";
 import * as httpServer from "../utils/http_server.ts";
 import type { LifeCycle } from "../utils/life_cycle.ts";
-import type { PartLog } from "../utils/log.ts";
+import type { Logger } from "../utils/log.ts";
 import type { GatewaySettings } from "./gateway_settings.ts";
 import type { RequestRecord } from "./request_log.ts";
 
@@ -15,7 +15,7 @@
  * are plain counts until the first scrape.
  */
 export class GatewayMetrics {
-  readonly #log: PartLog;
+  readonly #log: Logger;
   readonly #requests = new LabelledCounts();
   readonly #latencies = new Map<contracts.ServiceId, LatencyBuckets>();
   readonly #retries = new LabelledCounts();
@@ -27,7 +27,7 @@
   readonly peerBytes = new LabelledCounts();
   #metrics: Promise<Metrics> | undefined;
 
-  constructor(log: PartLog) {
+  constructor(log: Logger) {
     this.#log = log;
   }
 
--- a/packages/entry/src/gateway/grant_sender.ts
+++ b/packages/entry/src/gateway/grant_sender.ts
@@ -6,7 +6,7 @@
 import type * as contracts from "@guavatide/contracts";
 import type * as grants from "@guavatide/decisions/grants/mod";
 import { SystemRandom } from "../utils/clock.ts";
-import type { PartLog } from "../utils/log.ts";
+import type { Logger } from "../utils/log.ts";
 
 /** Options of {@link GrantSender}. */
 export interface GrantSenderOptions {
@@ -15,7 +15,7 @@
   readonly clock: contracts.Clock;
   /** Default: the system's random source. */
   readonly random?: contracts.RandomSource;
-  readonly log: PartLog;
+  readonly log: Logger;
   /**
    * Finds the server of an owner, also while it is draining; undefined when it
    * is unknown.
@@ -116,7 +116,7 @@
     return [...this.#servers]
       .filter(([, { unansweredSinceMs, lastEndedAtMs, isInFlight }]) =>
         unansweredSinceMs !== undefined &&
-        nowMs - unansweredSinceMs >= timings.silentMs &&
+        nowMs - unansweredSinceMs >= timings.unresponsiveAfterMs &&
         (isInFlight || nowMs - lastEndedAtMs < SUSPICION_TTL_MS)
       )
       .map(([server]) => server);
@@ -163,7 +163,7 @@
     const result = await control.grant(
       server,
       { fromKey, toKey, fence, holdMs: leaseMs, handover },
-      { timeoutMs: timings.orderTimeoutMs, maySend: isStillAllowed },
+      { timeoutMs: timings.grantTimeoutMs, maySend: isStillAllowed },
     );
     state.isInFlight = false;
     const fields = { server: server.server, fromKey, toKey, fence };
--- a/packages/entry/src/gateway/grant_task.ts
+++ b/packages/entry/src/gateway/grant_task.ts
@@ -3,9 +3,9 @@
 import type * as admission from "@guavatide/decisions/admission/mod";
 import * as grants from "@guavatide/decisions/grants/mod";
 import type * as ownership from "@guavatide/decisions/ownership/mod";
-import type { SuspensionClock } from "../utils/clock.ts";
-import type { LifeCycle, RegularWork } from "../utils/life_cycle.ts";
-import type { PartLog } from "../utils/log.ts";
+import type { SuspendAwareClock } from "../utils/clock.ts";
+import type { LifeCycle, PeriodicTask } from "../utils/life_cycle.ts";
+import type { Logger } from "../utils/log.ts";
 import type { ConfigHolder } from "./config_holder.ts";
 import type { MovePlannerOptions } from "./move_planner.ts";
 import type { PeerRpc } from "./peer_rpc.ts";
@@ -30,8 +30,8 @@
   readonly maps: RangeMapStore;
   readonly control: contracts.GrantControl;
   readonly health: StoreHealth;
-  readonly clock: SuspensionClock;
-  readonly log: PartLog;
+  readonly clock: SuspendAwareClock;
+  readonly log: Logger;
   readonly capacity: MovePlannerOptions["capacity"];
   readonly isCold: MovePlannerOptions["isCold"];
   /**
@@ -71,7 +71,7 @@
   readonly #listeners: ((service: contracts.ServiceId) => void)[] = [];
   #voters: ReadonlySet<contracts.VmId> = new Set();
   #suspensions = 0;
-  #work: RegularWork | undefined;
+  #work: PeriodicTask | undefined;
   #countsSentAtMs = Number.NEGATIVE_INFINITY;
 
   constructor(options: GrantTaskOptions) {
@@ -250,7 +250,7 @@
       .filter(({ targets }) => targets.some((it) => it.service === service))
       .map(({ targetLatencyMs }) => targetLatencyMs);
     const limits = { leastMs: timings.holdMs, mostMs: maxLeaseMs };
-    return grants.wishedHoldMs(targetsMs, limits);
+    return grants.desiredLeaseMs(targetsMs, limits);
   }
 
   /** Fetches the map from a peer; undefined without an answer. */
--- a/packages/entry/src/gateway/kind_watch.ts
+++ b/packages/entry/src/gateway/kind_watch.ts
@@ -6,7 +6,7 @@
 import type * as contracts from "@guavatide/contracts";
 import * as timers from "node:timers/promises";
 import type { LifeCycle } from "../utils/life_cycle.ts";
-import type { PartLog } from "../utils/log.ts";
+import type { Logger } from "../utils/log.ts";
 import { type ObjectChange, ObjectTable } from "./object_table.ts";
 import type { KindSnapshot } from "./peer_messages.ts";
 import type { StoreHealth } from "./store_health.ts";
@@ -21,7 +21,7 @@
   readonly store: contracts.PlatformStore;
   readonly health: StoreHealth;
   readonly prefix: string;
-  readonly log: PartLog;
+  readonly log: Logger;
   readonly clock: contracts.Clock;
   readonly random: contracts.RandomSource;
   readonly relay: WatchRelay;
--- a/packages/entry/src/gateway/map_publisher.ts
+++ b/packages/entry/src/gateway/map_publisher.ts
@@ -18,7 +18,7 @@
 /** Publishes the changes of one service's map. */
 export class MapPublisher {
   readonly #options: MapPublisherOptions;
-  readonly #history = new grants.RangeNews();
+  readonly #history = new grants.RangeMapHistory();
   #sendsLeft = 0;
   #sentAtMs = 0;
 
@@ -49,7 +49,7 @@
   }
 
   #send(pendingFences: Iterable<number>): void {
-    const change = this.#history.change();
+    const change = this.#history.latestDelta();
     if (change === undefined) return;
     this.#sendsLeft--;
     this.#sentAtMs = this.#options.clock.nowMs();
--- a/packages/entry/src/gateway/move_planner.ts
+++ b/packages/entry/src/gateway/move_planner.ts
@@ -3,14 +3,14 @@
  */
 import type * as contracts from "@guavatide/contracts";
 import * as grants from "@guavatide/decisions/grants/mod";
-import type { PartLog } from "../utils/log.ts";
+import type { Logger } from "../utils/log.ts";
 import type { KeyCounts } from "./peer_messages.ts";
 
 /** Options of {@link MovePlanner}. */
 export interface MovePlannerOptions {
   readonly service: contracts.ServiceId;
   readonly clock: contracts.Clock;
-  readonly log: PartLog;
+  readonly log: Logger;
   /**
    * Capacity of a server in requests per second; `factor` is how much longer
    * than average it takes, if other VMs have measured that.
@@ -31,7 +31,7 @@
 /** Plans the handovers of one service. */
 export class MovePlanner {
   readonly #options: MovePlannerOptions;
-  readonly #loads = new grants.KeyLoads();
+  readonly #loads = new grants.KeyRateTracker();
   /**
    * By server, how much longer than average it takes, as peers' slot
    * coordinators report.
@@ -92,7 +92,7 @@
         return [server, { owner, capacityPerSecond, isCold: isCold(entry) }];
       }),
     );
-    const moves = grants.planRanges({
+    const moves = grants.planRangeMoves({
       ranges: map.ranges,
       servers,
       rates: this.#loads.rates(),
--- a/packages/entry/src/gateway/peer_channel.ts
+++ b/packages/entry/src/gateway/peer_channel.ts
@@ -2,7 +2,7 @@
 import * as dgram from "node:dgram";
 import type * as z from "zod";
 import type { LifeCycle } from "../utils/life_cycle.ts";
-import type { PartLog } from "../utils/log.ts";
+import type { Logger } from "../utils/log.ts";
 import { decodeMessage, encodeMessage } from "./peer_codec.ts";
 
 /** Options of {@link PeerChannel}. */
@@ -10,7 +10,7 @@
   /** IP address and port to listen on. */
   readonly host: string;
   readonly port: number;
-  readonly log: PartLog;
+  readonly log: Logger;
   /** Called for each datagram sent. */
   readonly onSent: (method: string, bytes: number, to: PeerTarget) => void;
 }
--- a/packages/entry/src/gateway/peer_discovery.ts
+++ b/packages/entry/src/gateway/peer_discovery.ts
@@ -6,7 +6,7 @@
 import type * as ownership from "@guavatide/decisions/ownership/mod";
 import * as z from "zod";
 import type { LifeCycle } from "../utils/life_cycle.ts";
-import type { PartLog } from "../utils/log.ts";
+import type { Logger } from "../utils/log.ts";
 import type { GossipIdentity, PeerGossip } from "./peer_gossip.ts";
 import * as messages from "./peer_messages.ts";
 import type { StoreHealth } from "./store_health.ts";
@@ -20,7 +20,7 @@
   readonly hasher: ownership.KeyHasher;
   readonly clock: contracts.Clock;
   readonly random: contracts.RandomSource;
-  readonly log: PartLog;
+  readonly log: Logger;
   /** Whether this VM registers in the store, so that joining VMs find it. */
   readonly shouldRegister: () => boolean;
 }
--- a/packages/entry/src/gateway/peer_gossip.ts
+++ b/packages/entry/src/gateway/peer_gossip.ts
@@ -7,7 +7,7 @@
 import type * as cells from "@guavatide/decisions/cells/mod";
 import type * as z from "zod";
 import type { LifeCycle } from "../utils/life_cycle.ts";
-import type { PartLog } from "../utils/log.ts";
+import type { Logger } from "../utils/log.ts";
 import { type Peer, PeerRegistry } from "./peer_registry.ts";
 import { PeerChannel, type PeerTarget } from "./peer_channel.ts";
 import {
@@ -57,7 +57,7 @@
   readonly self: GossipIdentity;
   readonly clock: contracts.Clock;
   readonly random: contracts.RandomSource;
-  readonly log: PartLog;
+  readonly log: Logger;
   readonly ownHello: () => OwnHello;
   readonly ownState: () => OwnState;
   readonly ownVoterState: () => OwnVoterState;
--- a/packages/entry/src/gateway/peer_registry.ts
+++ b/packages/entry/src/gateway/peer_registry.ts
@@ -4,7 +4,7 @@
  */
 import type * as contracts from "@guavatide/contracts";
 import * as cells from "@guavatide/decisions/cells/mod";
-import type { PartLog } from "../utils/log.ts";
+import type { Logger } from "../utils/log.ts";
 import type {
   PeerFailure,
   PeerHello,
@@ -46,7 +46,7 @@
 export interface PeerRegistryOptions {
   readonly self: cells.CellVm;
   readonly clock: contracts.Clock;
-  readonly log: PartLog;
+  readonly log: Logger;
   /** Voters of range maps: each exchanges its status with all others. */
   readonly voters: () => ReadonlySet<contracts.VmId>;
 }
--- a/packages/entry/src/gateway/peer_rpc.ts
+++ b/packages/entry/src/gateway/peer_rpc.ts
@@ -9,14 +9,14 @@
 import { HttpChannel } from "../platform/http_channel.ts";
 import * as httpServer from "../utils/http_server.ts";
 import type { LifeCycle } from "../utils/life_cycle.ts";
-import type { PartLog } from "../utils/log.ts";
+import type { Logger } from "../utils/log.ts";
 import * as bodies from "../utils/read_body.ts";
 
 /** Options of {@link PeerRpc}. */
 export interface PeerRpcOptions {
   readonly host: string;
   readonly port: number;
-  readonly log: PartLog;
+  readonly log: Logger;
 }
 
 /** Address of a peer's RPC server. */
--- a/packages/entry/src/gateway/range_map_fetcher.ts
+++ b/packages/entry/src/gateway/range_map_fetcher.ts
@@ -3,7 +3,7 @@
  * store, so that their reports confirm it; all others get it from a peer.
  */
 import type * as contracts from "@guavatide/contracts";
-import type { PartLog } from "../utils/log.ts";
+import type { Logger } from "../utils/log.ts";
 import type { RangeMapStore } from "./range_map_store.ts";
 import { ThrottledTask } from "./throttled_task.ts";
 
@@ -12,7 +12,7 @@
   readonly service: contracts.ServiceId;
   readonly maps: RangeMapStore;
   readonly clock: contracts.Clock;
-  readonly log: PartLog;
+  readonly log: Logger;
   /** Fetches the map from a peer; undefined without an answer. */
   readonly fetchMap: (
     peer: contracts.VmId,
--- a/packages/entry/src/gateway/range_map_store.ts
+++ b/packages/entry/src/gateway/range_map_store.ts
@@ -1,14 +1,14 @@
 /** Range maps in the platform's store, as one object for each service. */
 import * as contracts from "@guavatide/contracts";
 import type * as grants from "@guavatide/decisions/grants/mod";
-import type { PartLog } from "../utils/log.ts";
+import type { Logger } from "../utils/log.ts";
 import type { StoreHealth } from "./store_health.ts";
 
 /** Options of {@link RangeMapStore}. */
 export interface RangeMapStoreOptions {
   readonly store: contracts.PlatformStore;
   readonly health: StoreHealth;
-  readonly log: PartLog;
+  readonly log: Logger;
 }
 
 /** Options of {@link RangeMapStore.read}. */
@@ -40,7 +40,7 @@
   async read(
     service: contracts.ServiceId,
     { mayBeStale = false }: RangeMapReadOptions = {},
-  ): Promise<grants.MapCallEnd> {
+  ): Promise<grants.MapCallResult> {
     const { store, health } = this.#options;
     const result = await store.get(`${PREFIX}${service}`, {
       timeoutMs: READ_TIMEOUT_MS,
@@ -64,7 +64,7 @@
   async write(
     map: contracts.RangeMap,
     condition: contracts.WriteCondition,
-  ): Promise<grants.MapCallEnd> {
+  ): Promise<grants.MapCallResult> {
     const { store, health, log } = this.#options;
     const result = await store.put(
       `${PREFIX}${map.service}`,
--- a/packages/entry/src/gateway/readiness_server.ts
+++ b/packages/entry/src/gateway/readiness_server.ts
@@ -2,12 +2,12 @@
 import * as http from "node:http";
 import * as httpServer from "../utils/http_server.ts";
 import type { LifeCycle } from "../utils/life_cycle.ts";
-import type { PartLog } from "../utils/log.ts";
+import type { Logger } from "../utils/log.ts";
 
 /** Options of {@link ReadinessServer}. */
 export interface ReadinessServerOptions extends httpServer.ListenAddress {
   readonly path: string;
-  readonly log: PartLog;
+  readonly log: Logger;
   /** Why the VM is not ready; undefined when it is. */
   notReadyReason(): string | undefined;
 }
--- a/packages/entry/src/gateway/request_log.ts
+++ b/packages/entry/src/gateway/request_log.ts
@@ -1,6 +1,6 @@
 /** The request log, and the record of a request that it and the metrics use. */
 import type * as contracts from "@guavatide/contracts";
-import type { LogFields, PartLog } from "../utils/log.ts";
+import type { LogFields, Logger } from "../utils/log.ts";
 import type { FrontAnswer } from "./front_request.ts";
 
 /** One attempt of a request. */
@@ -39,14 +39,14 @@
  * counts the lines left out: logging every request takes much processor time.
  */
 export class RequestLog {
-  readonly #log: PartLog;
+  readonly #log: Logger;
   readonly #clock: contracts.Clock;
   #windowStartMs = 0;
   #failed = 0;
   #served = 0;
   #omittedCount = 0;
 
-  constructor(log: PartLog, clock: contracts.Clock) {
+  constructor(log: Logger, clock: contracts.Clock) {
     this.#log = log;
     this.#clock = clock;
   }
--- a/packages/entry/src/gateway/run_gateway.ts
+++ b/packages/entry/src/gateway/run_gateway.ts
@@ -1,8 +1,8 @@
 /** Runs an entry process from its settings file until SIGTERM. */
 import * as fs from "node:fs";
 import type * as neverthrow from "neverthrow";
-import { createLineLog } from "../utils/line_log.ts";
-import type { Log } from "../utils/log.ts";
+import { createNonBlockingLog } from "../utils/non_blocking_log.ts";
+import type { LoggerFactory } from "../utils/log.ts";
 import { resetOpenConnections } from "../utils/reset_connection.ts";
 import type {
   GatewaySettings,
@@ -39,7 +39,7 @@
   const loaded = loadSettings(fs.readFileSync(settingsPath, "utf8"));
   if (loaded.isErr()) return failStart(loaded.error.message);
   const settings = loaded.value;
-  const log = createLineLog(settings.log);
+  const log = createNonBlockingLog(settings.log);
   const gateway = await startGateway({
     settings,
     adapter: createAdapter(settings),
@@ -65,7 +65,7 @@
 function watchSettings(
   path: string,
   loadSettings: RunGatewayOptions["loadSettings"],
-  log: Log,
+  log: LoggerFactory,
 ): void {
   const mainLog = log.part("main");
   let lastText = fs.readFileSync(path, "utf8");
--- a/packages/entry/src/gateway/server_registry.ts
+++ b/packages/entry/src/gateway/server_registry.ts
@@ -1,6 +1,6 @@
 /** Backend servers of all services, as registered in the store. */
 import type * as contracts from "@guavatide/contracts";
-import type { PartLog } from "../utils/log.ts";
+import type { Logger } from "../utils/log.ts";
 import type { ObjectChange } from "./object_table.ts";
 import type { PlatformAdapter } from "./platform_adapter.ts";
 import type { ZoneEvacuations } from "./zone_evacuations.ts";
@@ -21,7 +21,7 @@
     service: contracts.ServiceId,
   ) => contracts.ColdStart | undefined;
   readonly clock: contracts.Clock;
-  readonly log: PartLog;
+  readonly log: Logger;
 }
 
 /**
--- a/packages/entry/src/gateway/service_grants.ts
+++ b/packages/entry/src/gateway/service_grants.ts
@@ -74,8 +74,8 @@
 /** Key ownership of one service. */
 export class ServiceGrants {
   readonly #options: ServiceGrantsOptions;
-  readonly #voterReports = new grants.KeeperBook();
-  readonly #handoverController: grants.RangeMover;
+  readonly #voterReports = new grants.VoterReports();
+  readonly #handoverController: grants.HandoverController;
   readonly #sender: GrantSender;
   readonly #planner: MovePlanner;
   readonly #startedAtMs: number;
@@ -89,10 +89,10 @@
    */
   #pendingFences = new Set<number>();
   #adoptedAtMs = Number.NEGATIVE_INFINITY;
-  readonly #handoverAges = new grants.OwnerlessTimes();
+  readonly #handoverAges = new grants.HandoverAges();
   #isLeader = false;
-  readonly #initialMapWait = new grants.FirstMapWait();
-  readonly #ranking: grants.DutyOrder;
+  readonly #initialMapWait = new grants.InitialMapWait();
+  readonly #ranking: grants.VmRanking;
   readonly #publisher: MapPublisher;
   readonly #fetcher: RangeMapFetcher;
   readonly #lostServers = new grants.LostServers();
@@ -101,7 +101,7 @@
 
   constructor(options: ServiceGrantsOptions) {
     this.#options = options;
-    this.#ranking = new grants.DutyOrder(options.hasher);
+    this.#ranking = new grants.VmRanking(options.hasher);
     this.#publisher = new MapPublisher(options);
     this.#planner = new MovePlanner(options);
     this.#startedAtMs = options.clock.nowMs();
@@ -116,7 +116,7 @@
       onUnconfirmedMap: (map) => this.#adoptNewer(map, "peer"),
       onFirstStoreRead: options.notifyVoters,
     });
-    this.#handoverController = new grants.RangeMover(
+    this.#handoverController = new grants.HandoverController(
       options.service,
       this.#voterReports,
       options.timings,
@@ -125,7 +125,7 @@
       ...options,
       findServer: (owner) => options.registry.entry(owner),
       onAccepted: (range) => this.#noteAccepted(range),
-      onFencedOff: () => this.#handoverController.forget(),
+      onFencedOff: () => this.#handoverController.requireRead(),
       onCompleted: (server) => {
         // The leader waits until no grant to the old owner is in flight.
         if (this.#oldOwners.has(server)) options.notifyVoters();
@@ -180,7 +180,7 @@
     const voters = this.#map?.keeperSets.at(-1);
     const eligible = reachable.filter(({ vm }) => voters?.includes(vm) ?? true);
     const candidates = eligible.length > 0 ? eligible : reachable;
-    return this.#ranking.of(service, candidates.map(({ vm }) => vm))[0];
+    return this.#ranking.rank(service, candidates.map(({ vm }) => vm))[0];
   }
 
   /** The owner of a key. */
@@ -222,16 +222,16 @@
   ): void {
     const { service } = this.#options;
     const [revision, hasReadMap] = status.maps[service] ?? [0, false];
-    this.#voterReports.noteWord({
+    this.#voterReports.noteReport({
       vm: status.vm,
       revision,
-      isSettled: hasReadMap,
-      askedAtMs: sentAtMs,
+      hasReadMap: hasReadMap,
+      requestedAtMs: sentAtMs,
       receivedAtMs,
       startedAtMs: receivedAtMs - status.lifeMs,
       ...grantTimes(Object.entries(status.grantAgesMs), receivedAtMs),
     });
-    this.#lostServers.noteSilent(status.vm, status.silentServers);
+    this.#lostServers.noteUnresponsive(status.vm, status.silentServers);
   }
 
   /** Notes the revision of the map that a peer knows. */
@@ -250,7 +250,7 @@
     }
     const ranges = known < baseRevision
       ? undefined
-      : grants.withChanges(this.#map?.ranges ?? [], map.ranges);
+      : grants.applyChanges(this.#map?.ranges ?? [], map.ranges);
     // The update's base revision was not received.
     if (ranges === undefined) return this.#fetcher.catchUp();
     this.#pendingFences = pending;
@@ -261,8 +261,8 @@
    * Discards confirmations after a pause of the process: they may be outdated.
    */
   noteSuspension(): void {
-    this.#voterReports.forgetEvidence();
-    this.#handoverController.forget();
+    this.#voterReports.clearConfirmations();
+    this.#handoverController.requireRead();
     this.#fetcher.invalidate();
   }
 
@@ -277,11 +277,11 @@
   }
 
   #noteOwnReport(nowMs: number): void {
-    this.#voterReports.noteWord({
+    this.#voterReports.noteReport({
       vm: this.#options.vm,
       revision: this.#map?.revision ?? 0,
-      isSettled: this.#fetcher.hasReadMap,
-      askedAtMs: nowMs,
+      hasReadMap: this.#fetcher.hasReadMap,
+      requestedAtMs: nowMs,
       receivedAtMs: nowMs,
       startedAtMs: this.#startedAtMs,
       ...grantTimes(this.#sender.grantAgesMs(), nowMs),
@@ -304,7 +304,7 @@
     );
     if (!isLeader) return;
     this.#planner.start(nowMs);
-    this.#handoverController.forget();
+    this.#handoverController.requireRead();
   }
 
   // Reads of the map
@@ -325,14 +325,14 @@
   }
 
   #adopt(map: contracts.RangeMap, from: string): void {
-    const oldOwners = grants.vacatingServers(map.ranges);
+    const oldOwners = grants.releasingServers(map.ranges);
     this.#logLastGrants(map.revision, oldOwners);
     this.#map = map;
     this.#oldOwners = oldOwners;
-    this.#rangesByOwner = grants.ownedRanges(map.ranges);
+    this.#rangesByOwner = grants.rangesByOwner(map.ranges);
     this.#adoptedAtMs = this.#options.clock.nowMs();
     this.#publisher.noteMap(map);
-    this.#handoverController.noteNewer(map.revision);
+    this.#handoverController.noteNewerRevision(map.revision);
     this.#sender.prune(map.ranges, this.#leaseMs);
     const fences = new Set(map.ranges.map(({ fence }) => fence));
     const owners = new Set<string>(map.ranges.map((it) => it.owner.server));
@@ -374,7 +374,7 @@
   // Renewals
 
   get #leaseMs(): number {
-    return grants.holdOf(this.#map, this.#options.timings);
+    return grants.leaseDurationMs(this.#map, this.#options.timings);
   }
 
   /** Sends due grants to servers that have no grant in flight. */
@@ -417,8 +417,8 @@
     nowMs: number,
   ): contracts.RangeState | undefined {
     const { vm, timings } = this.#options;
-    const ownRank = this.#ranking.of(server, liveVoters).indexOf(vm);
-    const due: grants.RangeDue[] = [];
+    const ownRank = this.#ranking.rank(server, liveVoters).indexOf(vm);
+    const due: grants.DueRange[] = [];
     for (const range of this.#rangesByOwner.get(server) ?? []) {
       const rank = this.#isLeader && this.#isUnaccepted(range) ? 0 : ownRank;
       if (rank < 0 || rank >= RENEWERS_PER_SERVER) continue;
@@ -435,8 +435,8 @@
 
   #isConfirmed(map: contracts.RangeMap): boolean {
     const { clock, timings } = this.#options;
-    const ageMs = clock.nowMs() - this.#voterReports.evidenceAtMs(map);
-    return ageMs < timings.evidenceMs;
+    const ageMs = clock.nowMs() - this.#voterReports.confirmedAtMs(map);
+    return ageMs < timings.confirmationTtlMs;
   }
 
   /**
@@ -483,7 +483,7 @@
   #runHandovers(nowMs: number): void {
     const tick = this.#handoverTick(nowMs);
     this.#publisher.resendIfDue(this.#pendingFences);
-    this.#handoverController.checkPromises(nowMs, tick.gone);
+    this.#handoverController.checkAcknowledgements(nowMs, tick.removedVoters);
     for (
       const call of this.#handoverController.takeReleases(nowMs, tick.hasEnded)
     ) {
@@ -492,7 +492,7 @@
     const call = this.#handoverController.nextCall(tick);
     if (call === undefined) return;
     this.#callStore(call).catch((error) => {
-      this.#handoverController.noteCallEnd({ kind: "unsure" }, nowMs);
+      this.#handoverController.noteCallResult({ kind: "unsure" }, nowMs);
       this.#options.log.error("Read or write of the range map failed.", {
         error: String(error),
       });
@@ -505,7 +505,7 @@
     const end = call.kind === "read"
       ? await maps.read(service)
       : await maps.write(call.map, call.condition);
-    this.#handoverController.noteCallEnd(end, clock.nowMs());
+    this.#handoverController.noteCallResult(end, clock.nowMs());
     if (end.kind === "unsure" || end.kind === "absent") return;
     this.#fetcher.noteMapRead();
     const { map } = end.stored;
@@ -539,22 +539,22 @@
    * Calls the old owner with the next owner's fence: from then on it refuses
    * older grants.
    */
-  #release({ range, old, isFencing }: grants.ReleaseCall): void {
+  #release({ range, oldOwner: old, isFencing }: grants.ReleaseCall): void {
     const { registry, control, clock, timings, log } = this.#options;
     const server = registry.entry(old);
     const { fromKey, toKey, fence } = range;
     if (server === undefined) {
-      return this.#handoverController.noteRelease(
+      return this.#handoverController.noteReleaseResult(
         fence,
         "failed",
         clock.nowMs(),
       );
     }
-    const timeoutMs = isFencing ? timings.orderTimeoutMs : RELEASE_TIMEOUT_MS;
+    const timeoutMs = isFencing ? timings.grantTimeoutMs : RELEASE_TIMEOUT_MS;
     control.release(server, { fromKey, toKey, fence }, { timeoutMs }).then(
       (result) => {
         const end = result.isOk() ? { handover: result.value } : "failed";
-        this.#handoverController.noteRelease(fence, end, clock.nowMs());
+        this.#handoverController.noteReleaseResult(fence, end, clock.nowMs());
         // Fencing calls are repeated until the old owner answers; only the
         // answer is logged.
         if (isFencing && result.isErr()) return;
@@ -568,18 +568,22 @@
         });
       },
       (error) => {
-        this.#handoverController.noteRelease(fence, "failed", clock.nowMs());
+        this.#handoverController.noteReleaseResult(
+          fence,
+          "failed",
+          clock.nowMs(),
+        );
         log.error("Release failed.", { error: String(error) });
       },
     );
   }
 
-  #handoverTick(nowMs: number): grants.RangeMoverTick {
+  #handoverTick(nowMs: number): grants.HandoverTick {
     const { registry, service, desiredLeaseMs } = this.#options;
     this.#countLostServers(nowMs);
     const staying = registry.staying(service);
     const found = staying.filter(({ server }) =>
-      !this.#lostServers.has(server)
+      !this.#lostServers.isQuarantined(server)
     );
     // If all servers are lost, all are tried: any may be back, and no other can
     // own a key.
@@ -588,16 +592,16 @@
         .map((entry) => [entry.server, entry]),
     );
     const selection = this.#voterSelection(nowMs);
-    const { lifeMs } = selection;
+    const { uptimeMs: lifeMs } = selection;
     const isOver = this.#initialMapWait.isOver(usable.size, { nowMs, lifeMs });
     const mayStart = this.#map !== undefined || isOver;
     return {
       nowMs,
       usable: registry.isListed && mayStart ? usable : new Map(),
-      holdMs: desiredLeaseMs(),
+      leaseMs: desiredLeaseMs(),
       hasEnded: (owner) => registry.hasEnded(owner),
-      keepers: grants.wishedKeepers(selection),
-      gone: grants.goneKeepers(selection),
+      voters: grants.selectVoters(selection),
+      removedVoters: grants.removedVoters(selection),
       plan: (map) => this.#planner.plan(map, usable, nowMs),
       nonce: () => crypto.randomUUID(),
     };
@@ -605,25 +609,25 @@
 
   #countLostServers(nowMs: number): void {
     const { vm, log } = this.#options;
-    this.#lostServers.noteSilent(vm, this.#sender.unresponsiveServers());
+    this.#lostServers.noteUnresponsive(vm, this.#sender.unresponsiveServers());
     const voters = this.#map?.keeperSets.at(-1) ?? [];
     const liveVoters = this.#liveVms().filter((peer) => voters.includes(peer));
-    const newlyLost = this.#lostServers.count(
+    const newlyLost = this.#lostServers.countVotes(
       nowMs,
       (server) =>
-        this.#ranking.of(server, liveVoters).slice(0, RENEWERS_PER_SERVER),
+        this.#ranking.rank(server, liveVoters).slice(0, RENEWERS_PER_SERVER),
     );
     for (const server of newlyLost) log.warn("Server lost.", { server });
   }
 
-  #voterSelection(nowMs: number): grants.KeeperReviewInput {
+  #voterSelection(nowMs: number): grants.VoterSelectionInput {
     const { vm, sinceLastMessageMs } = this.#options;
     return {
       vm,
       map: this.#map,
       live: this.#voterCandidates(),
-      silentMs: sinceLastMessageMs,
-      lifeMs: nowMs - this.#startedAtMs,
+      sinceLastMessageMs: sinceLastMessageMs,
+      uptimeMs: nowMs - this.#startedAtMs,
     };
   }
 
@@ -636,7 +640,7 @@
       this.#options.peers().map((peer) => [peer.vm, peer.processorCores]),
     );
     // The sort is stable: VMs with equal cores stay in ranking order.
-    return [...this.#ranking.of("keepers", [...cores.keys()])]
+    return [...this.#ranking.rank("keepers", [...cores.keys()])]
       .sort((a, b) => cores.get(b)! - cores.get(a)!);
   }
 
@@ -650,7 +654,7 @@
 function grantTimes(
   ages: Iterable<[string, [number, number | null]]>,
   nowMs: number,
-): Pick<grants.KeeperWord, "lastGrantMs" | "lastUnansweredMs"> {
+): Pick<grants.VoterReport, "lastGrantMs" | "lastUnansweredMs"> {
   const lastGrantMs = new Map<contracts.ServerId, number>();
   const lastUnansweredMs = new Map<contracts.ServerId, number>();
   for (const [name, [ageMs, unansweredAgeMs]] of ages) {
--- a/packages/entry/src/gateway/service_grants_test.ts
+++ b/packages/entry/src/gateway/service_grants_test.ts
@@ -64,7 +64,8 @@
  */
 test("should withhold a grant when its map is no longer confirmed as it is sent", async () => {
   const voter = await createVoter();
-  const { evidenceMs, renewMs } = grants.DEFAULT_GRANT_TIMINGS;
+  const { confirmationTtlMs: evidenceMs, renewMs } =
+    grants.DEFAULT_GRANT_TIMINGS;
   await voter.run(LEADER_AFTER_MS);
   voter.holdAnswers();
   voter.tick(renewMs);
--- a/packages/entry/src/gateway/slot_task.ts
+++ b/packages/entry/src/gateway/slot_task.ts
@@ -6,9 +6,9 @@
 import * as admission from "@guavatide/decisions/admission/mod";
 import * as grants from "@guavatide/decisions/grants/mod";
 import type * as ownership from "@guavatide/decisions/ownership/mod";
-import type { LifeCycle, RegularWork } from "../utils/life_cycle.ts";
-import { OncePerTurn } from "../utils/once_per_turn.ts";
-import type { PartLog } from "../utils/log.ts";
+import type { LifeCycle, PeriodicTask } from "../utils/life_cycle.ts";
+import { CoalescedCallback } from "../utils/coalesced_callback.ts";
+import type { Logger } from "../utils/log.ts";
 import type { ColdStartLimits } from "./cold_start_limits.ts";
 import type { PeerGossip } from "./peer_gossip.ts";
 import * as messages from "./peer_messages.ts";
@@ -23,7 +23,7 @@
   readonly hasher: ownership.KeyHasher;
   readonly clock: contracts.Clock;
   readonly random: contracts.RandomSource;
-  readonly log: PartLog;
+  readonly log: Logger;
   readonly isLeaving: () => boolean;
   readonly coldStarts: ColdStartLimits;
 }
@@ -47,18 +47,18 @@
   readonly #options: SlotTaskOptions;
   readonly #requester: admission.SlotClient;
   readonly #coordinator: admission.SlotCoordinator;
-  readonly #coordinatorOrder: grants.DutyOrder;
+  readonly #coordinatorOrder: grants.VmRanking;
   /** Replies of this VM's coordinator that are not sent yet. */
   readonly #replies = new Map<contracts.VmId, admission.SlotReply[]>();
   readonly #consumers = new Map<admission.WaitingRequest, SlotConsumer>();
-  #tickWork: RegularWork | undefined;
+  #tickWork: PeriodicTask | undefined;
   /** Changes in one event loop iteration are sent together. */
-  readonly #flushing = new OncePerTurn(() => this.#flush());
+  readonly #flushing = new CoalescedCallback(() => this.#flush());
 
   constructor(options: SlotTaskOptions) {
     this.#options = options;
     const { gossip, zone, random, hasher, vm } = options;
-    this.#coordinatorOrder = new grants.DutyOrder(hasher);
+    this.#coordinatorOrder = new grants.VmRanking(hasher);
     this.#requester = new admission.SlotClient({
       vm,
       coordinatorOf: (server, unresponsive) =>
@@ -161,7 +161,7 @@
       ? eligibleInZone
       : [vm, ...gossip.live.map((peer) => peer.vm)]
         .filter((it) => this.#isEligible(it, unresponsive)).sort();
-    return this.#coordinatorOrder.of(server, eligible)[0];
+    return this.#coordinatorOrder.rank(server, eligible)[0];
   }
 
   #isEligible(
--- a/packages/entry/src/gateway/store_health.ts
+++ b/packages/entry/src/gateway/store_health.ts
@@ -1,11 +1,11 @@
 /** Whether the platform's store answers this VM, and since when. */
 import type * as contracts from "@guavatide/contracts";
-import type { PartLog } from "../utils/log.ts";
+import type { Logger } from "../utils/log.ts";
 
 /** Options of {@link StoreHealth}. */
 export interface StoreHealthOptions {
   readonly clock: contracts.Clock;
-  readonly log: PartLog;
+  readonly log: Logger;
 }
 
 /** Tracks the results of calls to the store. */
--- a/packages/entry/src/gateway/throttled_task.ts
+++ b/packages/entry/src/gateway/throttled_task.ts
@@ -3,12 +3,12 @@
  * minimum interval.
  */
 import type * as contracts from "@guavatide/contracts";
-import type { PartLog } from "../utils/log.ts";
+import type { Logger } from "../utils/log.ts";
 
 /** Options of {@link ThrottledTask}. */
 export interface ThrottledTaskOptions {
   readonly clock: contracts.Clock;
-  readonly log: PartLog;
+  readonly log: Logger;
   /** Shortest time between the starts of two runs. */
   readonly minIntervalMs: number;
 }
--- a/packages/entry/src/gateway/watch_relay.ts
+++ b/packages/entry/src/gateway/watch_relay.ts
@@ -8,7 +8,7 @@
 import * as grants from "@guavatide/decisions/grants/mod";
 import type * as ownership from "@guavatide/decisions/ownership/mod";
 import type { LifeCycle } from "../utils/life_cycle.ts";
-import type { PartLog } from "../utils/log.ts";
+import type { Logger } from "../utils/log.ts";
 import type { ObjectChange } from "./object_table.ts";
 import type { PeerRpc } from "./peer_rpc.ts";
 import { encodeMessage } from "./peer_codec.ts";
@@ -24,7 +24,7 @@
   readonly health: StoreHealth;
   readonly hasher: ownership.KeyHasher;
   readonly clock: contracts.Clock;
-  readonly log: PartLog;
+  readonly log: Logger;
   /** Whether this VM is a seed: other VMs contact it first when they join. */
   readonly isSeed: boolean;
   readonly isLeaving: () => boolean;
@@ -85,8 +85,8 @@
  */
 export class WatchRelay {
   readonly #options: WatchRelayOptions;
-  readonly #ranking: grants.DutyOrder;
-  readonly #election: cells.ReaderDuty;
+  readonly #ranking: grants.VmRanking;
+  readonly #election: cells.ReaderElection;
   readonly #watches = new Map<string, RelayedWatch>();
   readonly #batches = new Map<string, RelayedChanges[]>();
   #rankedVms: readonly contracts.VmId[] = [];
@@ -97,8 +97,8 @@
   constructor(options: WatchRelayOptions) {
     this.#options = options;
     const { gossip, rpc, hasher, self } = options;
-    this.#ranking = new grants.DutyOrder(hasher);
-    this.#election = new cells.ReaderDuty(self.vm);
+    this.#ranking = new grants.VmRanking(hasher);
+    this.#election = new cells.ReaderElection(self.vm);
     gossip.on(
       messages.CHANGES_METHOD,
       messages.storeChangesSchema,
@@ -135,7 +135,7 @@
     const ownHealthyMs = this.isReader && health.isReachable
       ? health.healthyMs
       : 0;
-    return Math.max(ownHealthyMs, this.#election.storeCalmMs(clock.nowMs()));
+    return Math.max(ownHealthyMs, this.#election.storeHealthyMs(clock.nowMs()));
   }
 
   /** Registers the watch of a prefix. */
@@ -212,9 +212,9 @@
     const nowMs = clock.nowMs();
     return {
       nowMs,
-      lifeMs: nowMs - this.#startedAtMs,
+      uptimeMs: nowMs - this.#startedAtMs,
       hasStore: health.isReachable,
-      order: this.#rankedCandidates(nowMs),
+      ranking: this.#rankedCandidates(nowMs),
       isSeed: isSeed || gossip.seedCount === 0,
     };
   }
@@ -225,9 +225,9 @@
     const { gossip, self } = this.#options;
     const reachable = gossip.live.filter(({ hasStore }) => hasStore);
     this.#rankedAtMs = nowMs;
-    this.#rankedVms = cells.readerOrder(
+    this.#rankedVms = cells.rankReaders(
       [self, ...reachable],
-      (vms) => this.#ranking.of("readers", [...vms].sort()),
+      (vms) => this.#ranking.rank("readers", [...vms].sort()),
     );
     return this.#rankedVms;
   }
@@ -237,11 +237,11 @@
     this.#isProbing = true;
     probeStore().then((isReached) => {
       this.#isProbing = false;
-      this.#election.noteTried(isReached, this.#view());
+      this.#election.noteAttempt(isReached, this.#view());
       if (this.isReader) this.#notifyRoleChange();
     }, (error) => {
       this.#isProbing = false;
-      this.#election.noteTried(false, this.#view());
+      this.#election.noteAttempt(false, this.#view());
       log.error("Probing the store failed.", { error: String(error) });
     });
   }
@@ -254,7 +254,7 @@
         : "No longer a reader of the store.",
       {
         peers: gossip.vmCount,
-        readers: this.#election.active(clock.nowMs()).map(({ vm }) => vm)
+        readers: this.#election.activeReaders(clock.nowMs()).map(({ vm }) => vm)
           .join(),
       },
     );
@@ -277,7 +277,7 @@
     { vm, storeCalmMs, positions }: messages.ReaderStatus,
   ): void {
     const receivedAtMs = this.#options.clock.nowMs();
-    this.#election.note({ vm, heardAtMs: receivedAtMs, storeCalmMs });
+    this.#election.noteReader({ vm, receivedAtMs: receivedAtMs, storeCalmMs });
     for (const [prefix, position] of Object.entries(positions)) {
       this.#watches.get(prefix)?.notePeerPosition(position, vm);
     }
--- a/packages/entry/src/gateway/wire_gateway.ts
+++ b/packages/entry/src/gateway/wire_gateway.ts
@@ -6,11 +6,11 @@
 import { MeteredStore } from "../metrics/metered_store.ts";
 import {
   MonotonicClock,
-  SuspensionClock,
+  SuspendAwareClock,
   SystemRandom,
 } from "../utils/clock.ts";
 import { LifeCycle } from "../utils/life_cycle.ts";
-import type { Log } from "../utils/log.ts";
+import type { LoggerFactory } from "../utils/log.ts";
 import { ColdStartLimits } from "./cold_start_limits.ts";
 import { ConfigHolder } from "./config_holder.ts";
 import { Forwarder } from "./forwarder.ts";
@@ -54,7 +54,7 @@
 export interface GatewayOptions {
   readonly settings: GatewaySettings;
   readonly adapter: PlatformAdapter;
-  readonly log: Log;
+  readonly log: LoggerFactory;
 }
 
 /** A running entry process. */
@@ -75,7 +75,7 @@
 async function createParts({ settings, adapter, log }: GatewayOptions) {
   const lifeCycle = new LifeCycle();
   const clock = new MonotonicClock();
-  const suspensionClock = new SuspensionClock();
+  const suspensionClock = new SuspendAwareClock();
   const random = new SystemRandom();
   const metrics = new GatewayMetrics(log.part("main"));
   const store = new MeteredStore(adapter.store, metrics.storeCalls);
--- a/packages/entry/src/gateway/zone_evacuations.ts
+++ b/packages/entry/src/gateway/zone_evacuations.ts
@@ -1,6 +1,6 @@
 /** Evacuated availability zones, whose backend servers must get no requests. */
 import type * as contracts from "@guavatide/contracts";
-import type { PartLog } from "../utils/log.ts";
+import type { Logger } from "../utils/log.ts";
 import type { ObjectChange } from "./object_table.ts";
 import type { PlatformAdapter } from "./platform_adapter.ts";
 
@@ -10,7 +10,7 @@
   /** Availability zones that the settings name. */
   readonly zones: ReadonlySet<contracts.ZoneId>;
   readonly clock: contracts.Clock;
-  readonly log: PartLog;
+  readonly log: Logger;
 }
 
 /** Receives the zones whose evacuation has ended; empty when none has. */
--- a/packages/entry/src/loads/load_task.ts
+++ b/packages/entry/src/loads/load_task.ts
@@ -5,11 +5,11 @@
  */
 import * as contracts from "@guavatide/contracts";
 import * as placement from "@guavatide/decisions/placement/mod";
-import type { LoadSource } from "../ownership/move_task.ts";
-import type { KeyedWork } from "../requests/request_metrics.ts";
+import type { LoadSource } from "../ownership/assignment_controller_task.ts";
+import type { KeyedRequestSample } from "../requests/request_metrics.ts";
 import type { LifeCycle } from "../utils/life_cycle.ts";
-import type { PeerDoor } from "../vms/peer_door.ts";
-import type { PeerLink } from "../vms/peer_link.ts";
+import type { PeerServer } from "../vms/peer_server.ts";
+import type { PeerClient } from "../vms/peer_client.ts";
 import type { HeartbeatParticipant } from "../vms/peer_task.ts";
 
 /** Method by which a VM reports a service's load to the holder of duty. */
@@ -18,10 +18,10 @@
 const REPORT_INTERVAL_MS = 1_000;
 const REPORT_TIMEOUT_MS = 500;
 /** Reports that may be missed before a VM's load no longer counts. */
-const STALE_AFTER_MS = 10_000;
+const REPORT_TTL_MS = 10_000;
 
 /** What is used of the link to a peer. */
-export type PeerCaller = Pick<PeerLink, "call">;
+export type PeerCaller = Pick<PeerClient, "call">;
 
 /** Options of {@link LoadTask}. */
 export interface LoadTaskOptions {
@@ -30,12 +30,12 @@
     readonly incarnation: contracts.Incarnation;
   };
   readonly peers: { link(vm: contracts.VmId): PeerCaller | undefined };
-  readonly door: Pick<PeerDoor, "register">;
+  readonly peerServer: Pick<PeerServer, "register">;
   readonly clock: contracts.Clock;
 }
 
 /** Whose slices the counts are told apart by. */
-export interface LoadOwners {
+export interface OwnershipSource {
   /** Services whose moves this VM plans now. */
   heldDuties(): contracts.ServiceId[];
   /** The assignment known of a service. */
@@ -47,12 +47,12 @@
   readonly #options: LoadTaskOptions;
   readonly #trackers = new Map<contracts.ServiceId, placement.LoadTracker>();
   readonly #books = new Map<contracts.ServiceId, placement.LoadAggregator>();
-  #owners: LoadOwners | undefined;
+  #owners: OwnershipSource | undefined;
   readonly #holders = new Map<contracts.ServiceId, contracts.VmId>();
 
   constructor(options: LoadTaskOptions) {
     this.#options = options;
-    options.door.register(
+    options.peerServer.register(
       LOAD_METHOD,
       contracts.serviceLoadSchema,
       (load) => this.#take(load),
@@ -60,7 +60,7 @@
   }
 
   /** Takes slices and duties from the ownership task. */
-  follow(owners: LoadOwners): void {
+  setOwnershipSource(owners: OwnershipSource): void {
     this.#owners = owners;
   }
 
@@ -70,7 +70,7 @@
   }
 
   /** Counts one answered request. */
-  record(work: KeyedWork): void {
+  recordRequest(work: KeyedRequestSample): void {
     const slices = this.#owners?.assignment(work.service)?.slices;
     if (slices === undefined) return;
     const slice = slices[placement.findSlice(slices, work.keyHash)];
@@ -78,11 +78,11 @@
     const { fromHash, toHash } = slice;
     const tracker = this.#tracker(work.service);
     tracker.record({ fromHash, toHash, keyHash: work.keyHash });
-    if (work.foundSlotFree) tracker.recordServiceTime(work.server, work.workMs);
+    if (work.hadFreeSlot) tracker.recordServiceTime(work.server, work.workMs);
   }
 
   /** Where the planner of a service reads its figures. */
-  source(service: contracts.ServiceId): LoadSource {
+  loadSource(service: contracts.ServiceId): LoadSource {
     return {
       estimate: (slices) => this.#book(service).estimate(slices, this.#now()),
       speeds: () => this.#book(service).speeds(this.#now()),
@@ -154,7 +154,7 @@
   #book(service: contracts.ServiceId): placement.LoadAggregator {
     const known = this.#books.get(service);
     if (known !== undefined) return known;
-    const book = new placement.LoadAggregator(STALE_AFTER_MS);
+    const book = new placement.LoadAggregator(REPORT_TTL_MS);
     this.#books.set(service, book);
     return book;
   }
--- a/packages/entry/src/loads/load_task_test.ts
+++ b/packages/entry/src/loads/load_task_test.ts
@@ -26,10 +26,10 @@
 } as unknown as contracts.Assignment;
 
 /** Entry VMs whose links call one another's handlers at once. */
-class Fleet {
+class EntryVmCluster {
   readonly tasks = new Map<string, LoadTask>();
   readonly #handlers = new Map<string, (params: unknown) => unknown>();
-  holder = "";
+  leader = "";
   nowMs = 0;
 
   constructor(vms: readonly string[]) {
@@ -37,13 +37,13 @@
   }
 
   /** A beat's answer of the present holder reaches every VM. */
-  tellHolder(): void {
+  announceLeader(): void {
     for (const vm of this.tasks.keys()) {
       const known = [{
         service: SERVICE,
         revision: 1,
         settled: true,
-        holdsDuty: vm === this.holder ? true : undefined,
+        holdsDuty: vm === this.leader ? true : undefined,
       }];
       for (const task of this.tasks.values()) {
         task.noteReply(
@@ -53,14 +53,14 @@
     }
   }
 
-  work(vm: string, keyHash: number, requests: number): void {
+  recordRequests(vm: string, keyHash: number, requests: number): void {
     for (let i = 0; i < requests; i++) {
-      this.tasks.get(vm)!.record({
+      this.tasks.get(vm)!.recordRequest({
         service: SERVICE,
         server: (keyHash < HALF ? "s1" : "s2") as contracts.ServerId,
         keyHash,
         workMs: 5,
-        foundSlotFree: true,
+        hadFreeSlot: true,
       });
     }
   }
@@ -77,7 +77,7 @@
         incarnation: `${vm}-run` as contracts.Incarnation,
       },
       peers: { link: (peer) => this.#link(peer) },
-      door: {
+      peerServer: {
         register: (method, schema, handler) => {
           const handle = (params: unknown) =>
             handler(schema.parse(params) as z.infer<typeof schema>);
@@ -86,8 +86,8 @@
       },
       clock: { nowMs: () => this.nowMs },
     });
-    task.follow({
-      heldDuties: () => this.holder === vm ? [SERVICE] : [],
+    task.setOwnershipSource({
+      heldDuties: () => this.leader === vm ? [SERVICE] : [],
       assignment: () => ASSIGNMENT,
     });
     return task;
@@ -104,15 +104,15 @@
 }
 
 test("should give the planner the load of all entry VMs", () => {
-  const fleet = new Fleet(["a", "b", "c"]);
-  fleet.holder = "a";
-  fleet.tellHolder();
-  fleet.work("a", 7, 10);
-  fleet.work("b", 7, 20);
-  fleet.work("c", HALF + 7, 10);
+  const fleet = new EntryVmCluster(["a", "b", "c"]);
+  fleet.leader = "a";
+  fleet.announceLeader();
+  fleet.recordRequests("a", 7, 10);
+  fleet.recordRequests("b", 7, 20);
+  fleet.recordRequests("c", HALF + 7, 10);
   fleet.reportAll();
   const planner = fleet.tasks.get("a")!;
-  const { slices } = planner.source(SERVICE).estimate(ASSIGNMENT.slices);
+  const { slices } = planner.loadSource(SERVICE).estimate(ASSIGNMENT.slices);
   expect(Math.round(slices[0]! / slices[1]!)).toEqual(3);
   expect(planner.imbalance(SERVICE)?.toFixed(3)).toEqual("1.500");
   expect(fleet.tasks.get("b")!.imbalance(SERVICE)).toEqual(undefined);
@@ -122,15 +122,15 @@
 // went to the old one, the new planner would see an idle service and even out
 // nothing, or take a busy server for a free one.
 test("should report to the next holder of control duty", () => {
-  const fleet = new Fleet(["a", "b"]);
-  fleet.holder = "a";
-  fleet.tellHolder();
-  fleet.work("a", 7, 10);
+  const fleet = new EntryVmCluster(["a", "b"]);
+  fleet.leader = "a";
+  fleet.announceLeader();
+  fleet.recordRequests("a", 7, 10);
   fleet.reportAll();
-  fleet.holder = "b";
-  fleet.tellHolder();
+  fleet.leader = "b";
+  fleet.announceLeader();
   fleet.reportAll();
-  const { requestsPerSecond } = fleet.tasks.get("b")!.source(SERVICE)
+  const { requestsPerSecond } = fleet.tasks.get("b")!.loadSource(SERVICE)
     .estimate(ASSIGNMENT.slices);
   expect(requestsPerSecond > 0).toEqual(true);
 });
--- a/packages/entry/src/metrics/metered_moves.ts
+++ b/packages/entry/src/metrics/metered_moves.ts
@@ -4,21 +4,24 @@
  */
 import type * as contracts from "@guavatide/contracts";
 import type { SliceChange } from "@guavatide/decisions/ownership/mod";
-import type { MovedSteps, MoveRecord } from "../ownership/service_context.ts";
+import type {
+  AssignmentSteps,
+  MoveRecorder,
+} from "../ownership/service_context.ts";
 import type { Metrics } from "./metrics.ts";
 
 /** A record of handovers that counts their steps. */
-export class MeteredMoves implements MoveRecord {
-  readonly #record: MoveRecord;
+export class MeteredMoves implements MoveRecorder {
+  readonly #record: MoveRecorder;
   readonly #metrics: Metrics;
   readonly #handoverStartedMs = new Map<string, number>();
 
-  constructor(record: MoveRecord, metrics: Metrics) {
+  constructor(record: MoveRecorder, metrics: Metrics) {
     this.#record = record;
     this.#metrics = metrics;
   }
 
-  noteSteps(moved: MovedSteps): void {
+  noteSteps(moved: AssignmentSteps): void {
     this.#record.noteSteps(moved);
     for (const step of moved.steps) this.#count(moved.service, step);
   }
--- a/packages/entry/src/metrics/state_gauges.ts
+++ b/packages/entry/src/metrics/state_gauges.ts
@@ -64,7 +64,7 @@
     "Age of the evidence by which leases are renewed",
     (result) => {
       for (const { name } of config.services()) {
-        const ageMs = owners.evidenceAgeMs(name);
+        const ageMs = owners.confirmationAgeMs(name);
         if (ageMs !== undefined) result.observe(ageMs, { service: name });
       }
     },
--- a/packages/entry/src/ownership/move_task.ts
+++ b/packages/entry/src/ownership/assignment_controller_task.ts
@@ -6,17 +6,17 @@
 import * as contracts from "@guavatide/contracts";
 import * as ownership from "@guavatide/decisions/ownership/mod";
 import * as placement from "@guavatide/decisions/placement/mod";
-import type { PartLog } from "../utils/log.ts";
-import { KeeperReview } from "./keeper_review.ts";
-import type { OrderTask } from "./order_task.ts";
-import type { ServiceContext, TimedReceipt } from "./service_context.ts";
+import type { Logger } from "../utils/log.ts";
+import { VoterReview } from "./voter_review.ts";
+import type { LeaseCommandTask } from "./lease_command_task.ts";
+import type { ServiceContext, TimedReply } from "./service_context.ts";
 
 /** Time that listed servers have to answer before the first assignment. */
-const FIRST_MEETING_MS = 5_000;
+const BOOTSTRAP_TIMEOUT_MS = 5_000;
 /** Two reads of the VM list: a VM that has just started sees nobody on it. */
-const LEAST_MEETING_MS = 2_000;
-const KEEPER_REVIEW_MS = 250;
-const LOSS_PLAN_MS = 50;
+const MIN_BOOTSTRAP_WAIT_MS = 2_000;
+const VOTER_REVIEW_INTERVAL_MS = 250;
+const FAILURE_PLAN_INTERVAL_MS = 50;
 
 /** Where the planner's load figures come from. */
 export interface LoadSource {
@@ -30,9 +30,9 @@
   speeds: () => new Map(),
 };
 
-/** Options of {@link MoveTask}. */
-export interface MoveTaskOptions {
-  readonly orders: OrderTask;
+/** Options of {@link AssignmentControllerTask}. */
+export interface AssignmentControllerTaskOptions {
+  readonly leaseCommands: LeaseCommandTask;
   readonly load: LoadSource;
   /** Servers that run requests of this VM and check no fences. */
   busyServers(): contracts.ServerId[];
@@ -41,18 +41,18 @@
 }
 
 /** A peer that told something. */
-export interface TellingPeer {
+export interface PeerIdentity {
   readonly vm: contracts.VmId;
   readonly incarnation: contracts.Incarnation;
 }
 
 /** Moves one service's slices. */
-export class MoveTask {
+export class AssignmentControllerTask {
   readonly #context: ServiceContext;
-  readonly #options: MoveTaskOptions;
-  readonly #log: PartLog;
+  readonly #options: AssignmentControllerTaskOptions;
+  readonly #log: Logger;
   readonly #mover: ownership.AssignmentController;
-  readonly #keepers: KeeperReview;
+  readonly #keepers: VoterReview;
   #planner: placement.Planner | undefined;
   #plannerFor = "";
   #ownersOf: contracts.Assignment | undefined;
@@ -66,17 +66,20 @@
   #lossesAtMs = Number.NEGATIVE_INFINITY;
   #planAtMs = Number.NEGATIVE_INFINITY;
 
-  constructor(context: ServiceContext, options: MoveTaskOptions) {
+  constructor(
+    context: ServiceContext,
+    options: AssignmentControllerTaskOptions,
+  ) {
     this.#context = context;
     this.#options = options;
     this.#log = context.log.part("place");
-    this.#keepers = new KeeperReview(context);
+    this.#keepers = new VoterReview(context);
     const { service, peers, timings } = context;
     this.#mover = new ownership.AssignmentController(
       { service, ...peers.self },
       timings,
     );
-    options.orders.onAnswer((answer) => this.#mover.noteReply(answer));
+    options.leaseCommands.onReply((answer) => this.#mover.noteReply(answer));
   }
 
   /**
@@ -84,7 +87,7 @@
    * answered; absent when it told by itself.
    */
   notePeer(
-    peer: TellingPeer,
+    peer: PeerIdentity,
     known: contracts.KnownRevision,
     askedAtMs?: number,
   ): void {
@@ -92,7 +95,7 @@
     const { vm, incarnation } = peer;
     const { revision } = known;
     const report = { vm, incarnation, revision, nowMs };
-    this.#keepers.noteSettled(vm, known.settled);
+    this.#keepers.noteHasReadStore(vm, known.settled);
     this.#mover.noteAck({ ...report, requestedAtMs: askedAtMs });
     const busyServers = known.busyServers ?? [];
     this.#mover.noteUnfencedRequests({ ...report, busyServers });
@@ -104,7 +107,7 @@
     if (!holdsDuty) return;
     const { peers, known, random } = this.#context;
     this.#mover.noteNewerRevision(known.revision);
-    const own = known.known();
+    const own = known.knownRevision();
     const busyServers = this.#options.busyServers();
     this.notePeer(peers.self, { ...own, busyServers }, Infinity);
     this.#reviewKeepers(nowMs);
@@ -116,7 +119,7 @@
       random,
       isLive: (server) => this.#stateOf(server) === "live",
       checksFences: (server) =>
-        this.#options.orders.facts(server)?.checksFences,
+        this.#options.leaseCommands.status(server)?.checksFences,
       entryVms: peers.all(),
     });
     if (effect?.kind === "read") void this.#read();
@@ -129,7 +132,7 @@
     this.#planner = undefined;
     this.#plannerFor = "";
     this.#mover.reset();
-    this.#options.orders.orderAll(isOn);
+    this.#options.leaseCommands.setTargetAll(isOn);
   }
 
   async #read(): Promise<void> {
@@ -182,36 +185,36 @@
     keepers.delete(peers.self.vm);
     const live = peers.live().filter((vm) => keepers.has(vm));
     const answers = live.map(async (vm) => {
-      this.#noteReceipt(await peers.ask(vm, service));
+      this.#noteReceipt(await peers.fetchKnownRevision(vm, service));
     });
     void Promise.all(answers).then(() => {
       this.#isAsking = false;
     });
   }
 
-  #noteReceipt(receipt: TimedReceipt | undefined): void {
+  #noteReceipt(receipt: TimedReply | undefined): void {
     if (receipt === undefined) return;
-    this.notePeer(receipt, receipt.known, receipt.askedAtMs);
+    this.notePeer(receipt, receipt.known, receipt.requestedAtMs);
     this.#hurryOrders();
   }
 
   #hurryOrders(): void {
-    const { orders } = this.#options;
-    orders.hurry(this.#mover.takeUrgentServers());
+    const { leaseCommands: orders } = this.#options;
+    orders.markUrgent(this.#mover.takeUrgentServers());
     // Asked again and again until the last request of the slice is over.
-    orders.hurry(this.#mover.vacatingServers());
+    orders.markUrgent(this.#mover.vacatingServers());
   }
 
   #reviewKeepers(nowMs: number): void {
-    if (nowMs < this.#keepersAtMs + KEEPER_REVIEW_MS) return;
+    if (nowMs < this.#keepersAtMs + VOTER_REVIEW_INTERVAL_MS) return;
     this.#keepersAtMs = nowMs;
     const review = this.#keepers.review(nowMs);
-    this.#keeperCount = review.keepers.length;
-    this.#mover.noteRemovedVms(review.gone, nowMs);
+    this.#keeperCount = review.voters.length;
+    this.#mover.noteRemovedVms(review.removed, nowMs);
     this.#mover.keepMembers(this.#context.peers.all());
     this.#mover.requestTimings(this.#context.timings);
-    if (review.keepers.length === 0) return;
-    this.#mover.requestVoters(review.keepers);
+    if (review.voters.length === 0) return;
+    this.#mover.requestVoters(review.voters);
   }
 
   #plan(nowMs: number): void {
@@ -225,7 +228,7 @@
       this.#lossesAtMs = nowMs;
       return this.#request(planner.plan(this.#input(assignment, nowMs)));
     }
-    if (nowMs < this.#lossesAtMs + LOSS_PLAN_MS) return;
+    if (nowMs < this.#lossesAtMs + FAILURE_PLAN_INTERVAL_MS) return;
     this.#lossesAtMs = nowMs;
     if (!this.#isLossPossible(assignment)) return;
     this.#request(planner.planEvacuations(this.#input(assignment, nowMs)));
@@ -277,10 +280,10 @@
 
   #planFirst(planner: placement.Planner, nowMs: number): void {
     if (!this.#mover.isAbsent || this.#context.known.revision > 0) return;
-    const listed = this.#options.orders.addresses()
+    const listed = this.#options.leaseCommands.addresses()
       .filter(({ state }) => state === "live");
     const met = listed.filter(({ server }) => this.#stateOf(server) === "live");
-    const isPatient = nowMs < this.#onSinceMs + FIRST_MEETING_MS;
+    const isPatient = nowMs < this.#onSinceMs + BOOTSTRAP_TIMEOUT_MS;
     const isWhole = met.length === listed.length && this.#areKeepersMet(nowMs);
     if (met.length === 0 || (!isWhole && isPatient)) return;
     const servers = met.map(({ server }) => server).sort();
@@ -301,7 +304,7 @@
    * that VM lost before the set has grown no key could move any more.
    */
   #areKeepersMet(nowMs: number): boolean {
-    if (nowMs < this.#onSinceMs + LEAST_MEETING_MS) return false;
+    if (nowMs < this.#onSinceMs + MIN_BOOTSTRAP_WAIT_MS) return false;
     this.#keepersAtMs = Number.NEGATIVE_INFINITY;
     this.#reviewKeepers(nowMs);
     const listed = this.#context.peers.listed()?.size ?? Infinity;
@@ -315,7 +318,7 @@
     const { slices } = assignment;
     const speeds = this.#options.load.speeds();
     const servers: placement.PlacementServer[] = [];
-    for (const { server, zone } of this.#options.orders.addresses()) {
+    for (const { server, zone } of this.#options.leaseCommands.addresses()) {
       const state = this.#stateOf(server);
       if (state === "unmet") continue;
       const speed = speeds.get(server);
@@ -333,9 +336,9 @@
   #stateOf(
     server: contracts.ServerId,
   ): placement.PlacementServer["state"] | "unmet" {
-    const { orders } = this.#options;
+    const { leaseCommands: orders } = this.#options;
     if (orders.isLost(server)) return "lost";
-    const facts = orders.facts(server);
+    const facts = orders.status(server);
     const listed = this.#context.servers.server(server);
     if (facts?.draining === true) return "leaving";
     if (listed !== undefined && listed.state !== "live") return "leaving";
@@ -365,9 +368,9 @@
       });
     }
     const steps = isWritten ? effect.changes : [];
-    this.#context.moveRecord.noteSteps({ service, revision, steps });
+    this.#context.moveRecorder.noteSteps({ service, revision, steps });
     for (const step of steps) {
-      this.#log.info(`slice ${SENTENCES[step.step]}`, {
+      this.#log.info(`slice ${CHANGE_TEXTS[step.step]}`, {
         service,
         slice: step.slice,
         from: step.from.join() || undefined,
@@ -379,7 +382,7 @@
   }
 }
 
-const SENTENCES = {
+const CHANGE_TEXTS = {
   vacate: "taken from its owner",
   settle: "given to its next owner",
   redirect: "gets another next owner",
--- a/packages/entry/src/ownership/evidence_task.ts
+++ b/packages/entry/src/ownership/assignment_refresh_task.ts
@@ -5,15 +5,15 @@
  */
 import type { ServiceContext } from "./service_context.ts";
 
-const COMPARE_INTERVAL_MS = 10_000;
-const HINTED_INTERVAL_MS = 300;
+const POLL_INTERVAL_MS = 10_000;
+const MIN_REQUESTED_READ_INTERVAL_MS = 300;
 const RETRY_MIN_MS = 200;
 const RETRY_MAX_MS = 2_000;
 /** Part of the evidence's life after which the store is asked as well. */
-const WEAK_PART = 0.6;
+const REFRESH_AGE_RATIO = 0.6;
 
 /** Keeps one service's knowledge and evidence fresh. */
-export class EvidenceTask {
+export class AssignmentRefreshTask {
   readonly #context: ServiceContext;
   /** Whether this process acts on evidence: renews or forwards by it. */
   readonly #needsEvidence: () => boolean;
@@ -31,7 +31,7 @@
   }
 
   /** There may be a newer revision than the one known. */
-  hint(): void {
+  requestRead(): void {
     this.#isHinted = true;
   }
 
@@ -42,8 +42,9 @@
 
   #isDue(nowMs: number): boolean {
     const { known } = this.#context;
-    if (!known.settled || nowMs >= this.#compareAtMs) return true;
-    const isLately = nowMs < this.#lastReadAtMs + HINTED_INTERVAL_MS;
+    if (!known.hasReadStore || nowMs >= this.#compareAtMs) return true;
+    const isLately =
+      nowMs < this.#lastReadAtMs + MIN_REQUESTED_READ_INTERVAL_MS;
     if (this.#isHinted && !isLately) return true;
     return this.#needsEvidence() && this.#isWeak(nowMs);
   }
@@ -51,8 +52,8 @@
   #isWeak(nowMs: number): boolean {
     const { known } = this.#context;
     if (known.assignment === undefined) return false;
-    const weakMs = known.timings.evidenceMs * WEAK_PART;
-    return nowMs >= known.evidenceAskedAtMs(nowMs) + weakMs;
+    const weakMs = known.timings.evidenceMs * REFRESH_AGE_RATIO;
+    return nowMs >= known.confirmedAtMs(nowMs) + weakMs;
   }
 
   async #read(): Promise<void> {
@@ -81,6 +82,6 @@
   }
 
   #compareDelayMs(): number {
-    return COMPARE_INTERVAL_MS * (0.5 + this.#context.random.next());
+    return POLL_INTERVAL_MS * (0.5 + this.#context.random.next());
   }
 }
--- a/packages/entry/src/ownership/assignment_store.ts
+++ b/packages/entry/src/ownership/assignment_store.ts
@@ -65,11 +65,11 @@
         sentAtMs,
       };
     }
-    return { write: { kind: KINDS[result.error.kind] }, sentAtMs };
+    return { write: { kind: WRITE_RESULT_KINDS[result.error.kind] }, sentAtMs };
   }
 }
 
-const KINDS = {
+const WRITE_RESULT_KINDS = {
   "conflict": "conflict",
   "not-found": "conflict",
   "refused": "refused",
--- a/packages/entry/src/ownership/fake_servers_test.ts
+++ b/packages/entry/src/ownership/fake_servers_test.ts
@@ -7,12 +7,12 @@
 /** One server; it holds slices for as long as its lease lasts. */
 export class FakeServer implements ServerControl {
   readonly address: ServerAddress;
-  isSilent = false;
+  isUnresponsive = false;
   isDraining = false;
   checksFences = true;
   /** Requests that still run in slices that were let go. */
-  stillRunning = 0;
-  orders = 0;
+  requestsInFlight = 0;
+  commandCount = 0;
   #revision = 0;
   #slices: readonly contracts.LeasedSlice[] = [];
   #released: contracts.LeaseCommandReply["releasing"] = [];
@@ -30,7 +30,7 @@
   }
 
   /** Slices held under a lease that has not ended. */
-  get held(): readonly contracts.LeasedSlice[] {
+  get leasedSlices(): readonly contracts.LeasedSlice[] {
     return performance.now() < this.#leaseEndMs ? this.#slices : [];
   }
 
@@ -40,15 +40,15 @@
     contracts.LeaseCommandReply,
     contracts.ServerCallError
   > {
-    this.orders++;
-    if (this.isSilent) {
+    this.commandCount++;
+    if (this.isUnresponsive) {
       return neverthrow.errAsync({ kind: "timeout", message: "Silent" });
     }
     const isStale = order.revision < this.#revision;
     const isAccepted = !isStale && order.stampInstance === "run-1";
     if (!isStale) this.#apply(order, isAccepted);
     const releasing = this.#released
-      .map(({ slice }) => ({ slice, inFlight: this.stillRunning }))
+      .map(({ slice }) => ({ slice, inFlight: this.requestsInFlight }))
       .filter(({ inFlight }) => inFlight > 0);
     return neverthrow.okAsync({
       instance: "run-1",
--- a/packages/entry/src/ownership/forward_counter.ts
+++ b/packages/entry/src/ownership/in_flight_requests.ts
@@ -5,7 +5,7 @@
 import type * as contracts from "@guavatide/contracts";
 
 /** Counts requests from before they leave until they are over. */
-export class ForwardCounter {
+export class InFlightRequests {
   readonly #inFlight = new Map<contracts.ServerId, number>();
 
   /** Counts a request until `done`; a second `done` does nothing. */
--- a/packages/entry/src/ownership/known_assignment.ts
+++ b/packages/entry/src/ownership/known_assignment.ts
@@ -4,21 +4,21 @@
  */
 import type * as contracts from "@guavatide/contracts";
 import * as ownership from "@guavatide/decisions/ownership/mod";
-import type { PartLog } from "../utils/log.ts";
+import type { Logger } from "../utils/log.ts";
 
 /** Options of {@link KnownAssignment}. */
 export interface KnownAssignmentOptions {
   readonly vm: contracts.VmId;
   readonly service: contracts.ServiceId;
   readonly settings: ownership.OwnershipSettings;
-  readonly log: PartLog;
+  readonly log: Logger;
 }
 
 /** One service's assignment as known here; its revision never falls. */
 export class KnownAssignment {
   readonly service: contracts.ServiceId;
   readonly #book: ownership.AssignmentTracker;
-  readonly #log: PartLog;
+  readonly #log: Logger;
   readonly #listeners = new Set<() => void>();
   #slices: ownership.SliceMap | undefined;
   #keepers: readonly contracts.VmId[] = [];
@@ -52,16 +52,16 @@
   }
 
   /** Whether this process has read the store since its start. */
-  get settled(): boolean {
+  get hasReadStore(): boolean {
     return this.#book.mayVote;
   }
 
   /** The keepers in force. */
-  get keepers(): readonly contracts.VmId[] {
+  get voters(): readonly contracts.VmId[] {
     return this.#keepers;
   }
 
-  known(): contracts.KnownRevision {
+  knownRevision(): contracts.KnownRevision {
     return this.#book.knownRevision();
   }
 
@@ -84,19 +84,19 @@
     this.#book.noteStoreAbsent();
   }
 
-  noteAnswer(answer: ownership.VoterReply): void {
+  noteVoterReply(answer: ownership.VoterReply): void {
     this.#book.noteVoterReply(answer);
   }
 
-  dropEvidence(): void {
+  dropConfirmations(): void {
     this.#book.dropConfirmations();
   }
 
-  evidenceAskedAtMs(nowMs: number): number {
+  confirmedAtMs(nowMs: number): number {
     return this.#book.confirmedAtMs(nowMs);
   }
 
-  hasEvidence(nowMs: number): boolean {
+  isConfirmed(nowMs: number): boolean {
     return this.#book.isConfirmed(nowMs);
   }
 
--- a/packages/entry/src/ownership/duty_task.ts
+++ b/packages/entry/src/ownership/leader_election_task.ts
@@ -1,12 +1,12 @@
 /** Keeps, takes over and hands back the duty lease of one service. */
 import * as ownership from "@guavatide/decisions/ownership/mod";
-import type { PartLog } from "../utils/log.ts";
+import type { Logger } from "../utils/log.ts";
 import type { ServiceContext } from "./service_context.ts";
 
 /** Part of one VM in the duty of planning one service's moves. */
-export class DutyTask {
+export class LeaderElectionTask {
   readonly #context: ServiceContext;
-  readonly #log: PartLog;
+  readonly #log: Logger;
   readonly #lease: ownership.LeaderLease;
   readonly #name: string;
   #wasHolding = false;
@@ -23,7 +23,7 @@
   }
 
   /** Whether this VM holds the duty now. */
-  get holds(): boolean {
+  get isLeader(): boolean {
     return this.#lease.isLeader(this.#context.clock.nowMs());
   }
 
@@ -58,7 +58,7 @@
       timeoutMs: timings.storeTimeoutMs,
     });
     const read = result.match(
-      ({ value, version }) => toRead(value, version),
+      ({ value, version }) => parseLeaderRecord(value, version),
       (error): ownership.LeaderRecordRead => ({
         kind: error.kind === "not-found" ? "absent" : "unavailable",
       }),
@@ -101,7 +101,10 @@
   }
 }
 
-function toRead(value: string, version: string): ownership.LeaderRecordRead {
+function parseLeaderRecord(
+  value: string,
+  version: string,
+): ownership.LeaderRecordRead {
   try {
     const record = ownership.leaderRecordSchema.parse(JSON.parse(value));
     return { kind: "found", record, version };
--- a/packages/entry/src/ownership/order_task.ts
+++ b/packages/entry/src/ownership/lease_command_task.ts
@@ -6,44 +6,44 @@
 import type * as contracts from "@guavatide/contracts";
 import * as ownership from "@guavatide/decisions/ownership/mod";
 import type { ServerAddress } from "../contracts/views.ts";
-import type { PartLog } from "../utils/log.ts";
+import type { Logger } from "../utils/log.ts";
 import type { ServerControl, ServiceContext } from "./service_context.ts";
 
 /** Time a server has to answer an order; a later answer is of no use. */
-const ORDER_TIMEOUT_MS = 800;
-const JUDGE_MS = 100;
+const COMMAND_TIMEOUT_MS = 800;
+const FAILURE_CHECK_INTERVAL_MS = 100;
 /** How long the address of an unlisted server is kept without an answer. */
-const UNLISTED_MS = 60_000;
+const UNLISTED_TTL_MS = 60_000;
 
 /** The keepers that renew one server. */
 interface Renewers {
   /** Whether this VM is one of them. */
-  readonly isOwn: boolean;
+  readonly includesSelf: boolean;
   readonly others: readonly contracts.VmId[];
 }
 
 /** What the renewers were chosen from. */
-interface ChosenFor {
+interface RenewerInputs {
   readonly live: readonly contracts.VmId[];
-  readonly keepers: readonly contracts.VmId[];
+  readonly voters: readonly contracts.VmId[];
 }
 
-interface Contact {
+interface ServerEndpoint {
   readonly address: ServerAddress;
   readonly control: ServerControl;
 }
 
 /** Owns the control links to one service's servers. */
-export class OrderTask {
+export class LeaseCommandTask {
   readonly #context: ServiceContext;
-  readonly #log: PartLog;
+  readonly #log: Logger;
   readonly #book: ownership.LeaseCommandScheduler;
   readonly #detector: ownership.FailureDetector;
-  readonly #contacts = new Map<contracts.ServerId, Contact>();
+  readonly #contacts = new Map<contracts.ServerId, ServerEndpoint>();
   readonly #lost = new Set<contracts.ServerId>();
   readonly #unlistedSinceMs = new Map<contracts.ServerId, number>();
   #renewers = new Map<contracts.ServerId, Renewers>();
-  #chosenFor: ChosenFor = { live: [], keepers: [] };
+  #chosenFor: RenewerInputs = { live: [], voters: [] };
   /** Servers that this VM sends orders to. */
   #targets: readonly contracts.ServerId[] = [];
   #listed: readonly ServerAddress[] = [];
@@ -65,21 +65,21 @@
   }
 
   /** Calls back with each answered order. */
-  onAnswer(callback: (answer: ownership.AnsweredCommand) => void): void {
+  onReply(callback: (answer: ownership.AnsweredCommand) => void): void {
     this.#onAnswer = callback;
   }
 
   /** Sends to all servers, or only to those that this VM renews. */
-  orderAll(isOn: boolean): void {
+  setTargetAll(isOn: boolean): void {
     this.#ordersAll = isOn;
     this.#chooseTargets();
   }
 
-  hurry(servers: Iterable<contracts.ServerId>): void {
+  markUrgent(servers: Iterable<contracts.ServerId>): void {
     this.#book.markUrgent(servers);
   }
 
-  facts(server: contracts.ServerId): ownership.ServerStatus | undefined {
+  status(server: contracts.ServerId): ownership.ServerStatus | undefined {
     return this.#book.status(server);
   }
 
@@ -93,13 +93,15 @@
   }
 
   /** Servers that do not answer, to tell peers. */
-  silentServers(nowMs: number): NonNullable<contracts.KnownRevision["silent"]> {
+  unresponsiveServers(
+    nowMs: number,
+  ): NonNullable<contracts.KnownRevision["silent"]> {
     return [...this.#detector.unresponsiveServers(nowMs)]
       .map(([server, silentMs]) => ({ server, silentMs }));
   }
 
   /** A peer told which servers do not answer it. */
-  notePeer(vm: contracts.VmId, known: contracts.KnownRevision): void {
+  notePeerReport(vm: contracts.VmId, known: contracts.KnownRevision): void {
     const silent = new Map(
       known.silent?.map(({ server, silentMs }) => [server, silentMs]),
     );
@@ -117,7 +119,7 @@
       revision: Math.max(1, known.revision),
       slices: known.slices,
       timings: known.timings,
-      confirmedAtMs: known.evidenceAskedAtMs(nowMs),
+      confirmedAtMs: known.confirmedAtMs(nowMs),
       servers: this.#targets,
     });
     for (const order of orders) void this.#send(order, nowMs);
@@ -139,7 +141,7 @@
     if (contact === undefined) return this.#book.noteFailure(server);
     this.#detector.noteRequest(server, sentAtMs);
     const result = await contact.control.sendLeaseCommand(order, {
-      timeoutMs: ORDER_TIMEOUT_MS,
+      timeoutMs: COMMAND_TIMEOUT_MS,
     });
     if (result.isErr()) {
       this.#log.debug("order not answered", {
@@ -200,7 +202,7 @@
     const sinceMs = this.#unlistedSinceMs.get(server) ?? nowMs;
     this.#unlistedSinceMs.set(server, sinceMs);
     const isTarget = this.#targets.includes(server);
-    return !isTarget && nowMs >= sinceMs + UNLISTED_MS;
+    return !isTarget && nowMs >= sinceMs + UNLISTED_TTL_MS;
   }
 
   #drop(server: contracts.ServerId): void {
@@ -215,7 +217,7 @@
 
   #meet(address: ServerAddress): void {
     const known = this.#contacts.get(address.server);
-    if (known === undefined || !isSamePlace(known.address, address)) {
+    if (known === undefined || !isSameAddress(known.address, address)) {
       void known?.control.close();
       const control = this.#context.connect(address);
       this.#contacts.set(address.server, { address, control });
@@ -230,11 +232,11 @@
   #refreshRenewers(): void {
     const { peers, known } = this.#context;
     const live = peers.live();
-    const { keepers } = known;
+    const { voters: keepers } = known;
     const isSame = live === this.#chosenFor.live &&
-      keepers === this.#chosenFor.keepers && !this.#isContactChange;
+      keepers === this.#chosenFor.voters && !this.#isContactChange;
     if (isSame) return;
-    this.#chosenFor = { live, keepers };
+    this.#chosenFor = { live, voters: keepers };
     this.#isContactChange = false;
     const present = keepers.filter((vm) => live.includes(vm));
     const chosen = present.length > 0 ? present : live;
@@ -255,14 +257,14 @@
     const ranked = ownership.rendezvousOrder(server, vms, { hasher })
       .slice(0, timings.renewersPerServer);
     const others = ranked.filter((vm) => vm !== peers.self.vm);
-    return { isOwn: others.length < ranked.length, others };
+    return { includesSelf: others.length < ranked.length, others };
   }
 
   #chooseTargets(): void {
     const servers = [...this.#contacts.keys()];
     this.#targets = this.#ordersAll
       ? servers
-      : servers.filter((server) => this.#renewers.get(server)?.isOwn);
+      : servers.filter((server) => this.#renewers.get(server)?.includesSelf);
     this.#forgetOthers(this.#targets);
   }
 
@@ -277,7 +279,7 @@
 
   /** Only servers that this VM sends orders to; of others it knows nothing. */
   #judge(nowMs: number): void {
-    if (nowMs < this.#judgedAtMs + JUDGE_MS) return;
+    if (nowMs < this.#judgedAtMs + FAILURE_CHECK_INTERVAL_MS) return;
     this.#judgedAtMs = nowMs;
     for (const server of this.#targets) {
       const otherRenewers = this.#renewers.get(server)?.others ?? [];
@@ -302,6 +304,6 @@
   }
 }
 
-function isSamePlace(left: ServerAddress, right: ServerAddress): boolean {
+function isSameAddress(left: ServerAddress, right: ServerAddress): boolean {
   return left.host === right.host && left.port === right.port;
 }
--- a/packages/entry/src/ownership/peer_view.ts
+++ b/packages/entry/src/ownership/membership_peer_view.ts
@@ -2,13 +2,13 @@
 import * as contracts from "@guavatide/contracts";
 import type * as decisions from "@guavatide/decisions";
 import type { PeerTask } from "../vms/peer_task.ts";
-import type { PeerView, TimedReceipt } from "./service_context.ts";
+import type { PeerView, TimedReply } from "./service_context.ts";
 
 /** Peer method that takes in an assignment and answers what is known then. */
 export const ASSIGNMENT_METHOD = "assignment";
 
 /** Peer method that answers which assignment revision is known. */
-export const KNOWN_METHOD = "known-revision";
+export const KNOWN_REVISION_METHOD = "known-revision";
 
 /** Options of {@link MembershipPeerView}. */
 export interface MembershipPeerViewOptions {
@@ -20,7 +20,7 @@
 }
 
 /** Longest time for which lists of members are kept. */
-const LISTS_MS = 1_000;
+const MEMBER_LISTS_TTL_MS = 1_000;
 
 interface MemberLists {
   readonly live: readonly contracts.VmId[];
@@ -36,7 +36,7 @@
 
   constructor(options: MembershipPeerViewOptions) {
     this.#options = options;
-    options.peers.onMember(() => {
+    options.peers.onMemberChange(() => {
       this.#listsUntilMs = Number.NEGATIVE_INFINITY;
     });
   }
@@ -72,7 +72,7 @@
   }
 
   /** Takes the platform's list. */
-  noteList(vms: readonly contracts.ListedVm[]): void {
+  noteVmList(vms: readonly contracts.ListedVm[]): void {
     const names = vms.flatMap(({ vm }) => vm === undefined ? [] : [vm]);
     this.#listed = new Set(names);
   }
@@ -80,22 +80,22 @@
   push(
     vm: contracts.VmId,
     assignment: contracts.Assignment,
-  ): Promise<TimedReceipt | undefined> {
+  ): Promise<TimedReply | undefined> {
     return this.#call(vm, ASSIGNMENT_METHOD, assignment);
   }
 
-  ask(
+  fetchKnownRevision(
     vm: contracts.VmId,
     service: contracts.ServiceId,
-  ): Promise<TimedReceipt | undefined> {
-    return this.#call(vm, KNOWN_METHOD, { service });
+  ): Promise<TimedReply | undefined> {
+    return this.#call(vm, KNOWN_REVISION_METHOD, { service });
   }
 
   async #call(
     vm: contracts.VmId,
     method: string,
     params: unknown,
-  ): Promise<TimedReceipt | undefined> {
+  ): Promise<TimedReply | undefined> {
     const { peers, clock, timeoutMs } = this.#options;
     const askedAtMs = clock.nowMs();
     const answer = await peers.link(vm)?.call(method, {
@@ -103,7 +103,9 @@
       schema: contracts.knownRevisionReplySchema,
       timeoutMs,
     });
-    return answer?.isOk() ? { ...answer.value, askedAtMs } : undefined;
+    return answer?.isOk()
+      ? { ...answer.value, requestedAtMs: askedAtMs }
+      : undefined;
   }
 
   /**
@@ -120,7 +122,7 @@
       live: [this.self.vm, ...alive.map(({ vm }) => vm)],
       all: [this.self.vm, ...kept.map(({ vm }) => vm)],
     };
-    this.#listsUntilMs = nowMs + LISTS_MS;
+    this.#listsUntilMs = nowMs + MEMBER_LISTS_TTL_MS;
     // The same list stays the same object, so that others can tell a change.
     if (JSON.stringify(lists) !== JSON.stringify(this.#lists)) {
       this.#lists = lists;
--- a/packages/entry/src/ownership/mod.ts
+++ b/packages/entry/src/ownership/mod.ts
@@ -1,5 +1,5 @@
 /** Ownership of keyed services: the tasks around the decisions. */
-export * from "./move_task.ts";
+export * from "./assignment_controller_task.ts";
 export * from "./ownership_task.ts";
-export * from "./peer_view.ts";
+export * from "./membership_peer_view.ts";
 export * from "./service_context.ts";
--- a/packages/entry/src/ownership/ownership_task.ts
+++ b/packages/entry/src/ownership/ownership_task.ts
@@ -13,16 +13,16 @@
 } from "../vms/peer_task.ts";
 import { AssignmentStore } from "./assignment_store.ts";
 import { KnownAssignment } from "./known_assignment.ts";
-import type { LoadSource } from "./move_task.ts";
+import type { LoadSource } from "./assignment_controller_task.ts";
 import type { ServiceContext } from "./service_context.ts";
 import { ServiceOwnership } from "./service_ownership.ts";
 
 const TICK_MS = 50;
 /** Between two looks at which services there are, and who keeps them. */
-const REFRESH_MS = 200;
+const REFRESH_INTERVAL_MS = 200;
 const STOP_TIMEOUT_MS = 1_000;
 /** Difference between two clocks that shows that the machine was suspended. */
-const SUSPEND_MS = 200;
+const SUSPEND_THRESHOLD_MS = 200;
 
 /** Options of {@link OwnershipTask}. */
 export interface OwnershipTaskOptions
@@ -60,7 +60,7 @@
   /** Services whose moves this VM plans now. */
   heldDuties(): contracts.ServiceId[] {
     return [...this.#services]
-      .filter(([, ownership]) => ownership.holdsDuty)
+      .filter(([, ownership]) => ownership.isLeader)
       .map(([service]) => service);
   }
 
@@ -68,10 +68,10 @@
    * Age of the evidence for a service's assignment; leases are renewed while
    * it is below the assignment's `evidenceMs`. Undefined without evidence.
    */
-  evidenceAgeMs(service: contracts.ServiceId): number | undefined {
+  confirmationAgeMs(service: contracts.ServiceId): number | undefined {
     const nowMs = this.#options.clock.nowMs();
     const askedAtMs = this.#services.get(service)?.known
-      .evidenceAskedAtMs(nowMs);
+      .confirmedAtMs(nowMs);
     if (askedAtMs === undefined || !Number.isFinite(askedAtMs)) {
       return undefined;
     }
@@ -120,16 +120,18 @@
   }
 
   /** A peer pushed an assignment; answers what is known then. */
-  takePushed(assignment: contracts.Assignment): contracts.KnownRevisionReply {
+  acceptAssignment(
+    assignment: contracts.Assignment,
+  ): contracts.KnownRevisionReply {
     this.#services.get(assignment.service)?.known.learn(assignment);
-    return this.answerKnown(assignment);
+    return this.answerKnownRevision(assignment);
   }
 
   /** A peer asks what is known of a service. */
-  answerKnown(
+  answerKnownRevision(
     { service }: contracts.KnownRevisionRequest,
   ): contracts.KnownRevisionReply {
-    const known = this.#services.get(service)?.tell() ??
+    const known = this.#services.get(service)?.knownRevision() ??
       { service, revision: 0, settled: false };
     return { ...this.#options.peers.self, known };
   }
@@ -155,11 +157,11 @@
 
   /** Newer assignments first: the answer counts as evidence for them. */
   noteReply(reply: contracts.PeerHeartbeatReply, askedAtMs: number): void {
-    for (const assignment of reply.newer) this.takePushed(assignment);
+    for (const assignment of reply.newer) this.acceptAssignment(assignment);
     for (const known of reply.known) {
       const ownership = this.#services.get(known.service);
       if (ownership === undefined) continue;
-      ownership.known.noteAnswer({
+      ownership.known.noteVoterReply({
         vm: reply.vm,
         known,
         requestedAtMs: askedAtMs,
@@ -169,7 +171,9 @@
   }
 
   #tellAll(): contracts.KnownRevision[] {
-    return [...this.#services.values()].map((ownership) => ownership.tell());
+    return [...this.#services.values()].map((ownership) =>
+      ownership.knownRevision()
+    );
   }
 
   #tick(): void {
@@ -180,13 +184,13 @@
   }
 
   #refresh(nowMs: number): void {
-    this.#refreshAtMs = nowMs + REFRESH_MS;
+    this.#refreshAtMs = nowMs + REFRESH_INTERVAL_MS;
     for (const service of this.#options.config.services()) {
       if (service.keyed) this.#of(service.name);
     }
     const all = [...this.#services.values()];
     // Evidence lives shorter than the round of a large fleet's samples.
-    this.#options.peers.pin(all.flatMap(({ known }) => known.keepers));
+    this.#options.peers.pin(all.flatMap(({ known }) => known.voters));
   }
 
   /**
@@ -200,11 +204,11 @@
     this.#lastTick = { clockMs, wallMs };
     if (last === undefined) return;
     const skewMs = wallMs - last.wallMs - (clockMs - last.clockMs);
-    if (skewMs < SUSPEND_MS) return;
+    if (skewMs < SUSPEND_THRESHOLD_MS) return;
     this.#options.log.part("owner").warn("clocks parted, evidence dropped", {
       skewMs: Math.round(skewMs),
     });
-    for (const { known } of this.#services.values()) known.dropEvidence();
+    for (const { known } of this.#services.values()) known.dropConfirmations();
   }
 
   #of(service: contracts.ServiceId): ServiceOwnership {
--- a/packages/entry/src/ownership/ownership_task_test.ts
+++ b/packages/entry/src/ownership/ownership_task_test.ts
@@ -8,7 +8,7 @@
 import { LifeCycle } from "../utils/life_cycle.ts";
 import { createLog } from "../utils/log.ts";
 import { FakeServer } from "./fake_servers_test.ts";
-import { NO_LOAD_SOURCE } from "./move_task.ts";
+import { NO_LOAD_SOURCE } from "./assignment_controller_task.ts";
 import { OwnershipTask } from "./ownership_task.ts";
 
 const SERVICE = "availability" as contracts.ServiceId;
@@ -61,17 +61,17 @@
   }
 
   /** Whether each slice is held by its owner under a lease. */
-  isServed(): boolean {
+  isFullyLeased(): boolean {
     const slices = this.assignment?.slices ?? [];
     return slices.length > 0 && slices.every((slice) => {
-      const held = this.servers.get(slice.server)?.held ?? [];
+      const held = this.servers.get(slice.server)?.leasedSlices ?? [];
       return slice.state === "owned" &&
         held.some(({ fromHash }) => fromHash === slice.fromHash);
     });
   }
 
   /** Another entry VM says in a beat that it has read the store. */
-  hearSettled(vm: contracts.VmId): void {
+  receiveHeartbeat(vm: contracts.VmId): void {
     const beat = {
       vm,
       incarnation: `${vm}-run`,
@@ -102,7 +102,7 @@
       store: this.store,
       config: { services: () => [config], service: () => config },
       load: () => NO_LOAD_SOURCE,
-      moveRecord: { noteSteps: () => {} },
+      moveRecorder: { noteSteps: () => {} },
       connect: ({ server }) => this.server(server),
       servers: {
         servers: addresses,
@@ -119,7 +119,7 @@
         listed: () => new Set(this.liveVms),
         pin: () => {},
         push: () => Promise.resolve(undefined),
-        ask: () => Promise.resolve(undefined),
+        fetchKnownRevision: () => Promise.resolve(undefined),
       },
     });
   }
@@ -138,7 +138,7 @@
 test("should assign and grant every slice of a new service", async (t) => {
   const fixture = new Fixture(["a", "b"], t);
   fixture.start();
-  await until(() => fixture.isServed());
+  await until(() => fixture.isFullyLeased());
   const owners = new Set(fixture.assignment?.slices.map((s) => s.server));
   expect([...owners].sort() as string[]).toEqual(["a", "b"]);
 });
@@ -151,10 +151,10 @@
   const fixture = new Fixture(["a", "b"], t);
   fixture.liveVms = [SELF.vm, ...OTHER_VMS];
   fixture.start();
-  await until(() => fixture.server("a").orders > 4);
-  await until(() => fixture.server("b").orders > 4);
+  await until(() => fixture.server("a").commandCount > 4);
+  await until(() => fixture.server("b").commandCount > 4);
   expect(fixture.assignment).toEqual(undefined);
-  for (const vm of OTHER_VMS) fixture.hearSettled(vm);
+  for (const vm of OTHER_VMS) fixture.receiveHeartbeat(vm);
   await until(() => fixture.assignment !== undefined);
   const [first] = fixture.assignment!.keeperSets;
   expect(first!.map(({ vm }) => vm).sort()).toEqual([SELF.vm, ...OTHER_VMS]);
@@ -165,21 +165,21 @@
 test("should give a draining server's slices on once they are idle", async (t) => {
   const fixture = new Fixture(["a", "b"], t);
   fixture.start();
-  await until(() => fixture.isServed());
+  await until(() => fixture.isFullyLeased());
   const leaving = fixture.server("a");
-  leaving.stillRunning = 1;
+  leaving.requestsInFlight = 1;
   leaving.isDraining = true;
   await until(() =>
     fixture.assignment!.slices.some(({ state }) => state === "vacating")
   );
-  const ordersBefore = leaving.orders;
-  await until(() => leaving.orders > ordersBefore + 3);
+  const ordersBefore = leaving.commandCount;
+  await until(() => leaving.commandCount > ordersBefore + 3);
   const vacating = fixture.assignment!.slices
     .filter(({ state }) => state === "vacating");
   expect(vacating.every(({ from }) => from[0] === leaving.address.server))
     .toEqual(true);
-  leaving.stillRunning = 0;
-  await until(() => fixture.isServed());
+  leaving.requestsInFlight = 0;
+  await until(() => fixture.isFullyLeased());
   expect(
     fixture.assignment!.slices.every(({ server }) =>
       server === fixture.server("b").address.server
@@ -192,12 +192,12 @@
 test("should keep every lease while the store is away", async (t) => {
   const fixture = new Fixture(["a", "b"], t);
   fixture.start();
-  await until(() => fixture.isServed());
+  await until(() => fixture.isFullyLeased());
   fixture.store.fault = () => "down";
   const leases = 4;
   const endMs = performance.now() + leases * TIMINGS.leaseMs;
   while (performance.now() < endMs) {
-    expect(fixture.isServed()).toEqual(true);
+    expect(fixture.isFullyLeased()).toEqual(true);
     await timers.setTimeout(50);
   }
 });
@@ -205,10 +205,10 @@
 test("should move the slices of a server that falls silent", async (t) => {
   const fixture = new Fixture(["a", "b"], t);
   fixture.start();
-  await until(() => fixture.isServed());
-  fixture.server("a").isSilent = true;
+  await until(() => fixture.isFullyLeased());
+  fixture.server("a").isUnresponsive = true;
   await until(() =>
-    fixture.isServed() &&
+    fixture.isFullyLeased() &&
     fixture.assignment!.slices.every(({ server }) => server !== "a")
   );
 });
@@ -218,11 +218,11 @@
 test("should drain and not abandon a server that the list drops", async (t) => {
   const fixture = new Fixture(["a", "b"], t);
   fixture.start();
-  await until(() => fixture.isServed());
+  await until(() => fixture.isFullyLeased());
   const dropped = fixture.server("a");
   fixture.servers.delete("a");
-  await until(() => fixture.isServed());
-  expect(dropped.held.length).toEqual(0);
+  await until(() => fixture.isFullyLeased());
+  expect(dropped.leasedSlices.length).toEqual(0);
   const fences = fixture.assignment!.slices.map(({ fence }) => fence);
   expect(Math.max(...fences) > 1).toEqual(true);
 });
--- a/packages/entry/src/ownership/service_context.ts
+++ b/packages/entry/src/ownership/service_context.ts
@@ -2,13 +2,13 @@
 import type * as contracts from "@guavatide/contracts";
 import type * as ownership from "@guavatide/decisions/ownership/mod";
 import type { ServerAddress, ServerView } from "../contracts/views.ts";
-import type { Log } from "../utils/log.ts";
+import type { LoggerFactory } from "../utils/log.ts";
 import type { AssignmentStore } from "./assignment_store.ts";
 import type { KnownAssignment } from "./known_assignment.ts";
 
 /** A peer's answer with the time at which the question left. */
-export interface TimedReceipt extends contracts.KnownRevisionReply {
-  readonly askedAtMs: number;
+export interface TimedReply extends contracts.KnownRevisionReply {
+  readonly requestedAtMs: number;
 }
 
 /** Other entry VMs, as the ownership tasks see them. */
@@ -31,12 +31,12 @@
   push(
     vm: contracts.VmId,
     assignment: contracts.Assignment,
-  ): Promise<TimedReceipt | undefined>;
+  ): Promise<TimedReply | undefined>;
   /** Asks a VM which revision it knows. */
-  ask(
+  fetchKnownRevision(
     vm: contracts.VmId,
     service: contracts.ServiceId,
-  ): Promise<TimedReceipt | undefined>;
+  ): Promise<TimedReply | undefined>;
 }
 
 /** The control side of a backend server, with an end. */
@@ -54,15 +54,15 @@
 }
 
 /** The steps of one acknowledged update of an assignment. */
-export interface MovedSteps {
+export interface AssignmentSteps {
   readonly service: contracts.ServiceId;
   readonly revision: number;
   readonly steps: readonly ownership.SliceChange[];
 }
 
 /** Takes note of moves. */
-export interface MoveRecord {
-  noteSteps(moved: MovedSteps): void;
+export interface MoveRecorder {
+  noteSteps(moved: AssignmentSteps): void;
 }
 
 /** Parts that every task of one service uses. */
@@ -72,7 +72,7 @@
   readonly clock: contracts.Clock;
   readonly random: contracts.RandomSource;
   readonly hasher: ownership.KeyHasher;
-  readonly log: Log;
+  readonly log: LoggerFactory;
   readonly store: contracts.PlatformStore;
   readonly assignments: AssignmentStore;
   readonly known: KnownAssignment;
@@ -83,6 +83,6 @@
     saysDraining(id: contracts.ServerId): boolean;
   };
   /** Keeps the steps of acknowledged updates for operators. */
-  readonly moveRecord: MoveRecord;
+  readonly moveRecorder: MoveRecorder;
   connect(address: ServerAddress): ServerControl;
 }
--- a/packages/entry/src/ownership/service_ownership.ts
+++ b/packages/entry/src/ownership/service_ownership.ts
@@ -2,11 +2,15 @@
 import type * as contracts from "@guavatide/contracts";
 import * as contractsValues from "@guavatide/contracts";
 import type { OwnerLookup } from "../contracts/views.ts";
-import { DutyTask } from "./duty_task.ts";
-import { EvidenceTask } from "./evidence_task.ts";
-import { ForwardCounter } from "./forward_counter.ts";
-import { type LoadSource, MoveTask, type TellingPeer } from "./move_task.ts";
-import { OrderTask } from "./order_task.ts";
+import { LeaderElectionTask } from "./leader_election_task.ts";
+import { AssignmentRefreshTask } from "./assignment_refresh_task.ts";
+import { InFlightRequests } from "./in_flight_requests.ts";
+import {
+  AssignmentControllerTask,
+  type LoadSource,
+  type PeerIdentity,
+} from "./assignment_controller_task.ts";
+import { LeaseCommandTask } from "./lease_command_task.ts";
 import type { ServiceContext } from "./service_context.ts";
 
 /** Options of {@link ServiceOwnership}. */
@@ -18,23 +22,23 @@
 /** One service's ownership. */
 export class ServiceOwnership {
   readonly #context: ServiceContext;
-  readonly #evidence: EvidenceTask;
-  readonly #orders: OrderTask;
-  readonly #duty: DutyTask;
-  readonly #moves: MoveTask;
-  readonly #forwards = new ForwardCounter();
+  readonly #evidence: AssignmentRefreshTask;
+  readonly #orders: LeaseCommandTask;
+  readonly #duty: LeaderElectionTask;
+  readonly #moves: AssignmentControllerTask;
+  readonly #forwards = new InFlightRequests();
 
   constructor(context: ServiceContext, options: ServiceOwnershipOptions) {
     this.#context = context;
-    this.#orders = new OrderTask(context);
-    this.#duty = new DutyTask(context);
-    this.#moves = new MoveTask(context, {
+    this.#orders = new LeaseCommandTask(context);
+    this.#duty = new LeaderElectionTask(context);
+    this.#moves = new AssignmentControllerTask(context, {
       ...options,
-      orders: this.#orders,
+      leaseCommands: this.#orders,
       busyServers: () => this.#busyServers(),
       config: () => options.config(),
     });
-    this.#evidence = new EvidenceTask(
+    this.#evidence = new AssignmentRefreshTask(
       context,
       () => this.#orders.isRenewing || this.#unfenced().length > 0,
     );
@@ -45,14 +49,14 @@
   }
 
   /** Whether this VM plans the service's moves now. */
-  get holdsDuty(): boolean {
-    return this.#duty.holds;
+  get isLeader(): boolean {
+    return this.#duty.isLeader;
   }
 
   tick(nowMs: number): void {
     this.#evidence.tick(nowMs);
     this.#duty.tick(nowMs);
-    this.#moves.tick(nowMs, this.#duty.holds);
+    this.#moves.tick(nowMs, this.#duty.isLeader);
     this.#orders.tick(nowMs);
   }
 
@@ -85,7 +89,7 @@
     const owned = this.known.slices?.byId(slice);
     return owned?.state === "owned" && owned.server === server &&
       owned.fence === fence &&
-      this.known.hasEvidence(this.#context.clock.nowMs());
+      this.known.isConfirmed(this.#context.clock.nowMs());
   }
 
   checksFences(server: contracts.ServerId): boolean {
@@ -97,28 +101,30 @@
   }
 
   noteNotOwner(revision: number): void {
-    if (this.known.revision <= revision) this.#evidence.hint();
+    if (this.known.revision <= revision) this.#evidence.requestRead();
   }
 
   /** What this VM tells its peers of the service. */
-  tell(): contracts.KnownRevision {
-    const silent = this.#orders.silentServers(this.#context.clock.nowMs());
+  knownRevision(): contracts.KnownRevision {
+    const silent = this.#orders.unresponsiveServers(
+      this.#context.clock.nowMs(),
+    );
     const busyServers = this.#busyServers();
     return {
-      ...this.known.known(),
+      ...this.known.knownRevision(),
       silent: silent.length > 0 ? silent : undefined,
       busyServers: busyServers.length > 0 ? busyServers : undefined,
-      holdsDuty: this.#duty.holds ? true : undefined,
+      holdsDuty: this.#duty.isLeader ? true : undefined,
     };
   }
 
   /** A peer told what it knows. */
   notePeer(
-    peer: TellingPeer,
+    peer: PeerIdentity,
     known: contracts.KnownRevision,
     askedAtMs?: number,
   ): void {
-    this.#orders.notePeer(peer.vm, known);
+    this.#orders.notePeerReport(peer.vm, known);
     this.#moves.notePeer(peer, known, askedAtMs);
   }
 
--- a/packages/entry/src/ownership/keeper_review.ts
+++ b/packages/entry/src/ownership/voter_review.ts
@@ -4,15 +4,15 @@
 import type { ServiceContext } from "./service_context.ts";
 
 /** What a review came to. */
-export interface KeepersReviewed {
+export interface VoterReviewResult {
   /** The set to have; empty while no VM is able to keep. */
-  readonly keepers: contracts.Voter[];
+  readonly voters: contracts.Voter[];
   /** Keepers off the platform's list and silent for the whole grace time. */
-  readonly gone: ReadonlySet<contracts.VmId>;
+  readonly removed: ReadonlySet<contracts.VmId>;
 }
 
 /** Reviews the keepers of one service. */
-export class KeeperReview {
+export class VoterReview {
   readonly #context: ServiceContext;
   readonly #settled = new Set<contracts.VmId>();
   readonly #missingSinceMs = new Map<contracts.VmId, number>();
@@ -22,16 +22,16 @@
   }
 
   /** A VM told whether it may give evidence. */
-  noteSettled(vm: contracts.VmId, isSettled: boolean): void {
+  noteHasReadStore(vm: contracts.VmId, isSettled: boolean): void {
     if (isSettled) this.#settled.add(vm);
     else this.#settled.delete(vm);
   }
 
-  review(nowMs: number): KeepersReviewed {
+  review(nowMs: number): VoterReviewResult {
     const { known, service, hasher, peers } = this.#context;
     const gone = this.#goneVms(nowMs);
     const able = peers.live().filter((vm) => this.#settled.has(vm));
-    const present = known.keepers;
+    const present = known.voters;
     const keepers = ownership.chooseVoters({
       service,
       current: present,
@@ -39,7 +39,7 @@
       removed: gone,
       hasher,
     });
-    return { keepers, gone };
+    return { voters: keepers, removed: gone };
   }
 
   #goneVms(nowMs: number): Set<contracts.VmId> {
--- a/packages/entry/src/platform/http_backend_control.ts
+++ b/packages/entry/src/platform/http_backend_control.ts
@@ -3,9 +3,9 @@
 import { err, ok, type Result, type ResultAsync } from "neverthrow";
 import type * as z from "zod";
 import {
-  type HttpAnswer,
   type HttpCallError,
   HttpChannel,
+  type HttpResponse,
 } from "./http_channel.ts";
 
 /** {@link contracts.BackendControl} over HTTP, for one server address. */
@@ -33,39 +33,41 @@
       body: JSON.stringify(order),
     } as const;
     return this.#channel.call(call, options)
-      .mapErr(toServerError)
-      .andThen((answer) => parse(answer, contracts.leaseCommandReplySchema));
+      .mapErr(toServerCallError)
+      .andThen((answer) =>
+        parseResponse(answer, contracts.leaseCommandReplySchema)
+      );
   }
 
   load(
     options: contracts.CallOptions,
   ): ResultAsync<contracts.LoadReport, contracts.ServerCallError> {
     return this.#channel.call({ method: "GET", path: "/control/load" }, options)
-      .mapErr(toServerError)
-      .andThen((answer) => parse(answer, contracts.loadReportSchema));
+      .mapErr(toServerCallError)
+      .andThen((answer) => parseResponse(answer, contracts.loadReportSchema));
   }
 }
 
-function toServerError(error: HttpCallError): contracts.ServerCallError {
+function toServerCallError(error: HttpCallError): contracts.ServerCallError {
   const { kind, message } = error;
   return { kind: kind === "cancelled" ? "unreachable" : kind, message };
 }
 
-function parse<T>(
-  answer: HttpAnswer,
+function parseResponse<T>(
+  answer: HttpResponse,
   schema: z.ZodType<T>,
 ): Result<T, contracts.ServerCallError> {
   if (answer.status !== 200) {
-    return err(badAnswer(`status ${answer.status}: ${answer.text}`));
+    return err(badResponse(`status ${answer.status}: ${answer.text}`));
   }
   try {
     return ok(schema.parse(JSON.parse(answer.text)));
   } catch (error) {
-    return err(badAnswer(String(error)));
+    return err(badResponse(String(error)));
   }
 }
 
-function badAnswer(seen: string): contracts.ServerCallError {
+function badResponse(seen: string): contracts.ServerCallError {
   return {
     kind: "bad-answer",
     message:
--- a/packages/entry/src/platform/http_channel.ts
+++ b/packages/entry/src/platform/http_channel.ts
@@ -13,10 +13,10 @@
 
 const CONNECT_TIMEOUT_MS = 1000;
 const MAX_CONNECTIONS = 16;
-const MAX_ANSWER_BYTES = 64 * 1_048_576;
+const MAX_RESPONSE_BYTES = 64 * 1_048_576;
 
 /** A call over an {@link HttpChannel}. */
-export interface HttpCall {
+export interface HttpRequest {
   readonly method: "GET" | "PUT" | "POST" | "DELETE";
   readonly path: string;
   readonly headers?: Readonly<Record<string, string>>;
@@ -26,7 +26,7 @@
 }
 
 /** A whole answer. */
-export interface HttpAnswer {
+export interface HttpResponse {
   readonly status: number;
   readonly etag: string | undefined;
   /** Headers by their names in lower case. */
@@ -51,9 +51,9 @@
   readonly #origin: string;
   readonly #basePath: string;
   readonly #options: HttpChannelOptions;
-  #pool: CountedPool;
+  #pool: RefCountedPool;
   /** Every pool that has not ended: the present one and retired ones. */
-  readonly #pools = new Set<CountedPool>();
+  readonly #pools = new Set<RefCountedPool>();
 
   /** Calls go below `baseUrl`, for example `http://127.0.0.1:7000/v1`. */
   constructor(baseUrl: string, options: HttpChannelOptions = {}) {
@@ -66,9 +66,9 @@
 
   /** Sends one call. Errors: {@link HttpCallError}. */
   call(
-    call: HttpCall,
+    call: HttpRequest,
     options: CallOptions,
-  ): ResultAsync<HttpAnswer, HttpCallError> {
+  ): ResultAsync<HttpResponse, HttpCallError> {
     return new ResultAsync(this.#send(call, options));
   }
 
@@ -77,28 +77,28 @@
     await Promise.all([...this.#pools].map(({ pool }) => pool.destroy()));
   }
 
-  #open(): CountedPool {
+  #open(): RefCountedPool {
     const opened = { pool: openPool(this.#origin, this.#options), calls: 0 };
     this.#pools.add(opened);
     return opened;
   }
 
   async #send(
-    call: HttpCall,
+    call: HttpRequest,
     { timeoutMs, signal }: CallOptions,
-  ): Promise<Result<HttpAnswer, HttpCallError>> {
+  ): Promise<Result<HttpResponse, HttpCallError>> {
     const by = this.#pool;
     by.calls++;
     const exchange = new Exchange(timeoutMs, call.mayLeave);
     const timer = setTimeout(
-      () => exchange.giveUp("timeout"),
+      () => exchange.abort("timeout"),
       Math.max(0, timeoutMs),
     );
-    const onCancel = () => exchange.giveUp("cancelled");
+    const onCancel = () => exchange.abort("cancelled");
     signal?.addEventListener("abort", onCancel);
     if (signal?.aborted) onCancel();
-    else exchange.start(by.pool, { ...call, path: this.#basePath + call.path });
-    const end = await exchange.ended;
+    else exchange.run(by.pool, { ...call, path: this.#basePath + call.path });
+    const end = await exchange.result;
     clearTimeout(timer);
     signal?.removeEventListener("abort", onCancel);
     const isTimeout = end.kind === "timeout";
@@ -113,13 +113,17 @@
   }
 
   /** Ends an old pool; its other calls are left to their own deadlines. */
-  #endRetired(retired: CountedPool): void {
+  #endRetired(retired: RefCountedPool): void {
     if (retired === this.#pool || retired.calls > 0) return;
     this.#pools.delete(retired);
     retired.pool.destroy().catch(() => {});
   }
 
-  #describe(call: HttpCall, timeoutMs: number, end: FailedEnd): string {
+  #describe(
+    call: HttpRequest,
+    timeoutMs: number,
+    end: ExchangeFailure,
+  ): string {
     const what = `${call.method} ${this.#origin}${this.#basePath}${
       call.path.split("?")[0]
     }`;
@@ -137,30 +141,30 @@
 }
 
 /** A pool with the number of its calls under way. */
-interface CountedPool {
+interface RefCountedPool {
   readonly pool: undici.Pool;
   calls: number;
 }
 
 /** How a call ended without a whole answer. */
-interface FailedEnd {
+interface ExchangeFailure {
   readonly kind: HttpCallError["kind"];
   readonly reason: string;
 }
 
-type ExchangeEnd =
-  | { readonly kind: "answer"; readonly answer: HttpAnswer }
-  | FailedEnd;
+type ExchangeResult =
+  | { readonly kind: "answer"; readonly answer: HttpResponse }
+  | ExchangeFailure;
 
 /**
  * One call and its answer. It ends once: the client library heeds an abort only
  * once its connection is up, and never writes a call that has ended until then.
  */
 class Exchange implements undici.Dispatcher.DispatchHandler {
-  readonly ended: Promise<ExchangeEnd>;
+  readonly result: Promise<ExchangeResult>;
   readonly #deadlineMs: number;
   readonly #mayLeave: () => boolean;
-  #settle: (end: ExchangeEnd) => void = () => {};
+  #settle: (end: ExchangeResult) => void = () => {};
   #isOver = false;
   #controller: undici.Dispatcher.DispatchController | undefined;
   #status = 0;
@@ -170,15 +174,15 @@
   constructor(timeoutMs: number, mayLeave: () => boolean = () => true) {
     this.#deadlineMs = performance.now() + timeoutMs;
     this.#mayLeave = mayLeave;
-    this.ended = new Promise((resolve) => this.#settle = resolve);
+    this.result = new Promise((resolve) => this.#settle = resolve);
   }
 
-  start(pool: undici.Pool, { method, path, headers, body }: HttpCall): void {
+  run(pool: undici.Pool, { method, path, headers, body }: HttpRequest): void {
     pool.dispatch({ method, path, headers, body }, this);
   }
 
   /** Ends the call without an answer. */
-  giveUp(kind: FailedEnd["kind"], reason: string = kind): void {
+  abort(kind: ExchangeFailure["kind"], reason: string = kind): void {
     this.#end({ kind, reason });
     this.#controller?.abort(new Error(reason));
   }
@@ -187,8 +191,8 @@
     this.#controller = controller;
     // A late event loop writes before it runs the timer of the deadline.
     const isLate = performance.now() >= this.#deadlineMs;
-    if (this.#isOver || isLate) return this.giveUp("timeout");
-    if (!this.#mayLeave()) this.giveUp("kept");
+    if (this.#isOver || isLate) return this.abort("timeout");
+    if (!this.#mayLeave()) this.abort("kept");
   }
 
   onResponseStart(
@@ -225,7 +229,7 @@
     this.#end({ kind: "unreachable", reason: String(error) });
   }
 
-  #end(end: ExchangeEnd): void {
+  #end(end: ExchangeResult): void {
     this.#isOver = true;
     this.#settle(end);
   }
@@ -242,6 +246,6 @@
     // The deadline of each call rules; undici's own would cut long watches.
     headersTimeout: 0,
     bodyTimeout: 0,
-    maxResponseSize: MAX_ANSWER_BYTES,
+    maxResponseSize: MAX_RESPONSE_BYTES,
   });
 }
--- a/packages/entry/src/platform/http_platform_store.ts
+++ b/packages/entry/src/platform/http_platform_store.ts
@@ -6,9 +6,9 @@
 import { err, errAsync, ok, type Result, type ResultAsync } from "neverthrow";
 import * as z from "zod";
 import {
-  type HttpAnswer,
   type HttpCallError,
   HttpChannel,
+  type HttpResponse,
 } from "./http_channel.ts";
 
 const objectSchema = z.object({
@@ -50,11 +50,14 @@
     name: string,
     options: contracts.CallOptions,
   ): ResultAsync<contracts.StoredObject, contracts.StoreError> {
-    return this.#channel.call({ method: "GET", path: pathOf(name) }, options)
-      .mapErr(toUnavailable)
+    return this.#channel.call(
+      { method: "GET", path: objectPath(name) },
+      options,
+    )
+      .mapErr(toUnavailableError)
       .andThen((answer) => {
         if (answer.status !== 200) return err(toStoreError(answer, name));
-        return versionOf(answer).map((version) => ({
+        return parseVersion(answer).map((version) => ({
           name,
           version,
           value: answer.text,
@@ -71,10 +74,10 @@
   > {
     const path = `/objects?${new URLSearchParams({ prefix })}`;
     return this.#channel.call({ method: "GET", path }, options)
-      .mapErr(toUnavailable)
+      .mapErr(toUnavailableError)
       .andThen((answer) => {
         if (answer.status !== 200) return err(toStoreError(answer, prefix));
-        return parse(answer, listSchema);
+        return parseResponse(answer, listSchema);
       });
   }
 
@@ -87,7 +90,7 @@
   ): ResultAsync<string, contracts.StoreError> {
     const sizeBytes = Buffer.byteLength(value);
     if (sizeBytes > contracts.STORE_VALUE_LIMIT_BYTES) {
-      return errAsync(tooLarge(name, sizeBytes));
+      return errAsync(tooLargeError(name, sizeBytes));
     }
     const headers = {
       "content-type": "application/json",
@@ -95,15 +98,15 @@
     };
     const call = {
       method: "PUT",
-      path: pathOf(name),
+      path: objectPath(name),
       headers,
       body: value,
     } as const;
     return this.#channel.call(call, options)
-      .mapErr(toUnavailable)
+      .mapErr(toUnavailableError)
       .andThen((answer) =>
         answer.status === 200
-          ? versionOf(answer)
+          ? parseVersion(answer)
           : err(toStoreError(answer, name))
       );
   }
@@ -115,9 +118,9 @@
     },
   ): ResultAsync<void, contracts.StoreError> {
     const headers = conditionHeaders(options.condition);
-    const call = { method: "DELETE", path: pathOf(name), headers } as const;
+    const call = { method: "DELETE", path: objectPath(name), headers } as const;
     return this.#channel.call(call, options)
-      .mapErr(toUnavailable)
+      .mapErr(toUnavailableError)
       .andThen((answer) =>
         answer.status === 204 ? ok(undefined) : err(toStoreError(answer, name))
       );
@@ -139,15 +142,15 @@
       timeoutMs: options.timeoutMs,
       signal: options.signal,
     })
-      .mapErr(toUnavailable)
+      .mapErr(toUnavailableError)
       .andThen((answer) => {
         if (answer.status !== 200) return err(toStoreError(answer, prefix));
-        return parse(answer, watchSchema);
+        return parseResponse(answer, watchSchema);
       });
   }
 }
 
-function pathOf(name: string): string {
+function objectPath(name: string): string {
   return `/objects/${encodeURIComponent(name)}`;
 }
 
@@ -164,8 +167,8 @@
   }
 }
 
-function versionOf(
-  answer: HttpAnswer,
+function parseVersion(
+  answer: HttpResponse,
 ): Result<string, contracts.StoreError> {
   const match = /^"(.*)"$/.exec(answer.etag ?? "");
   if (match?.[1] === undefined) {
@@ -177,8 +180,8 @@
   return ok(match[1]);
 }
 
-function parse<T>(
-  answer: HttpAnswer,
+function parseResponse<T>(
+  answer: HttpResponse,
   schema: z.ZodType<T>,
 ): Result<T, contracts.StoreError> {
   try {
@@ -193,11 +196,11 @@
   }
 }
 
-function toUnavailable(error: HttpCallError): contracts.StoreError {
+function toUnavailableError(error: HttpCallError): contracts.StoreError {
   return { kind: "unavailable", message: error.message };
 }
 
-function tooLarge(name: string, sizeBytes: number): contracts.StoreError {
+function tooLargeError(name: string, sizeBytes: number): contracts.StoreError {
   const limit = contracts.STORE_VALUE_LIMIT_BYTES;
   return {
     kind: "refused",
@@ -206,7 +209,10 @@
   };
 }
 
-function toStoreError(answer: HttpAnswer, name: string): contracts.StoreError {
+function toStoreError(
+  answer: HttpResponse,
+  name: string,
+): contracts.StoreError {
   switch (answer.status) {
     case 404:
       return {
--- a/packages/entry/src/platform/http_vm_list.ts
+++ b/packages/entry/src/platform/http_vm_list.ts
@@ -1,7 +1,7 @@
 /** The platform's VM list over HTTP: `GET /vms`. */
 import * as contracts from "@guavatide/contracts";
 import { err, ok, type Result, type ResultAsync } from "neverthrow";
-import { type HttpAnswer, HttpChannel } from "./http_channel.ts";
+import { HttpChannel, type HttpResponse } from "./http_channel.ts";
 
 /** {@link contracts.VmList} over HTTP. */
 export class HttpVmList implements contracts.VmList {
@@ -24,30 +24,32 @@
     options: contracts.CallOptions,
   ): ResultAsync<contracts.VmListSnapshot, contracts.VmListError> {
     return this.#channel.call({ method: "GET", path: this.#path }, options)
-      .mapErr((error) => unavailable(error.message))
+      .mapErr((error) => unavailableError(error.message))
       .andThen(parseSnapshot);
   }
 }
 
 function parseSnapshot(
-  answer: HttpAnswer,
+  answer: HttpResponse,
 ): Result<contracts.VmListSnapshot, contracts.VmListError> {
   if (answer.status !== 200) {
     return err(
-      unavailable(`The VM list answered ${answer.status}; try again later`),
+      unavailableError(
+        `The VM list answered ${answer.status}; try again later`,
+      ),
     );
   }
   try {
     return ok(contracts.vmListSnapshotSchema.parse(JSON.parse(answer.text)));
   } catch (error) {
     return err(
-      unavailable(
+      unavailableError(
         `The VM list has another form: ${String(error)}; check its address`,
       ),
     );
   }
 }
 
-function unavailable(message: string): contracts.VmListError {
+function unavailableError(message: string): contracts.VmListError {
   return { kind: "unavailable", message };
 }
--- a/packages/entry/src/requests/request_run.ts
+++ b/packages/entry/src/requests/active_request.ts
@@ -12,12 +12,12 @@
   type CallerRequest,
   notRun,
 } from "./caller_request.ts";
-import type { ServiceParts } from "./service_parts.ts";
-import type { Slot, SlotWish } from "./slot_allocator.ts";
+import type { RequestContext } from "./request_context.ts";
+import type { Slot, SlotRequest } from "./slot_allocator.ts";
 
-/** Options of {@link RequestRun}. */
-export interface RequestRunOptions {
-  readonly parts: ServiceParts;
+/** Options of {@link ActiveRequest}. */
+export interface ActiveRequestOptions {
+  readonly context: RequestContext;
   readonly request: CallerRequest;
   readonly tenant: string;
   readonly keyHash: number | undefined;
@@ -25,15 +25,15 @@
 }
 
 /** Path on the backend server under which work is asked for. */
-const WORK_PATH = "/serve/";
+const SERVE_PATH = "/serve/";
 
 /** A request from its admission to its answer. */
-export class RequestRun implements SlotWish {
+export class ActiveRequest implements SlotRequest {
   readonly tenant: string;
   readonly deadlineMs: number;
   readonly keyHash: number | undefined;
   readonly tried = new Set<contracts.ServerId>();
-  readonly #parts: ServiceParts;
+  readonly #parts: RequestContext;
   readonly #request: CallerRequest;
   readonly #startMs: number;
   #attempts = 0;
@@ -45,13 +45,13 @@
   #timer: NodeJS.Timeout | undefined;
   #resolve: ((answer: CallerAnswer) => void) | undefined;
 
-  constructor(options: RequestRunOptions) {
+  constructor(options: ActiveRequestOptions) {
     this.tenant = options.tenant;
     this.deadlineMs = options.deadlineMs;
     this.keyHash = options.keyHash;
-    this.#parts = options.parts;
+    this.#parts = options.context;
     this.#request = options.request;
-    this.#startMs = options.parts.clock.nowMs();
+    this.#startMs = options.context.clock.nowMs();
     this.#waitingSinceMs = this.#startMs;
   }
 
@@ -60,13 +60,13 @@
     return new Promise((resolve) => {
       this.#resolve = resolve;
       this.#request.signal.addEventListener("abort", this.#onCallerGone);
-      this.#parts.budget.recordRequest();
+      this.#parts.retryBudget.recordRequest();
       this.#wait();
     });
   }
 
   /** A server was found: makes an attempt there. */
-  granted(slot: Slot): void {
+  onGranted(slot: Slot): void {
     this.#stopWaiting();
     this.#attempts++;
     this.#attempt(slot).catch((error) => {
@@ -80,7 +80,7 @@
   }
 
   /** No server can be had. */
-  refused(
+  onRefused(
     reason: contracts.NotRunReason,
     options: { readonly retryAfterMs?: number; readonly message: string },
   ): void {
@@ -116,7 +116,7 @@
 
   #onDeadline(): void {
     this.#parts.allocator.withdraw(this);
-    this.refused("deadline-before-send", {
+    this.onRefused("deadline-before-send", {
       message: "The deadline passed before a server was free",
     });
   }
@@ -124,7 +124,7 @@
   readonly #onCallerGone = (): void => {
     if (!this.#isWaiting) return;
     this.#parts.allocator.withdraw(this);
-    this.refused("deadline-before-send", { message: "The caller has gone" });
+    this.onRefused("deadline-before-send", { message: "The caller has gone" });
   };
 
   async #attempt(slot: Slot): Promise<void> {
@@ -140,7 +140,7 @@
       reason: slot.ownership === undefined ? parts.policy : "owner",
     });
     const sentAtMs = parts.clock.nowMs();
-    const pool = parts.pool(slot.address);
+    const pool = parts.connectionPool(slot.address);
     const forwarded = { mark: undefined as { done(): void } | undefined };
     const result = await pool.send(
       this.#linkRequest(slot, id, { forwarded, serverClock: pool.serverClock }),
@@ -170,7 +170,7 @@
       server,
       keyHash: this.keyHash,
       workMs,
-      foundSlotFree: (result.inFlight ?? Infinity) < slotsPerServer,
+      hadFreeSlot: (result.inFlight ?? Infinity) < slotsPerServer,
     });
   }
 
@@ -182,7 +182,7 @@
     const leftMs = this.deadlineMs - this.#parts.clock.nowMs();
     const mayRepeat = this.#isIdempotent() && this.keyHash === undefined &&
       this.#attempts === 1 &&
-      this.#parts.allocator.hasOther(new Set(this.tried));
+      this.#parts.allocator.hasUntriedServer(new Set(this.tried));
     return Math.max(1, mayRepeat ? leftMs / 2 : leftMs);
   }
 
@@ -220,11 +220,11 @@
       forwarded.mark = owners.noteForwarded(service.name, server, slice);
       return true;
     };
-    const { method, rest, body } = this.#request;
+    const { method, pathAndQuery: rest, body } = this.#request;
     return {
       id,
       method,
-      path: WORK_PATH + rest,
+      path: SERVE_PATH + rest,
       headers,
       body,
       maySend: mayLeave,
@@ -241,7 +241,8 @@
     server: contracts.ServerId,
     serverClock: ServerClock,
   ): string | undefined {
-    const { owners, service, clock, unfencedRunMs } = this.#parts;
+    const { owners, service, clock, unfencedTimeoutMs: unfencedRunMs } =
+      this.#parts;
     if (owners.checksFences(service.name, server)) return undefined;
     const boundMs = clock.nowMs() + unfencedRunMs;
     return serverClock.formatDeadline(Math.min(this.deadlineMs, boundMs));
@@ -261,7 +262,7 @@
       mark.done();
       return;
     }
-    setTimeout(() => mark.done(), this.#parts.unknownHoldMs).unref();
+    setTimeout(() => mark.done(), this.#parts.unknownOutcomeHoldMs).unref();
   }
 
   #endOf(result: AttemptResult): routing.AttemptOutcome {
@@ -327,9 +328,9 @@
       isIdempotent: this.#isIdempotent(),
       isKeyed: this.keyHash !== undefined,
       attempts: this.#attempts,
-      hasOtherServer: this.#parts.allocator.hasOther(this.tried),
+      hasOtherServer: this.#parts.allocator.hasUntriedServer(this.tried),
       timeLeftMs: this.deadlineMs - this.#parts.clock.nowMs(),
-      budget: this.#parts.budget,
+      budget: this.#parts.retryBudget,
     });
   }
 
@@ -338,7 +339,7 @@
       ? result.message
       : "The server refused the request";
     if (failure.kind === "not-run") {
-      this.refused(failure.reason, { message });
+      this.onRefused(failure.reason, { message });
       return;
     }
     this.#finish({ kind: "unknown", reason: failure.reason, message });
--- a/packages/entry/src/requests/caller_listener.ts
+++ b/packages/entry/src/requests/caller_listener.ts
@@ -13,7 +13,7 @@
 } from "./caller_request.ts";
 import { readBody, readHead } from "./read_request.ts";
 import type { RequestSettings } from "./request_settings.ts";
-import { bareAnswer, writeAnswer } from "./write_answer.ts";
+import { rawErrorResponse, writeAnswer } from "./write_answer.ts";
 
 /** Options of {@link CallerListener}. */
 export interface CallerListenerOptions {
@@ -26,9 +26,9 @@
 }
 
 /** Interval at which Node looks for requests that arrive too slowly. */
-const CHECK_INTERVAL_MS = 500;
+const TIMEOUT_CHECK_INTERVAL_MS = 500;
 /** Interval at which a stop looks whether connections are left. */
-const LINGER_CHECK_MS = 20;
+const DRAIN_POLL_INTERVAL_MS = 20;
 
 /** The listening socket for callers. */
 export class CallerListener {
@@ -55,7 +55,7 @@
       headersTimeout: settings.headersTimeoutMs,
       requestTimeout: settings.requestTimeoutMs,
       keepAliveTimeout: settings.keepAliveTimeoutMs,
-      connectionsCheckingInterval: CHECK_INTERVAL_MS,
+      connectionsCheckingInterval: TIMEOUT_CHECK_INTERVAL_MS,
     }, options.tls);
     this.#server.maxConnections = settings.connectionLimit;
     this.#server.on("request", (incoming, response) => {
@@ -64,7 +64,7 @@
     this.#server.on("clientError", (error, socket) => {
       this.#broken.add(socket);
       if ((this.#routed.get(socket) ?? 0) > 0) socket.destroy();
-      else answerBrokenRequest(error, socket as net.Socket);
+      else answerParseError(error, socket as net.Socket);
     });
   }
 
@@ -192,7 +192,7 @@
     const { clock } = this.#options;
     const endMs = clock.nowMs() + timeMs;
     while (clock.nowMs() < endMs && await this.#connections() > 0) {
-      await timers.setTimeout(LINGER_CHECK_MS);
+      await timers.setTimeout(DRAIN_POLL_INTERVAL_MS);
     }
   }
 
@@ -206,20 +206,20 @@
 }
 
 /** Status of each error that Node's parser reports, besides 400. */
-const BROKEN_REQUEST_STATUS: Readonly<Record<string, number>> = {
+const PARSE_ERROR_STATUS: Readonly<Record<string, number>> = {
   ERR_HTTP_REQUEST_TIMEOUT: 408,
   HPE_HEADER_OVERFLOW: 431,
 };
 
-function answerBrokenRequest(error: Error, socket: net.Socket): void {
+function answerParseError(error: Error, socket: net.Socket): void {
   const { code } = error as NodeJS.ErrnoException;
   const hasNoReader = code === "ECONNRESET" || !socket.writable;
   if (hasNoReader) {
     socket.destroy();
     return;
   }
-  const status = BROKEN_REQUEST_STATUS[code ?? ""] ?? 400;
-  socket.end(bareAnswer(status, {
+  const status = PARSE_ERROR_STATUS[code ?? ""] ?? 400;
+  socket.end(rawErrorResponse(status, {
     [names.OUTCOME_HEADER]: "not-run",
     [names.REASON_HEADER]: "bad-request",
   }));
--- a/packages/entry/src/requests/doors_test.ts
+++ b/packages/entry/src/requests/caller_listener_test.ts
@@ -3,7 +3,7 @@
 import * as net from "node:net";
 import { test } from "node:test";
 import {
-  answerWell,
+  answerOk,
   FakeBackend,
   startEntry,
   waitUntil,
@@ -26,13 +26,13 @@
   });
 }
 
-interface DoorCase {
+interface BadRequestCase {
   readonly name: string;
   readonly bytes: string;
   readonly status: number;
 }
 
-const CASES: readonly DoorCase[] = [
+const CASES: readonly BadRequestCase[] = [
   { name: "malformed", bytes: "HELLO\r\n\r\n", status: 400 },
   {
     name: "with a header that is too large",
@@ -96,7 +96,7 @@
       const answer = await exchange(entry.url, bytes);
       expect(answer.split(" ")[1]).toEqual(String(status));
       expect(answer.toLowerCase()).toInclude("guavatide-outcome: not-run");
-      expect(backend.ran.length).toEqual(0);
+      expect(backend.received.length).toEqual(0);
     } finally {
       await entry.lifeCycle.stop();
     }
@@ -115,7 +115,7 @@
     socket.write(
       "POST /s/booths/x HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nab",
     );
-    await waitUntil(() => backend.ran.length === 1);
+    await waitUntil(() => backend.received.length === 1);
     socket.write("REST\r\n\r\n");
     expect(await answers).toEqual("");
   } finally {
@@ -131,11 +131,11 @@
   try {
     const gone = new AbortController();
     const call = fetch(`${entry.url}/s/booths/x`, { signal: gone.signal });
-    await waitUntil(() => backend.ran.length === 1);
+    await waitUntil(() => backend.received.length === 1);
     gone.abort();
     await call.catch(() => {});
     await waitUntil(() => backend.cancelled.length === 1);
-    const id = backend.ran[0]!.headers[names.REQUEST_ID_HEADER] as string;
+    const id = backend.received[0]!.headers[names.REQUEST_ID_HEADER] as string;
     expect(backend.cancelled).toEqual([id]);
   } finally {
     await entry.lifeCycle.stop();
@@ -145,11 +145,11 @@
 test("should let a request in flight end when the process stops", async () => {
   let release = () => {};
   const backend = new FakeBackend((incoming, response) => {
-    release = () => answerWell(incoming, response);
+    release = () => answerOk(incoming, response);
   });
   const entry = await startEntry([backend]);
   const call = fetch(`${entry.url}/s/booths/x`);
-  await waitUntil(() => backend.ran.length === 1);
+  await waitUntil(() => backend.received.length === 1);
   const stopped = entry.lifeCycle.stop();
   release();
   expect((await call).status).toEqual(200);
@@ -183,13 +183,13 @@
   // look open, take bytes and never bring an answer; new ones work.
   const silent = new Set<net.Socket>();
   const backend = new FakeBackend((incoming, response) => {
-    if (!silent.has(incoming.socket)) answerWell(incoming, response);
+    if (!silent.has(incoming.socket)) answerOk(incoming, response);
   });
   const entry = await startEntry([backend], { service: { slotsPerServer: 4 } });
   try {
     const url = `${entry.url}/s/booths/x`;
     await Promise.all([1, 2, 3].map(() => fetch(url)));
-    for (const { socket } of backend.ran) silent.add(socket);
+    for (const { socket } of backend.received) silent.add(socket);
     const headers = { [names.TIMEOUT_HEADER]: "150" };
     const lost = await fetch(url, { method: "POST", headers });
     expect(lost.headers.get(names.OUTCOME_HEADER)).toEqual("unknown");
--- a/packages/entry/src/requests/caller_request.ts
+++ b/packages/entry/src/requests/caller_request.ts
@@ -6,7 +6,7 @@
   readonly service: contracts.ServiceId;
   readonly method: string;
   /** Path and query behind the service, without a leading slash. */
-  readonly rest: string;
+  readonly pathAndQuery: string;
   /** Headers to forward, names and values in turn. */
   readonly headers: readonly string[];
   readonly body: Uint8Array | undefined;
--- a/packages/entry/src/requests/dispatched_allocator.ts
+++ b/packages/entry/src/requests/dispatched_allocator.ts
@@ -6,17 +6,17 @@
 import type * as contracts from "@guavatide/contracts";
 import * as routing from "@guavatide/decisions/routing/mod";
 import type { ServerView } from "../contracts/views.ts";
-import type { PartLog } from "../utils/log.ts";
-import { OncePerTurn } from "../utils/once_per_turn.ts";
-import type { PeerCalls } from "./peer_calls.ts";
-import type { Slot, SlotAllocator, SlotWish } from "./slot_allocator.ts";
+import type { Logger } from "../utils/log.ts";
+import { CoalescedCallback } from "../utils/coalesced_callback.ts";
+import type { PeerRpc } from "./peer_rpc.ts";
+import type { Slot, SlotAllocator, SlotRequest } from "./slot_allocator.ts";
 import type { SlotDispatcher } from "./slot_dispatcher.ts";
 import * as messages from "./slot_messages.ts";
 
 /** Options of {@link DispatchedAllocator}. */
 export interface DispatchedAllocatorOptions {
   readonly service: contracts.Service;
-  readonly peers: PeerCalls;
+  readonly peers: PeerRpc;
   /** This VM's own dispatcher. */
   readonly dispatcher: SlotDispatcher;
   /** Used while the dispatcher is silent and by other policies. */
@@ -24,17 +24,17 @@
   readonly servers: ServerView;
   readonly clock: contracts.Clock;
   readonly hash: (text: string) => number;
-  readonly log: PartLog;
+  readonly log: Logger;
 }
 
 /** Time the dispatcher has to answer an update. */
 const UPDATE_TIMEOUT_MS = 250;
 /** Updates on their way at a time; more are gathered into one. */
-const UPDATES_IN_FLIGHT = 2;
+const MAX_UPDATES_IN_FLIGHT = 2;
 /** Interval at which a silent dispatcher is asked again. */
-const SILENT_MS = 1000;
+const PROBE_INTERVAL_MS = 1000;
 /** A dispatcher that said nothing for this long while requests wait is asked. */
-const ASK_AGAIN_MS = 50;
+const MAX_QUIET_MS = 50;
 
 interface HeldGrant {
   readonly grant: number;
@@ -44,12 +44,12 @@
 /** The entry VM's side of one service's dispatcher. */
 export class DispatchedAllocator implements SlotAllocator {
   readonly #options: DispatchedAllocatorOptions;
-  readonly #wishes = new Map<number, SlotWish>();
-  readonly #numbers = new Map<SlotWish, number>();
+  readonly #wishes = new Map<number, SlotRequest>();
+  readonly #numbers = new Map<SlotRequest, number>();
   readonly #held = new Map<Slot, HeldGrant>();
-  #wants: messages.SlotWant[] = [];
+  #wants: messages.SlotRequestMessage[] = [];
   #withdrawn: number[] = [];
-  #ended: messages.SlotEnd[] = [];
+  #ended: messages.SlotRelease[] = [];
   #dispatcher: contracts.VmId | undefined;
   #incarnation: contracts.Incarnation | undefined;
   #isSilent = false;
@@ -58,7 +58,7 @@
   #updatesInFlight = 0;
   #nextWish = 1;
   /** What changes in one turn of the event loop leaves together. */
-  readonly #flushing = new OncePerTurn(() => this.#flush());
+  readonly #flushing = new CoalescedCallback(() => this.#flush());
   #service: contracts.Service;
 
   constructor(options: DispatchedAllocatorOptions) {
@@ -66,11 +66,11 @@
     this.#service = options.service;
   }
 
-  get waiting(): number {
-    return this.#wishes.size + this.#options.fallback.waiting;
+  get waitingCount(): number {
+    return this.#wishes.size + this.#options.fallback.waitingCount;
   }
 
-  acquire(wish: SlotWish): void {
+  acquire(wish: SlotRequest): void {
     if (this.#dispatcher === undefined) this.#chooseDispatcher();
     const nowMs = this.#options.clock.nowMs();
     const isAlone = this.#dispatcher === undefined ||
@@ -92,7 +92,7 @@
     this.#flushing.schedule();
   }
 
-  withdraw(wish: SlotWish): void {
+  withdraw(wish: SlotRequest): void {
     const number = this.#forget(wish);
     if (number === undefined) {
       this.#options.fallback.withdraw(wish);
@@ -120,26 +120,26 @@
     this.#options.fallback.configure(service);
   }
 
-  hasOther(tried: ReadonlySet<contracts.ServerId>): boolean {
-    return this.#options.fallback.hasOther(tried);
+  hasUntriedServer(tried: ReadonlySet<contracts.ServerId>): boolean {
+    return this.#options.fallback.hasUntriedServer(tried);
   }
 
   refresh(): void {
     this.#options.fallback.refresh();
     this.#chooseDispatcher();
     const nowMs = this.#options.clock.nowMs();
-    const isQuiet = nowMs - this.#heardMs > ASK_AGAIN_MS;
+    const isQuiet = nowMs - this.#heardMs > MAX_QUIET_MS;
     // Without this a dispatcher that froze after it took a want would hold
     // the request until its deadline.
     const mustHear = this.#wishes.size > 0 && isQuiet;
     // No request pays for finding out whether the dispatcher is back.
     const mustAsk = this.#isSilent && nowMs >= this.#askAgainMs;
-    if (mustAsk) this.#askAgainMs = nowMs + SILENT_MS;
+    if (mustAsk) this.#askAgainMs = nowMs + PROBE_INTERVAL_MS;
     if (mustHear || mustAsk) this.#flushing.schedule();
   }
 
   /** Takes decisions that a dispatcher sent later. */
-  decided(decided: messages.SlotsDecided): void {
+  applyDecisions(decided: messages.SlotsDecided): void {
     this.#heardMs = this.#options.clock.nowMs();
     const isCurrent = decided.vm === this.#dispatcher;
     if (isCurrent) this.#incarnation = decided.incarnation;
@@ -149,7 +149,7 @@
         this.#takeGrant(wish, decision, decided.incarnation);
       } else if (wish !== undefined) {
         this.#forget(wish);
-        wish.refused(decision.reason, {
+        wish.onRefused(decision.reason, {
           retryAfterMs: decision.retryAfterMs,
           message: "Too many requests wait for the service; come back later",
         });
@@ -158,7 +158,7 @@
   }
 
   #takeGrant(
-    wish: SlotWish | undefined,
+    wish: SlotRequest | undefined,
     decision: Extract<messages.SlotDecision, { kind: "granted" }>,
     dispatcher: contracts.Incarnation,
   ): void {
@@ -177,10 +177,10 @@
     this.#forget(wish);
     const slot: Slot = { address, sentMs: this.#options.clock.nowMs() };
     this.#held.set(slot, { grant, dispatcher });
-    wish.granted(slot);
+    wish.onGranted(slot);
   }
 
-  #forget(wish: SlotWish): number | undefined {
+  #forget(wish: SlotRequest): number | undefined {
     const number = this.#numbers.get(wish);
     if (number === undefined) return undefined;
     this.#numbers.delete(wish);
@@ -220,10 +220,10 @@
     const to = this.#dispatcher;
     if (to === undefined) return;
     if (to === peers.self.vm) {
-      this.decided(dispatcher.update(this.#drainOutbox()));
+      this.applyDecisions(dispatcher.update(this.#drainOutbox()));
       return;
     }
-    if (this.#updatesInFlight >= UPDATES_IN_FLIGHT) return;
+    if (this.#updatesInFlight >= MAX_UPDATES_IN_FLIGHT) return;
     this.#send(to, this.#drainOutbox()).catch(() => {});
   }
 
@@ -271,7 +271,7 @@
       return;
     }
     if (this.#isSilent) this.#noteBack();
-    this.decided(reply);
+    this.applyDecisions(reply);
     const hasMore = this.#wants.length + this.#withdrawn.length +
         this.#ended.length > 0;
     if (hasMore) this.#flushing.schedule();
@@ -280,7 +280,7 @@
   #noteSilent(update: messages.SlotsUpdate): void {
     // The dispatcher drops an end that it has seen before.
     const ended = [...update.ended, ...this.#ended];
-    this.#askAgainMs = this.#options.clock.nowMs() + SILENT_MS;
+    this.#askAgainMs = this.#options.clock.nowMs() + PROBE_INTERVAL_MS;
     if (!this.#isSilent) {
       this.#options.log.info("Dispatcher is silent; chooses alone.", {
         service: this.#service.name,
--- a/packages/entry/src/requests/dispatched_slots_test.ts
+++ b/packages/entry/src/requests/dispatched_allocator_test.ts
@@ -6,8 +6,8 @@
 import { createLog } from "../utils/log.ts";
 import { DispatchedAllocator } from "./dispatched_allocator.ts";
 import { waitUntil } from "./fakes_test_support.ts";
-import type { PeerCallOptions, PeerCalls } from "./peer_calls.ts";
-import type { Slot, SlotAllocator, SlotWish } from "./slot_allocator.ts";
+import type { PeerCallOptions, PeerRpc } from "./peer_rpc.ts";
+import type { Slot, SlotAllocator, SlotRequest } from "./slot_allocator.ts";
 import { SlotDispatcher } from "./slot_dispatcher.ts";
 import * as messages from "./slot_messages.ts";
 
@@ -17,23 +17,23 @@
 } as contracts.Service;
 const SERVER = { server: "s0" as contracts.ServerId } as ServerAddress;
 const DISPATCHER = "vm1" as contracts.VmId;
-const ENTRY = "vm0" as contracts.VmId;
+const ENTRY_VM = "vm0" as contracts.VmId;
 
 /** Grants one slot at a time. */
-class OneSlot implements SlotAllocator {
-  readonly queue: SlotWish[] = [];
+class SingleSlotAllocator implements SlotAllocator {
+  readonly queue: SlotRequest[] = [];
   isFree = true;
 
-  get waiting(): number {
+  get waitingCount(): number {
     return this.queue.length;
   }
 
-  acquire(wish: SlotWish): void {
+  acquire(wish: SlotRequest): void {
     this.queue.push(wish);
     this.refresh();
   }
 
-  withdraw(wish: SlotWish): void {
+  withdraw(wish: SlotRequest): void {
     this.queue.splice(this.queue.indexOf(wish), 1);
   }
 
@@ -42,7 +42,7 @@
     this.refresh();
   }
 
-  hasOther(): boolean {
+  hasUntriedServer(): boolean {
     return true;
   }
 
@@ -53,7 +53,7 @@
     const wish = this.queue.shift();
     if (wish === undefined) return;
     this.isFree = false;
-    wish.granted({ address: SERVER, sentMs: 0 });
+    wish.onGranted({ address: SERVER, sentMs: 0 });
   }
 }
 
@@ -63,10 +63,10 @@
 class TestNetwork {
   readonly #handlers = new Map<string, Handler>();
   /** Whether calls to the dispatcher are answered. */
-  losesAnswers = false;
-  isSilent = false;
+  losesReplies = false;
+  isUnreachable = false;
 
-  peers(vm: contracts.VmId): PeerCalls {
+  peers(vm: contracts.VmId): PeerRpc {
     const register = (
       method: string,
       _schema: z.ZodType,
@@ -76,7 +76,7 @@
     };
     return {
       self: { vm, incarnation: `${vm}-run` as contracts.Incarnation },
-      members: () => [ENTRY, DISPATCHER],
+      members: () => [ENTRY_VM, DISPATCHER],
       call: (to, method, options) => this.#call(`${to} ${method}`, options),
       register,
     };
@@ -86,47 +86,47 @@
     name: string,
     options: PeerCallOptions<Schema>,
   ): Promise<z.infer<Schema> | undefined> {
-    if (this.isSilent) return Promise.resolve(undefined);
+    if (this.isUnreachable) return Promise.resolve(undefined);
     const answer = this.#handlers.get(name)!(options.params);
     return Promise.resolve(
-      this.losesAnswers ? undefined : options.schema.parse(answer),
+      this.losesReplies ? undefined : options.schema.parse(answer),
     );
   }
 }
 
-class TestWish implements SlotWish {
+class TestSlotRequest implements SlotRequest {
   readonly tenant = "host";
   readonly deadlineMs = 10_000;
   readonly keyHash = undefined;
   readonly tried = new Set<contracts.ServerId>();
   slot: Slot | undefined;
 
-  granted(slot: Slot): void {
+  onGranted(slot: Slot): void {
     this.slot = slot;
   }
 
-  refused(): void {}
+  onRefused(): void {}
 }
 
 function createPair() {
   const network = new TestNetwork();
   const clock = { now: 0, nowMs: () => clock.now };
-  const shared = new OneSlot();
+  const shared = new SingleSlotAllocator();
   const dispatcher = new SlotDispatcher({
     peers: network.peers(DISPATCHER),
     clock,
-    onDecided: () => {},
+    onDecisions: () => {},
     createAllocator: () => shared,
   });
-  const peers = network.peers(ENTRY);
-  const fallback = new OneSlot();
+  const peers = network.peers(ENTRY_VM);
+  const fallback = new SingleSlotAllocator();
   const entry = new DispatchedAllocator({
     service: SERVICE,
     peers,
     dispatcher: new SlotDispatcher({
-      peers: network.peers(ENTRY),
+      peers: network.peers(ENTRY_VM),
       clock,
-      onDecided: () => {},
+      onDecisions: () => {},
       createAllocator: () => undefined,
     }),
     fallback,
@@ -143,7 +143,7 @@
     messages.SLOTS_DECIDED_METHOD,
     messages.slotsDecidedSchema,
     (decided) => {
-      entry.decided(decided);
+      entry.applyDecisions(decided);
       return {};
     },
   );
@@ -152,8 +152,8 @@
 
 test("should pass a slot on as soon as it is free", async () => {
   const { entry, fallback } = createPair();
-  const first = new TestWish();
-  const second = new TestWish();
+  const first = new TestSlotRequest();
+  const second = new TestSlotRequest();
   entry.acquire(first);
   entry.acquire(second);
   await waitUntil(() => first.slot !== undefined);
@@ -167,16 +167,16 @@
   // The VM that gives out the slots of a service freezes. Hosts whose
   // requests come in elsewhere must not wait for it until their deadline.
   const { entry, network, clock, shared } = createPair();
-  network.isSilent = true;
-  const wish = new TestWish();
+  network.isUnreachable = true;
+  const wish = new TestSlotRequest();
   entry.acquire(wish);
   await waitUntil(() => wish.slot !== undefined);
   entry.release(wish.slot!, { kind: "answer" });
 
-  network.isSilent = false;
+  network.isUnreachable = false;
   clock.now = 2000;
   entry.refresh();
-  const later = new TestWish();
+  const later = new TestSlotRequest();
   await waitUntil(() => {
     entry.acquire(later);
     return !shared.isFree;
@@ -187,10 +187,10 @@
   // The answer that carried a grant is lost. The entry VM serves the request
   // by itself; without a correction the slot stays empty until the deadline.
   const { entry, network, clock, shared } = createPair();
-  network.losesAnswers = true;
-  entry.acquire(new TestWish());
+  network.losesReplies = true;
+  entry.acquire(new TestSlotRequest());
   await waitUntil(() => !shared.isFree);
-  network.losesAnswers = false;
+  network.losesReplies = false;
   clock.now = 2000;
   await waitUntil(() => {
     clock.now += 1000;
--- a/packages/entry/src/requests/fakes_test_support.ts
+++ b/packages/entry/src/requests/fakes_test_support.ts
@@ -18,7 +18,7 @@
 import { LifeCycle } from "../utils/life_cycle.ts";
 import { createLog } from "../utils/log.ts";
 import { CallerListener } from "./caller_listener.ts";
-import { NO_METRICS } from "./request_metrics.ts";
+import { NOOP_METRICS } from "./request_metrics.ts";
 import { RequestRouter } from "./request_router.ts";
 import { REQUEST_DEFAULTS, type RequestSettings } from "./request_settings.ts";
 
@@ -26,7 +26,7 @@
 export class FakeBackend {
   readonly server: http.Server;
   /** Requests for work that arrived, in order. */
-  readonly ran: http.IncomingMessage[] = [];
+  readonly received: http.IncomingMessage[] = [];
   readonly cancelled: string[] = [];
   address!: ServerAddress;
 
@@ -34,7 +34,7 @@
     answer: (
       incoming: http.IncomingMessage,
       response: http.ServerResponse,
-    ) => void = answerWell,
+    ) => void = answerOk,
   ) {
     this.server = http.createServer((incoming, response) => {
       if (incoming.url!.startsWith("/control/requests/")) {
@@ -46,7 +46,7 @@
         response.end("{}");
         return;
       }
-      this.ran.push(incoming);
+      this.received.push(incoming);
       answer(incoming, response);
     });
   }
@@ -67,7 +67,7 @@
 }
 
 /** Echoes the request's id and says hello. */
-export function answerWell(
+export function answerOk(
   incoming: http.IncomingMessage,
   response: http.ServerResponse,
 ): void {
@@ -88,7 +88,7 @@
   ): void => {
     response.statusCode = 503;
     response.setHeader(names.NOT_RUN_HEADER, refusal);
-    answerWell(incoming, response);
+    answerOk(incoming, response);
   };
 }
 
@@ -178,16 +178,16 @@
     config,
     servers,
     owners,
-    links: new ConnectionPools(CONNECTION_POOLS_DEFAULTS, lifeCycle),
+    connectionPools: new ConnectionPools(CONNECTION_POOLS_DEFAULTS, lifeCycle),
     hashKey: (key) => key.length,
     entryVmCount: () => 9,
     clock,
     random: new SystemRandom(),
     log: createLog({ format: "text", level: "silent" }),
     lifeCycle,
-    metrics: NO_METRICS,
-    longestTimeoutMs: settings.longestTimeoutMs,
-    unfencedRunMs: 400,
+    metrics: NOOP_METRICS,
+    maxTimeoutMs: settings.maxTimeoutMs,
+    unfencedTimeoutMs: 400,
   });
   const listener = new CallerListener({
     settings,
