--- a/packages/entry/src/requests/keyed_allocator.ts
+++ b/packages/entry/src/requests/keyed_allocator.ts
@@ -5,12 +5,12 @@
 import type * as contracts from "@guavatide/contracts";
 import type * as routing from "@guavatide/decisions/routing/mod";
 import type { OwnerLookup, OwnerView } from "../contracts/views.ts";
-import { Lane } from "./lane.ts";
-import { ServerWatch, type ServerWatchOptions } from "./server_watch.ts";
-import type { Slot, SlotAllocator, SlotWish } from "./slot_allocator.ts";
+import { RequestQueue } from "./request_queue.ts";
+import { ServerMonitor, type ServerMonitorOptions } from "./server_monitor.ts";
+import type { Slot, SlotAllocator, SlotRequest } from "./slot_allocator.ts";
 
 /** Options of {@link KeyedAllocator}. */
-export interface KeyedAllocatorOptions extends ServerWatchOptions {
+export interface KeyedAllocatorOptions extends ServerMonitorOptions {
   readonly owners: OwnerView;
 }
 
@@ -18,22 +18,22 @@
  * Time before an owner that lets a key go, or has not yet got it, is asked
  * again at the same revision.
  */
-const MOVE_PAUSE_MS = 50;
+const REFUSAL_RETRY_DELAY_MS = 50;
 
 interface SliceRefusal {
   readonly revision: number;
-  readonly untilMs: number;
+  readonly retryAtMs: number;
 }
 
-type Owned = Extract<OwnerLookup, { kind: "owned" }>;
+type OwnedSlice = Extract<OwnerLookup, { kind: "owned" }>;
 
 /** Queues of one entry VM for the owners of one service's keys. */
 export class KeyedAllocator implements SlotAllocator {
   readonly #options: KeyedAllocatorOptions;
-  readonly #lanes = new Map<contracts.ServerId, Lane>();
+  readonly #lanes = new Map<contracts.ServerId, RequestQueue>();
   /** Requests whose slice has no owner at present. */
-  readonly #ownerless = new Lane();
-  readonly #watch: ServerWatch;
+  readonly #ownerless = new RequestQueue();
+  readonly #watch: ServerMonitor;
   #service: contracts.Service;
   /** Slices whose owner does not serve them, with the revision and the time. */
   readonly #refusals = new Map<contracts.SliceId, SliceRefusal>();
@@ -42,23 +42,23 @@
   constructor(options: KeyedAllocatorOptions) {
     this.#options = options;
     this.#service = options.service;
-    this.#watch = new ServerWatch(options, () => this.#pumpAll());
+    this.#watch = new ServerMonitor(options, () => this.#pumpAll());
   }
 
-  get waiting(): number {
+  get waitingCount(): number {
     let count = this.#ownerless.size;
     for (const lane of this.#lanes.values()) count += lane.size;
     return count;
   }
 
-  acquire(wish: SlotWish): void {
+  acquire(wish: SlotRequest): void {
     const lane = this.#enqueue(wish);
     if (lane === undefined) return;
     this.#pump(lane);
-    lane.shorten(this.#service.queueRequests);
+    lane.evictExcess(this.#service.queueRequests);
   }
 
-  withdraw(wish: SlotWish): void {
+  withdraw(wish: SlotRequest): void {
     if (this.#ownerless.remove(wish)) return;
     for (const lane of this.#lanes.values()) {
       if (lane.remove(wish)) return;
@@ -69,9 +69,9 @@
     const nowMs = this.#options.clock.nowMs();
     const lane = this.#lanes.get(slot.address.server);
     if (end.kind === "answer") {
-      lane?.noteAnswered(nowMs - slot.sentMs, nowMs);
+      lane?.recordAnswer(nowMs - slot.sentMs, nowMs);
     }
-    this.#watch.release(slot, end);
+    this.#watch.releaseSlot(slot, end);
     if (end.kind === "refusal") this.#noteRefusal(slot, end.refusal);
     if (lane !== undefined) this.#pump(lane);
   }
@@ -82,7 +82,7 @@
   }
 
   /** The owner of a key stays the only choice, also after a failure. */
-  hasOther(): boolean {
+  hasUntriedServer(): boolean {
     return true;
   }
 
@@ -111,8 +111,11 @@
   }
 
   #park(slice: NonNullable<Slot["ownership"]>): void {
-    const untilMs = this.#options.clock.nowMs() + MOVE_PAUSE_MS;
-    this.#refusals.set(slice.slice, { revision: slice.revision, untilMs });
+    const untilMs = this.#options.clock.nowMs() + REFUSAL_RETRY_DELAY_MS;
+    this.#refusals.set(slice.slice, {
+      revision: slice.revision,
+      retryAtMs: untilMs,
+    });
   }
 
   /**
@@ -120,7 +123,7 @@
    * before the bytes leave; asked only there, a request without it would go
    * round and round and open a connection each time.
    */
-  #mayForward(owner: Owned): boolean {
+  #mayForward(owner: OwnedSlice): boolean {
     const { server, slice, fence } = owner;
     const { owners } = this.#options;
     return owners.mayForward(this.#service.name, server, slice, fence);
@@ -129,15 +132,15 @@
   #forgetRefusals(): void {
     const nowMs = this.#options.clock.nowMs();
     for (const [slice, refusal] of this.#refusals) {
-      if (refusal.untilMs < nowMs) this.#refusals.delete(slice);
+      if (refusal.retryAtMs < nowMs) this.#refusals.delete(slice);
     }
   }
 
   /** Puts a request where it has to wait; nothing when it was refused. */
-  #enqueue(wish: SlotWish): Lane | undefined {
+  #enqueue(wish: SlotRequest): RequestQueue | undefined {
     const owner = this.#owner(wish);
     if (owner.kind === "none") {
-      wish.refused("no-owner", { message: "No server owns the key yet" });
+      wish.onRefused("no-owner", { message: "No server owns the key yet" });
       return undefined;
     }
     const isOpen = owner.kind === "owned" && this.#mayAsk(owner);
@@ -146,22 +149,22 @@
     return lane;
   }
 
-  #lane(server: contracts.ServerId): Lane {
+  #lane(server: contracts.ServerId): RequestQueue {
     const found = this.#lanes.get(server);
     if (found !== undefined) return found;
-    const lane = new Lane();
+    const lane = new RequestQueue();
     this.#lanes.set(server, lane);
     return lane;
   }
 
-  #pump(lane: Lane): void {
+  #pump(lane: RequestQueue): void {
     if (lane === this.#ownerless) return;
     let wish = lane.peek();
     while (wish !== undefined && this.#serve(lane, wish)) wish = lane.peek();
   }
 
   /** Grants or moves the request; false when it has to wait. */
-  #serve(lane: Lane, wish: SlotWish): boolean {
+  #serve(lane: RequestQueue, wish: SlotRequest): boolean {
     const owner = this.#owner(wish);
     if (owner.kind !== "owned" || this.#lane(owner.server) !== lane) {
       lane.shift();
@@ -180,15 +183,17 @@
     if (candidate === undefined) return false;
     lane.shift();
     const { slice, fence, revision } = owner;
-    wish.granted(this.#watch.take(address, { slice, fence, revision }));
+    wish.onGranted(
+      this.#watch.acquireSlot(address, { slice, fence, revision }),
+    );
     return true;
   }
 
   /** Whether the owner is worth asking after it refused as not owner. */
-  #mayAsk(owner: Owned): boolean {
+  #mayAsk(owner: OwnedSlice): boolean {
     const refusal = this.#refusals.get(owner.slice);
     if (refusal === undefined) return true;
-    const leftMs = refusal.untilMs - this.#options.clock.nowMs();
+    const leftMs = refusal.retryAtMs - this.#options.clock.nowMs();
     if (owner.revision <= refusal.revision && leftMs > 0) {
       this.#wakeIn(leftMs);
       return false;
@@ -209,7 +214,7 @@
     for (const lane of this.#lanes.values()) this.#pump(lane);
   }
 
-  #owner(wish: SlotWish): OwnerLookup {
+  #owner(wish: SlotRequest): OwnerLookup {
     const { owners } = this.#options;
     return owners.lookup(this.#service.name, wish.keyHash!);
   }
--- a/packages/entry/src/requests/keyed_requests_test.ts
+++ b/packages/entry/src/requests/keyed_requests_test.ts
@@ -4,18 +4,18 @@
 import { test } from "node:test";
 import type { OwnerLookup, OwnerView } from "../contracts/views.ts";
 import {
+  answerOk,
   answerRefusal,
-  answerWell,
   FakeBackend,
   startEntry,
   waitUntil,
 } from "./fakes_test_support.ts";
 
 /** Ownership that a test moves by hand. */
-class FakeOwners implements OwnerView {
+class FakeOwnership implements OwnerView {
   owner: OwnerLookup;
-  mayLeave = true;
-  isFenced = true;
+  canForward = true;
+  serverChecksFences = true;
   forwarded = 0;
   readonly notOwnerRevisions: number[] = [];
   readonly #callbacks = new Set<() => void>();
@@ -29,11 +29,11 @@
   }
 
   mayForward(): boolean {
-    return this.mayLeave;
+    return this.canForward;
   }
 
   checksFences(): boolean {
-    return this.isFenced;
+    return this.serverChecksFences;
   }
 
   noteForwarded(): { done(): void } {
@@ -71,14 +71,14 @@
 
 test("should send a key's request to its owner with the fence", async () => {
   const backends = [new FakeBackend(), new FakeBackend()];
-  const owners = new FakeOwners(ownedBy("s1", 4));
+  const owners = new FakeOwnership(ownedBy("s1", 4));
   const entry = await startEntry(backends, { service: KEYED, owners });
   try {
     await fetch(`${entry.url}/s/booths/x`, { headers: HEADERS });
-    const [request] = backends[1]!.ran;
+    const [request] = backends[1]!.received;
     expect(request!.headers[names.FENCE_HEADER]).toEqual("4");
     expect(request!.headers[names.KEY_HEADER]).toEqual("booth 7");
-    expect(backends[0]!.ran.length).toEqual(0);
+    expect(backends[0]!.received.length).toEqual(0);
     expect(owners.forwarded).toEqual(0);
   } finally {
     await entry.lifeCycle.stop();
@@ -87,7 +87,7 @@
 
 test("should hold a request while its key is between two owners", async () => {
   const backends = [new FakeBackend(), new FakeBackend()];
-  const owners = new FakeOwners({ kind: "vacating", revision: 5 });
+  const owners = new FakeOwnership({ kind: "vacating", revision: 5 });
   const entry = await startEntry(backends, { service: KEYED, owners });
   try {
     const call = fetch(`${entry.url}/s/booths/x`, { headers: HEADERS });
@@ -99,7 +99,7 @@
     );
     owners.move(ownedBy("s0", 6));
     expect((await call).status).toEqual(200);
-    expect(backends[0]!.ran.length).toEqual(1);
+    expect(backends[0]!.received.length).toEqual(1);
   } finally {
     await entry.lifeCycle.stop();
   }
@@ -110,9 +110,9 @@
   // host's check goes on to the new owner as soon as the move is known.
   const backends = [
     new FakeBackend(answerRefusal("not-owner")),
-    new FakeBackend(answerWell),
+    new FakeBackend(answerOk),
   ];
-  const owners = new FakeOwners(ownedBy("s0", 4));
+  const owners = new FakeOwnership(ownedBy("s0", 4));
   const entry = await startEntry(backends, { service: KEYED, owners });
   try {
     const call = fetch(`${entry.url}/s/booths/x`, {
@@ -132,8 +132,8 @@
   // A server that does not check who orders it would run whatever arrives.
   // Between the choice of the owner and the bytes the right may have lapsed.
   const backend = new FakeBackend();
-  const owners = new FakeOwners(ownedBy("s0", 4));
-  owners.mayLeave = false;
+  const owners = new FakeOwnership(ownedBy("s0", 4));
+  owners.canForward = false;
   const entry = await startEntry([backend], { service: KEYED, owners });
   try {
     const answer = await fetch(`${entry.url}/s/booths/x`, {
@@ -141,7 +141,7 @@
       headers: { ...HEADERS, [names.TIMEOUT_HEADER]: "200" },
     });
     expect(answer.headers.get(names.OUTCOME_HEADER)).toEqual("not-run");
-    expect(backend.ran.length).toEqual(0);
+    expect(backend.received.length).toEqual(0);
   } finally {
     await entry.lifeCycle.stop();
   }
@@ -154,15 +154,15 @@
   const instanceMs = 50_000;
   const backend = new FakeBackend((request, response) => {
     response.setHeader(names.STAMP_HEADER, `run-1/${instanceMs}`);
-    answerWell(request, response);
+    answerOk(request, response);
   });
-  const owners = new FakeOwners(ownedBy("s0", 4));
-  owners.isFenced = false;
+  const owners = new FakeOwnership(ownedBy("s0", 4));
+  owners.serverChecksFences = false;
   const entry = await startEntry([backend], { service: KEYED, owners });
   try {
     await fetch(`${entry.url}/s/booths/x`, { headers: HEADERS });
     await fetch(`${entry.url}/s/booths/x`, { headers: HEADERS });
-    const [first, second] = backend.ran;
+    const [first, second] = backend.received;
     expect(first!.headers[names.DEADLINE_STAMP_HEADER]).toEqual(undefined);
     const stamped = String(second!.headers[names.DEADLINE_STAMP_HEADER]);
     const [instance, deadlineMs] = stamped.split("/");
@@ -177,7 +177,7 @@
   // The answer never came, so the server may still work on the key. A mover
   // that is told of nothing in flight would give the key away too early.
   const backend = new FakeBackend(() => {});
-  const owners = new FakeOwners(ownedBy("s0", 4));
+  const owners = new FakeOwnership(ownedBy("s0", 4));
   const entry = await startEntry([backend], { service: KEYED, owners });
   try {
     const answer = await fetch(`${entry.url}/s/booths/x`, {
--- a/packages/entry/src/requests/local_allocator.ts
+++ b/packages/entry/src/requests/local_allocator.ts
@@ -1,12 +1,12 @@
 /** Slots of an unkeyed service by what this entry VM knows alone. */
 import type * as contracts from "@guavatide/contracts";
 import * as routing from "@guavatide/decisions/routing/mod";
-import { Lane } from "./lane.ts";
-import { ServerWatch, type ServerWatchOptions } from "./server_watch.ts";
-import type { Slot, SlotAllocator, SlotWish } from "./slot_allocator.ts";
+import { RequestQueue } from "./request_queue.ts";
+import { ServerMonitor, type ServerMonitorOptions } from "./server_monitor.ts";
+import type { Slot, SlotAllocator, SlotRequest } from "./slot_allocator.ts";
 
 /** Options of {@link LocalAllocator}. */
-export interface LocalAllocatorOptions extends ServerWatchOptions {
+export interface LocalAllocatorOptions extends ServerMonitorOptions {
   /** Policy for choosing servers, in place of the service's own. */
   readonly policy?: string;
   readonly random: contracts.RandomSource;
@@ -15,8 +15,8 @@
 /** Queue and choice of one entry VM for one service. */
 export class LocalAllocator implements SlotAllocator {
   readonly #options: LocalAllocatorOptions;
-  readonly #lane = new Lane();
-  readonly #watch: ServerWatch;
+  readonly #lane = new RequestQueue();
+  readonly #watch: ServerMonitor;
   #service: contracts.Service;
   #choice: routing.LoadBalancer;
 
@@ -24,30 +24,30 @@
     this.#options = options;
     this.#service = options.service;
     this.#choice = this.#createChoice();
-    this.#watch = new ServerWatch(options, () => this.#pump());
+    this.#watch = new ServerMonitor(options, () => this.#pump());
   }
 
-  get waiting(): number {
+  get waitingCount(): number {
     return this.#lane.size;
   }
 
-  acquire(wish: SlotWish): void {
+  acquire(wish: SlotRequest): void {
     this.#lane.push(wish);
     this.#pump();
     // Only now: a request that found a server at once takes no place.
-    this.#lane.shorten(this.#service.queueRequests);
+    this.#lane.evictExcess(this.#service.queueRequests);
   }
 
-  withdraw(wish: SlotWish): void {
+  withdraw(wish: SlotRequest): void {
     this.#lane.remove(wish);
   }
 
   release(slot: Slot, end: routing.AttemptOutcome): void {
     const nowMs = this.#options.clock.nowMs();
     if (end.kind === "answer") {
-      this.#lane.noteAnswered(nowMs - slot.sentMs, nowMs);
+      this.#lane.recordAnswer(nowMs - slot.sentMs, nowMs);
     }
-    this.#watch.release(slot, end);
+    this.#watch.releaseSlot(slot, end);
     this.#pump();
   }
 
@@ -58,8 +58,10 @@
     this.#watch.configure(service);
   }
 
-  hasOther(tried: ReadonlySet<contracts.ServerId>): boolean {
-    return this.#watch.live().some((address) => !tried.has(address.server));
+  hasUntriedServer(tried: ReadonlySet<contracts.ServerId>): boolean {
+    return this.#watch.liveServers().some((address) =>
+      !tried.has(address.server)
+    );
   }
 
   refresh(): void {
@@ -78,11 +80,13 @@
   }
 
   /** Grants or refuses the request; false when it has to wait. */
-  #serve(wish: SlotWish): boolean {
-    const live = this.#watch.live().filter((it) => !wish.tried.has(it.server));
+  #serve(wish: SlotRequest): boolean {
+    const live = this.#watch.liveServers().filter((it) =>
+      !wish.tried.has(it.server)
+    );
     if (live.length === 0) {
       this.#lane.shift();
-      wish.refused("no-server", { message: "No other live server is known" });
+      wish.onRefused("no-server", { message: "No other live server is known" });
       return true;
     }
     const ids = live.map((address) => address.server);
@@ -91,7 +95,7 @@
     if (chosen === undefined) return false;
     this.#lane.shift();
     const address = live.find((it) => it.server === chosen.server)!;
-    wish.granted(this.#watch.take(address));
+    wish.onGranted(this.#watch.acquireSlot(address));
     return true;
   }
 }
--- a/packages/entry/src/requests/peer_calls.ts
+++ b/packages/entry/src/requests/peer_rpc.ts
@@ -2,7 +2,7 @@
 import type * as contracts from "@guavatide/contracts";
 import type * as z from "zod";
 
-/** Options of {@link PeerCalls.call}. */
+/** Options of {@link PeerRpc.call}. */
 export interface PeerCallOptions<Schema extends z.ZodType> {
   readonly params: unknown;
   /** Shape of the answer. */
@@ -11,7 +11,7 @@
 }
 
 /** Calls between entry VMs. */
-export interface PeerCalls {
+export interface PeerRpc {
   readonly self: {
     readonly vm: contracts.VmId;
     readonly incarnation: contracts.Incarnation;
--- a/packages/entry/src/requests/read_request.ts
+++ b/packages/entry/src/requests/read_request.ts
@@ -16,7 +16,7 @@
 /** Path under which callers address services. */
 const SERVICE_PATH = "/s/";
 /** Longest key, caller name. */
-const NAME_LIMIT_LENGTH = 512;
+const MAX_NAME_LENGTH = 512;
 
 /** Reads the head. Errors: the final answer, always "not run". */
 export function readHead(
@@ -33,17 +33,17 @@
   if (!service.success) {
     return err(badRequest("The service in the path is not a valid name"));
   }
-  if (leavesItsFolder(url)) {
+  if (hasDotSegment(url)) {
     return err(badRequest('The path must not contain "." or ".." as a part'));
   }
-  const key = single(incoming, contracts.KEY_HEADER);
-  const caller = single(incoming, contracts.CALLER_HEADER) ?? "";
+  const key = singleHeader(incoming, contracts.KEY_HEADER);
+  const caller = singleHeader(incoming, contracts.CALLER_HEADER) ?? "";
   if (key === "" || isTooLong(key) || isTooLong(caller)) {
     return err(badRequest(
-      `Keys and caller names have 1 to ${NAME_LIMIT_LENGTH} characters`,
+      `Keys and caller names have 1 to ${MAX_NAME_LENGTH} characters`,
     ));
   }
-  const timeout = readTimeout(single(incoming, contracts.TIMEOUT_HEADER));
+  const timeout = readTimeout(singleHeader(incoming, contracts.TIMEOUT_HEADER));
   if (timeout.isErr()) return err(timeout.error);
   return ok({
     service: service.data,
@@ -65,12 +65,12 @@
   if (read.kind === "whole") return ok(read.body);
   return err(
     read.kind === "too-large"
-      ? tooLarge(limitBytes)
+      ? bodyTooLarge(limitBytes)
       : badRequest("The body broke off"),
   );
 }
 
-function single(
+function singleHeader(
   incoming: http.IncomingMessage,
   name: string,
 ): string | undefined {
@@ -81,7 +81,7 @@
  * Whether a part of the path is `.` or `..`. A server that resolves these
  * would let a caller out of `/serve/` and into the server's control side.
  */
-function leavesItsFolder(url: string): boolean {
+function hasDotSegment(url: string): boolean {
   const [path] = url.split("?", 1);
   return path!.split(/[/\\]|%2f|%5c/i).some((part) =>
     /^(\.|%2e){1,2}$/i.test(part)
@@ -89,7 +89,7 @@
 }
 
 function isTooLong(text: string | undefined): boolean {
-  return text !== undefined && text.length > NAME_LIMIT_LENGTH;
+  return text !== undefined && text.length > MAX_NAME_LENGTH;
 }
 
 function readTimeout(
@@ -107,7 +107,7 @@
   return notRun("bad-request", { message });
 }
 
-function tooLarge(limitBytes: number): CallerAnswer {
+function bodyTooLarge(limitBytes: number): CallerAnswer {
   return notRun("bad-request", {
     message: `The body is larger than ${limitBytes} bytes`,
     status: 413,
--- a/packages/entry/src/requests/request_metrics.ts
+++ b/packages/entry/src/requests/request_metrics.ts
@@ -14,13 +14,13 @@
 }
 
 /** A keyed request that a server has answered. */
-export interface KeyedWork {
+export interface KeyedRequestSample {
   readonly service: contracts.ServiceId;
   readonly server: contracts.ServerId;
   readonly keyHash: number;
   readonly workMs: number;
   /** The server had a slot free, so `workMs` holds no time in its queue. */
-  readonly foundSlotFree: boolean;
+  readonly hadFreeSlot: boolean;
 }
 
 /** Receives events of the request path; implementations must be quick. */
@@ -29,11 +29,11 @@
   retried(service: contracts.ServiceId): void;
   ejected(service: contracts.ServiceId, server: contracts.ServerId): void;
   /** A keyed request was answered; feeds the planner's load figures. */
-  keyedWork(work: KeyedWork): void;
+  keyedWork(work: KeyedRequestSample): void;
 }
 
 /** Metrics that go nowhere. */
-export const NO_METRICS: RequestMetrics = {
+export const NOOP_METRICS: RequestMetrics = {
   finished() {},
   retried() {},
   ejected() {},
--- a/packages/entry/src/requests/request_path_test.ts
+++ b/packages/entry/src/requests/request_path_test.ts
@@ -2,8 +2,8 @@
 import { expect } from "earl";
 import { test } from "node:test";
 import {
+  answerOk,
   answerRefusal,
-  answerWell,
   FakeBackend,
   startEntry,
 } from "./fakes_test_support.ts";
@@ -19,8 +19,8 @@
     expect(answer.status).toEqual(200);
     expect(answer.headers.get(names.OUTCOME_HEADER)).toEqual("answered");
     expect(await answer.text()).toEqual("hello");
-    expect(backend.ran[0]!.url).toEqual("/serve/slots?day=1");
-    expect(backend.ran[0]!.method).toEqual("POST");
+    expect(backend.received[0]!.url).toEqual("/serve/slots?day=1");
+    expect(backend.received[0]!.method).toEqual("POST");
   } finally {
     await entry.lifeCycle.stop();
   }
@@ -32,7 +32,7 @@
   const entry = await startEntry([
     new FakeBackend(answerRefusal("busy")),
     new FakeBackend(answerRefusal("draining")),
-    new FakeBackend(answerWell),
+    new FakeBackend(answerOk),
   ]);
   try {
     for (let count = 0; count < 6; count++) {
@@ -103,7 +103,7 @@
       });
       expect(response.headers.get(names.OUTCOME_HEADER)).toEqual("unknown");
       expect(response.headers.get(names.REASON_HEADER)).toEqual(reason);
-      const runs = backends[0]!.ran.length + backends[1]!.ran.length;
+      const runs = backends[0]!.received.length + backends[1]!.received.length;
       expect(runs).toEqual(1);
     } finally {
       await entry.lifeCycle.stop();
--- a/packages/entry/src/requests/request_router.ts
+++ b/packages/entry/src/requests/request_router.ts
@@ -9,7 +9,7 @@
 } from "../contracts/views.ts";
 import type { ConnectionPools } from "../links/connection_pools.ts";
 import type { LifeCycle } from "../utils/life_cycle.ts";
-import type { Log, PartLog } from "../utils/log.ts";
+import type { Logger, LoggerFactory } from "../utils/log.ts";
 import {
   type CallerAnswer,
   type CallerRequest,
@@ -18,10 +18,10 @@
 import { DispatchedAllocator } from "./dispatched_allocator.ts";
 import { KeyedAllocator } from "./keyed_allocator.ts";
 import { LocalAllocator } from "./local_allocator.ts";
-import type { PeerCalls } from "./peer_calls.ts";
+import type { PeerRpc } from "./peer_rpc.ts";
 import type { RequestMetrics } from "./request_metrics.ts";
-import { RequestRun } from "./request_run.ts";
-import type { ServiceParts } from "./service_parts.ts";
+import { ActiveRequest } from "./active_request.ts";
+import type { RequestContext } from "./request_context.ts";
 import type { SlotAllocator } from "./slot_allocator.ts";
 import { SlotDispatcher } from "./slot_dispatcher.ts";
 import * as messages from "./slot_messages.ts";
@@ -31,48 +31,48 @@
   readonly config: ConfigView;
   readonly servers: ServerView;
   readonly owners: OwnerView;
-  readonly links: ConnectionPools;
+  readonly connectionPools: ConnectionPools;
   /** Hash of a key's text, at least 0 and below `HASH_SPACE`. */
   readonly hashKey: (key: string) => number;
   /** Entry VMs that share the connections of a server. */
   readonly entryVmCount: () => number;
   readonly clock: contracts.Clock;
   readonly random: contracts.RandomSource;
-  readonly log: Log;
+  readonly log: LoggerFactory;
   readonly lifeCycle: LifeCycle;
   readonly metrics: RequestMetrics;
-  readonly longestTimeoutMs: number;
+  readonly maxTimeoutMs: number;
   /** Time within which a server that checks no fences must end a request. */
-  readonly unfencedRunMs: number;
+  readonly unfencedTimeoutMs: number;
   /** Links to other entry VMs; without them each VM chooses alone. */
-  readonly peers?: PeerCalls;
+  readonly peers?: PeerRpc;
 }
 
 /** Interval at which silence is looked for and probes are sent. */
 const REFRESH_INTERVAL_MS = 50;
 /** Time a request of unknown fate stays counted as forwarded. */
-const UNKNOWN_HOLD_MS = 10_000;
+const UNKNOWN_OUTCOME_HOLD_MS = 10_000;
 /**
  * Requests that a dispatcher gives to a server beyond its slots. They bridge
  * the time from the end of one request until the next arrives; a server that
  * refuses them as busy makes the board lower its limit.
  */
-const BRIDGING_REQUESTS = 2;
+const PIPELINED_REQUESTS = 2;
 /** Links kept free of requests, for probes and cancellations. */
-const SPARE_LINKS = 1;
+const RESERVED_CONNECTIONS = 1;
 
-interface ServiceEntry {
+interface ServiceRoute {
   readonly service: contracts.Service;
-  readonly parts: ServiceParts;
+  readonly context: RequestContext;
   readonly stop: () => void;
 }
 
 /** The request path of one entry VM. */
 export class RequestRouter {
   readonly #options: RequestRouterOptions;
-  readonly #log: PartLog;
+  readonly #log: Logger;
   readonly #limits = new routing.CallerLimits();
-  readonly #services = new Map<contracts.ServiceId, ServiceEntry>();
+  readonly #services = new Map<contracts.ServiceId, ServiceRoute>();
   readonly #dispatcher: SlotDispatcher | undefined;
   readonly #idPrefix: string;
   #nextId = 0;
@@ -112,7 +112,7 @@
     if (limited !== undefined) return limited;
     const timeoutMs = Math.min(
       request.timeoutMs ?? service.timeoutMs,
-      this.#options.longestTimeoutMs,
+      this.#options.maxTimeoutMs,
     );
     const deadlineMs = request.arrivedMs + timeoutMs;
     if (deadlineMs <= clock.nowMs()) {
@@ -120,8 +120,8 @@
         message: "The request took longer to arrive than its deadline",
       });
     }
-    return new RequestRun({
-      parts: this.#service(service).parts,
+    return new ActiveRequest({
+      context: this.#service(service).context,
       request,
       tenant: request.caller,
       keyHash: service.keyed ? this.#options.hashKey(request.key!) : undefined,
@@ -162,13 +162,13 @@
     return Promise.resolve(notRun(reason, options));
   }
 
-  #service(service: contracts.Service): ServiceEntry {
+  #service(service: contracts.Service): ServiceRoute {
     const found = this.#services.get(service.name);
     // The configuration hands out the same object until a revision changes.
     if (found?.service === service) return found;
     const isSameKind = found?.service.keyed === service.keyed;
     const allocator = found !== undefined && isSameKind
-      ? found.parts.allocator
+      ? found.context.allocator
       : this.#createAllocator(service);
     found?.stop();
     allocator.configure(service);
@@ -181,35 +181,37 @@
   #createEntry(
     service: contracts.Service,
     allocator: SlotAllocator,
-  ): ServiceEntry {
-    const { owners, clock, links, metrics, servers } = this.#options;
+  ): ServiceRoute {
+    const { owners, clock, connectionPools: links, metrics, servers } =
+      this.#options;
     const stop = owners.onChange(service.name, () => allocator.refresh());
-    const parts: ServiceParts = {
+    const parts: RequestContext = {
       service,
       policy: service.keyed
         ? "owner"
         : service.policy ?? routing.DEFAULT_POLICY,
       allocator,
-      budget: new routing.RetryBudget(),
+      retryBudget: new routing.RetryBudget(),
       owners,
       clock,
       log: this.#log,
       metrics,
-      unknownHoldMs: UNKNOWN_HOLD_MS,
-      unfencedRunMs: this.#options.unfencedRunMs,
-      pool: (address) => links.pool(address, this.#linkLimit(service)),
+      unknownOutcomeHoldMs: UNKNOWN_OUTCOME_HOLD_MS,
+      unfencedTimeoutMs: this.#options.unfencedTimeoutMs,
+      connectionPool: (address) =>
+        links.pool(address, this.#linkLimit(service)),
       cancel: (address, id) => links.cancel(address, id),
       noteDraining: (server) => servers.noteDraining(server),
       nextRequestId: () => this.#drawRequestId(),
     };
-    return { service, parts, stop };
+    return { service, context: parts, stop };
   }
 
   #createAllocator(service: contracts.Service): SlotAllocator {
     if (service.keyed) {
       return new KeyedAllocator({
         ...this.#common(service),
-        extraRequests: 0,
+        extraRequestsPerServer: 0,
         // Nobody else can serve the key, so ejecting its owner helps no one.
         mayEject: false,
       });
@@ -217,7 +219,7 @@
     const { peers, servers, clock, hashKey } = this.#options;
     const local = new LocalAllocator({
       ...this.#common(service),
-      extraRequests: 0,
+      extraRequestsPerServer: 0,
     });
     if (peers === undefined) return local;
     return new DispatchedAllocator({
@@ -234,7 +236,7 @@
 
   /** What all allocators need. */
   #common(service: contracts.Service) {
-    const { metrics, links } = this.#options;
+    const { metrics, connectionPools: links } = this.#options;
     return {
       ...this.#options,
       service,
@@ -247,7 +249,7 @@
     };
   }
 
-  #createDispatcher(peers: PeerCalls | undefined): SlotDispatcher | undefined {
+  #createDispatcher(peers: PeerRpc | undefined): SlotDispatcher | undefined {
     if (peers === undefined) return undefined;
     peers.register(
       messages.SLOTS_DECIDED_METHOD,
@@ -257,7 +259,7 @@
     return new SlotDispatcher({
       peers,
       clock: this.#options.clock,
-      onDecided: (decided) => this.#noteDecided(decided),
+      onDecisions: (decided) => this.#noteDecided(decided),
       createAllocator: (id) => this.#createDispatchedSide(id),
     });
   }
@@ -271,20 +273,22 @@
       // The dispatcher's own count is every VM's; its links play no part.
       linkLimit: () => Infinity,
       policy: "least-outstanding",
-      extraRequests: BRIDGING_REQUESTS,
+      extraRequestsPerServer: PIPELINED_REQUESTS,
     });
   }
 
   #noteDecided(decided: messages.SlotsDecided): object {
-    const allocator = this.#services.get(decided.service)?.parts.allocator;
-    if (allocator instanceof DispatchedAllocator) allocator.decided(decided);
+    const allocator = this.#services.get(decided.service)?.context.allocator;
+    if (allocator instanceof DispatchedAllocator) {
+      allocator.applyDecisions(decided);
+    }
     return {};
   }
 
   /** This VM's share of a server's connections. */
   #linkLimit(service: contracts.Service): number {
     const share = service.connectionsPerServer / this.#options.entryVmCount();
-    return Math.max(1, Math.floor(share) - SPARE_LINKS);
+    return Math.max(1, Math.floor(share) - RESERVED_CONNECTIONS);
   }
 
   #drawRequestId(): contracts.RequestId {
@@ -295,11 +299,11 @@
   #refresh(): void {
     const known = new Set<contracts.ServerId>();
     for (const entry of this.#services.values()) {
-      entry.parts.allocator.refresh();
+      entry.context.allocator.refresh();
       const servers = this.#options.servers.servers(entry.service.name);
       for (const address of servers) known.add(address.server);
     }
     this.#dispatcher?.refresh();
-    this.#options.links.keepOnly(known);
+    this.#options.connectionPools.keepOnly(known);
   }
 }
--- a/packages/entry/src/requests/request_settings.ts
+++ b/packages/entry/src/requests/request_settings.ts
@@ -14,7 +14,7 @@
   readonly requestTimeoutMs: number;
   readonly keepAliveTimeoutMs: number;
   /** Longest time that a caller may ask us to wait. */
-  readonly longestTimeoutMs: number;
+  readonly maxTimeoutMs: number;
   /**
    * Time after the start of a stop during which connections are still served,
    * and closed with their next answer.
@@ -35,7 +35,7 @@
   headersTimeoutMs: 5000,
   requestTimeoutMs: 10_000,
   keepAliveTimeoutMs: 30_000,
-  longestTimeoutMs: 60_000,
+  maxTimeoutMs: 60_000,
   lingerMs: 1000,
   drainTimeoutMs: 15_000,
 };
--- a/packages/entry/src/requests/server_watch.ts
+++ b/packages/entry/src/requests/server_monitor.ts
@@ -5,17 +5,17 @@
 import type * as contracts from "@guavatide/contracts";
 import * as routing from "@guavatide/decisions/routing/mod";
 import type { ServerAddress, ServerView } from "../contracts/views.ts";
-import type { PartLog } from "../utils/log.ts";
+import type { Logger } from "../utils/log.ts";
 import type { Slot } from "./slot_allocator.ts";
 
-/** Options of {@link ServerWatch}, given by whoever makes the allocator. */
-export interface ServerWatchOptions {
+/** Options of {@link ServerMonitor}, given by whoever makes the allocator. */
+export interface ServerMonitorOptions {
   readonly service: contracts.Service;
   readonly servers: ServerView;
   readonly clock: contracts.Clock;
-  readonly log: PartLog;
+  readonly log: Logger;
   /** Requests given to one server beyond its slots. */
-  readonly extraRequests: number;
+  readonly extraRequestsPerServer: number;
   /** Whether a server that fails or falls silent may be put out of use. */
   readonly mayEject: boolean;
   /** Requests for which this VM has connections to one server. */
@@ -27,15 +27,15 @@
 }
 
 /** Load and health of the servers of one service. */
-export class ServerWatch {
-  readonly #options: ServerWatchOptions;
+export class ServerMonitor {
+  readonly #options: ServerMonitorOptions;
   readonly #board: routing.ServerTracker;
   /** Called when a server may take a request that could not before. */
   readonly #onOpen: () => void;
   #service: contracts.Service;
   #wakeUp: NodeJS.Timeout | undefined;
 
-  constructor(options: ServerWatchOptions, onOpen: () => void) {
+  constructor(options: ServerMonitorOptions, onOpen: () => void) {
     this.#options = options;
     this.#onOpen = onOpen;
     this.#service = options.service;
@@ -49,7 +49,7 @@
   }
 
   /** Servers that take new work. */
-  live(): ServerAddress[] {
+  liveServers(): ServerAddress[] {
     return this.#known().filter((address) => address.state === "live");
   }
 
@@ -65,7 +65,7 @@
   }
 
   /** Counts a request that is given to a server. */
-  take(
+  acquireSlot(
     address: ServerAddress,
     ownership?: Slot["ownership"],
   ): Slot {
@@ -75,7 +75,7 @@
   }
 
   /** The attempt of a slot has ended. */
-  release(slot: Slot, end: routing.AttemptOutcome): void {
+  releaseSlot(slot: Slot, end: routing.AttemptOutcome): void {
     const nowMs = this.#options.clock.nowMs();
     const { server } = slot.address;
     this.#tell(
@@ -130,7 +130,7 @@
 
   #boardOptions(): routing.ServerTrackerOptions {
     const { slotsPerServer } = this.#service;
-    const wanted = slotsPerServer + this.#options.extraRequests;
+    const wanted = slotsPerServer + this.#options.extraRequestsPerServer;
     const localLimit = Math.min(wanted, this.#options.linkLimit());
     const { mayEject } = this.#options;
     return { slotsPerServer, maxLocalInFlight: localLimit, mayEject };
--- a/packages/entry/src/requests/slot_allocator.ts
+++ b/packages/entry/src/requests/slot_allocator.ts
@@ -19,7 +19,7 @@
 }
 
 /** A request that waits for a slot. */
-export interface SlotWish {
+export interface SlotRequest {
   readonly tenant: string;
   /** Monotonic time at which the caller stops waiting. */
   readonly deadlineMs: number;
@@ -27,8 +27,8 @@
   readonly keyHash: number | undefined;
   /** Servers that have failed this request. */
   readonly tried: ReadonlySet<contracts.ServerId>;
-  granted(slot: Slot): void;
-  refused(
+  onGranted(slot: Slot): void;
+  onRefused(
     reason: contracts.NotRunReason,
     options: { readonly retryAfterMs?: number; readonly message: string },
   ): void;
@@ -37,17 +37,17 @@
 /** Gives slots to the requests of one service. */
 export interface SlotAllocator {
   /** Grants or refuses a slot, now or later, once. */
-  acquire(wish: SlotWish): void;
+  acquire(wish: SlotRequest): void;
   /** The request needs no slot any more. */
-  withdraw(wish: SlotWish): void;
+  withdraw(wish: SlotRequest): void;
   /** The attempt that a slot was granted for has ended. */
   release(slot: Slot, end: routing.AttemptOutcome): void;
   /** Whether a request that tried some servers has another to go to. */
-  hasOther(tried: ReadonlySet<contracts.ServerId>): boolean;
+  hasUntriedServer(tried: ReadonlySet<contracts.ServerId>): boolean;
   /** Takes over changed settings of the service. */
   configure(service: contracts.Service): void;
   /** Servers or settings may have changed, or time has passed. */
   refresh(): void;
   /** Requests that wait. */
-  readonly waiting: number;
+  readonly waitingCount: number;
 }
--- a/packages/entry/src/requests/slot_dispatcher.ts
+++ b/packages/entry/src/requests/slot_dispatcher.ts
@@ -9,17 +9,17 @@
  */
 import type * as contracts from "@guavatide/contracts";
 import type * as routing from "@guavatide/decisions/routing/mod";
-import { OncePerTurn } from "../utils/once_per_turn.ts";
-import type { PeerCalls } from "./peer_calls.ts";
-import type { Slot, SlotAllocator, SlotWish } from "./slot_allocator.ts";
+import { CoalescedCallback } from "../utils/coalesced_callback.ts";
+import type { PeerRpc } from "./peer_rpc.ts";
+import type { Slot, SlotAllocator, SlotRequest } from "./slot_allocator.ts";
 import * as messages from "./slot_messages.ts";
 
 /** Options of {@link SlotDispatcher}. */
 export interface SlotDispatcherOptions {
-  readonly peers: PeerCalls;
+  readonly peers: PeerRpc;
   readonly clock: contracts.Clock;
   /** Takes decisions for requests of this VM itself. */
-  readonly onDecided: (decided: messages.SlotsDecided) => void;
+  readonly onDecisions: (decided: messages.SlotsDecided) => void;
   /** The allocator that serves a service; nothing for an unknown service. */
   readonly createAllocator: (
     service: contracts.ServiceId,
@@ -27,14 +27,14 @@
 }
 
 /** Time a peer has to take decisions, after which its grants are taken back. */
-const DECIDED_TIMEOUT_MS = 200;
+const DECISIONS_TIMEOUT_MS = 200;
 /**
  * Time after which a grant that its VM does not list as in use is taken back:
  * the answer that carried it was lost, and the slot would stay empty.
  */
-const GRANT_SEEN_MS = 500;
+const GRANT_CONFIRMATION_MS = 500;
 /** Time after its deadline at which a grant that nobody ended is dropped. */
-const GRANT_GRACE_MS = 1000;
+const GRANT_EXPIRY_GRACE_MS = 1000;
 
 /** A grant whose request may be in flight. */
 interface Grant {
@@ -61,7 +61,7 @@
   /** Takes an update of an entry VM, this one included. */
   update(update: messages.SlotsUpdate): messages.SlotsDecided {
     const { self } = this.#options.peers;
-    const decisions = this.#service(update.service)?.update(update) ?? [];
+    const decisions = this.#service(update.service)?.handleUpdate(update) ?? [];
     return {
       service: update.service,
       vm: self.vm,
@@ -96,12 +96,12 @@
   readonly #id: contracts.ServiceId;
   readonly #allocator: SlotAllocator;
   readonly #options: SlotDispatcherOptions;
-  readonly #wishes = new Map<string, RemoteWish>();
+  readonly #wishes = new Map<string, RemoteSlotRequest>();
   readonly #grants = new Map<number, Grant>();
   /** Decisions not yet sent, by entry VM. */
   readonly #outbox = new Map<contracts.VmId, messages.SlotDecision[]>();
   #nextGrant = 1;
-  readonly #flushing = new OncePerTurn(() => this.#flush());
+  readonly #flushing = new CoalescedCallback(() => this.#flush());
 
   constructor(
     id: contracts.ServiceId,
@@ -114,7 +114,7 @@
   }
 
   /** Returns what could be decided for this VM at once. */
-  update(update: messages.SlotsUpdate): messages.SlotDecision[] {
+  handleUpdate(update: messages.SlotsUpdate): messages.SlotDecision[] {
     for (const wish of update.withdrawn) this.#withdraw(update.vm, wish);
     const { incarnation } = this.#options.peers.self;
     if (update.dispatcher === incarnation) {
@@ -133,7 +133,7 @@
 
   #takeBackLost(update: messages.SlotsUpdate): void {
     const held = new Set(update.held);
-    const sinceMs = this.#options.clock.nowMs() - GRANT_SEEN_MS;
+    const sinceMs = this.#options.clock.nowMs() - GRANT_CONFIRMATION_MS;
     for (const [number, grant] of this.#grants) {
       const isLost = grant.vm === update.vm && grant.grantedMs < sinceMs &&
         !held.has(number);
@@ -147,16 +147,16 @@
       if (grant.expiresMs < nowMs) this.#end(number, { kind: "abandoned" });
     }
     for (const wish of this.#wishes.values()) {
-      if (wish.deadlineMs < nowMs) this.#withdraw(wish.vm, wish.number);
+      if (wish.deadlineMs < nowMs) this.#withdraw(wish.vm, wish.id);
     }
     this.#allocator.refresh();
   }
 
-  #want(vm: contracts.VmId, want: messages.SlotWant): void {
-    const name = wishName(vm, want.wish);
+  #want(vm: contracts.VmId, want: messages.SlotRequestMessage): void {
+    const name = requestKey(vm, want.wish);
     // A want that was sent twice is one request.
     if (this.#wishes.has(name)) return;
-    const wish = new RemoteWish(vm, want, {
+    const wish = new RemoteSlotRequest(vm, want, {
       nowMs: this.#options.clock.nowMs(),
       decide: (decision) => this.#decide(wish, decision),
     });
@@ -164,16 +164,16 @@
     this.#allocator.acquire(wish);
   }
 
-  #decide(wish: RemoteWish, decision: RemoteDecision): void {
-    this.#wishes.delete(wishName(wish.vm, wish.number));
-    const { vm, number } = wish;
+  #decide(wish: RemoteSlotRequest, decision: RemoteDecision): void {
+    this.#wishes.delete(requestKey(wish.vm, wish.id));
+    const { vm, id: number } = wish;
     if (decision.kind === "refused") {
       this.#post(vm, { ...decision, wish: number });
       return;
     }
     const grant = this.#nextGrant++;
     const { slot } = decision;
-    const expiresMs = wish.deadlineMs + GRANT_GRACE_MS;
+    const expiresMs = wish.deadlineMs + GRANT_EXPIRY_GRACE_MS;
     const grantedMs = this.#options.clock.nowMs();
     this.#grants.set(grant, { vm, slot, grantedMs, expiresMs });
     const { server } = slot.address;
@@ -181,7 +181,7 @@
   }
 
   #withdraw(vm: contracts.VmId, number: number): void {
-    const name = wishName(vm, number);
+    const name = requestKey(vm, number);
     const wish = this.#wishes.get(name);
     if (wish === undefined) return;
     this.#wishes.delete(name);
@@ -222,13 +222,13 @@
       decisions,
     };
     if (vm === peers.self.vm) {
-      this.#options.onDecided(params);
+      this.#options.onDecisions(params);
       return;
     }
     const reply = await peers.call(vm, messages.SLOTS_DECIDED_METHOD, {
       params,
       schema: messages.slotsDecidedReplySchema,
-      timeoutMs: DECIDED_TIMEOUT_MS,
+      timeoutMs: DECISIONS_TIMEOUT_MS,
     });
     if (reply !== undefined) return;
     for (const decision of decisions) {
@@ -247,9 +247,9 @@
   };
 
 /** A request that waits at an entry VM. */
-class RemoteWish implements SlotWish {
+class RemoteSlotRequest implements SlotRequest {
   readonly vm: contracts.VmId;
-  readonly number: number;
+  readonly id: number;
   readonly tenant: string;
   readonly deadlineMs: number;
   readonly keyHash = undefined;
@@ -258,25 +258,25 @@
 
   constructor(
     vm: contracts.VmId,
-    want: messages.SlotWant,
+    want: messages.SlotRequestMessage,
     options: {
       readonly nowMs: number;
       readonly decide: (decision: RemoteDecision) => void;
     },
   ) {
     this.vm = vm;
-    this.number = want.wish;
+    this.id = want.wish;
     this.tenant = want.tenant;
     this.deadlineMs = options.nowMs + want.timeLeftMs;
     this.tried = new Set(want.tried);
     this.#decide = options.decide;
   }
 
-  granted(slot: Slot): void {
+  onGranted(slot: Slot): void {
     this.#decide({ kind: "granted", slot });
   }
 
-  refused(
+  onRefused(
     reason: contracts.NotRunReason,
     options: { readonly retryAfterMs?: number },
   ): void {
@@ -286,6 +286,6 @@
   }
 }
 
-function wishName(vm: contracts.VmId, number: number): string {
+function requestKey(vm: contracts.VmId, number: number): string {
   return `${vm} ${number}`;
 }
--- a/packages/entry/src/requests/slot_messages.ts
+++ b/packages/entry/src/requests/slot_messages.ts
@@ -14,7 +14,7 @@
 
 const inFlightSchema = z.number().int().min(0).optional();
 
-const attemptEndSchema = z.discriminatedUnion("kind", [
+const attemptOutcomeSchema = z.discriminatedUnion("kind", [
   z.strictObject({ kind: z.literal("answer"), inFlight: inFlightSchema }),
   z.strictObject({
     kind: z.literal("refusal"),
@@ -28,7 +28,7 @@
   z.strictObject({ kind: z.literal("abandoned") }),
 ]);
 
-const slotWantSchema = z.strictObject({
+const slotRequestMessageSchema = z.strictObject({
   /** Number of the request, drawn by the sender. */
   wish: z.number().int(),
   timeLeftMs: z.number(),
@@ -36,15 +36,15 @@
   tried: z.array(serverIdSchema),
 });
 /** A request that wants a slot. */
-export type SlotWant = z.infer<typeof slotWantSchema>;
+export type SlotRequestMessage = z.infer<typeof slotRequestMessageSchema>;
 
-const slotEndSchema = z.strictObject({
+const slotReleaseSchema = z.strictObject({
   /** Number of the grant, drawn by the dispatcher. */
   grant: z.number().int(),
-  end: attemptEndSchema,
+  end: attemptOutcomeSchema,
 });
 /** A granted slot that is free again. */
-export type SlotEnd = z.infer<typeof slotEndSchema>;
+export type SlotRelease = z.infer<typeof slotReleaseSchema>;
 
 /** Schema of {@link SlotsUpdate}. */
 export const slotsUpdateSchema = z.strictObject({
@@ -53,9 +53,9 @@
   incarnation: incarnationSchema,
   /** Run of the dispatcher that the grants in `ended` are from. */
   dispatcher: incarnationSchema.optional(),
-  wants: z.array(slotWantSchema),
+  wants: z.array(slotRequestMessageSchema),
   withdrawn: z.array(z.number().int()),
-  ended: z.array(slotEndSchema),
+  ended: z.array(slotReleaseSchema),
   /** Every grant of this dispatcher that the sender has in use. */
   held: z.array(z.number().int()),
 });
--- a/packages/entry/src/requests/write_answer.ts
+++ b/packages/entry/src/requests/write_answer.ts
@@ -71,7 +71,7 @@
 }
 
 /** An HTTP response as bytes, for a request that could not be parsed. */
-export function bareAnswer(
+export function rawErrorResponse(
   status: number,
   headers: Readonly<Record<string, string>>,
 ): string {
--- a/packages/entry/src/settings/defaults.ts
+++ b/packages/entry/src/settings/defaults.ts
@@ -2,7 +2,7 @@
 import { type Settings, settingsSchema } from "./schema.ts";
 
 /** Fields without a default: what differs from VM to VM. */
-const EXAMPLE = {
+const EXAMPLE_SETTINGS = {
   vm: "entry-1",
   zone: "zone-1",
   region: "region-1",
@@ -16,7 +16,7 @@
 
 /** Settings of an example VM with all defaults. Errors: none. */
 export function defaultSettings(): Settings {
-  return settingsSchema.parse(EXAMPLE);
+  return settingsSchema.parse(EXAMPLE_SETTINGS);
 }
 
 /** The same as JSON text, as `guavatide print-defaults` prints it. */
--- a/packages/entry/src/settings/load.ts
+++ b/packages/entry/src/settings/load.ts
@@ -11,8 +11,8 @@
 }
 
 /** Heartbeats or renewals that must fit before their absence has an effect. */
-const LEAST_BEATS = 2;
-const LEAST_RENEWALS = 3;
+const MIN_HEARTBEATS = 2;
+const MIN_RENEWALS = 3;
 
 /**
  * Reads settings from JSON text. Errors: `not-json` when the text does not
@@ -25,7 +25,7 @@
   try {
     raw = JSON.parse(text);
   } catch (error) {
-    return refuse("not-json", [{
+    return toSettingsError("not-json", [{
       kind: "not-json",
       path: "(whole file)",
       seen: error instanceof Error ? error.message : String(error),
@@ -34,36 +34,36 @@
   }
   const parsed = settingsSchema.safeParse(raw);
   if (!parsed.success) {
-    return refuse("invalid", problems.problemsOf(parsed.error, raw));
+    return toSettingsError("invalid", problems.toProblems(parsed.error, raw));
   }
-  const found = contradictionsOf(parsed.data);
+  const found = findContradictions(parsed.data);
   return found.length > 0
-    ? refuse("invalid", found)
+    ? toSettingsError("invalid", found)
     : neverthrow.ok(parsed.data);
 }
 
 /** One problem as a line for people. */
-export function problemText(problem: problems.SettingsProblem): string {
+export function formatProblem(problem: problems.SettingsProblem): string {
   return `${problem.path}: ${problem.kind}, saw ${problem.seen}. ${problem.remedy}`;
 }
 
-function refuse(
+function toSettingsError(
   kind: SettingsError["kind"],
   found: readonly problems.SettingsProblem[],
 ): neverthrow.Result<Settings, SettingsError> {
-  const message = found.map(problemText).join("\n");
+  const message = found.map(formatProblem).join("\n");
   return neverthrow.err({ kind, message, problems: found });
 }
 
-function contradictionsOf(settings: Settings): problems.SettingsProblem[] {
+function findContradictions(settings: Settings): problems.SettingsProblem[] {
   return [
-    ...portClashes(settings),
-    ...timingContradictions(settings),
-    ...secretContradictions(settings),
+    ...findPortConflicts(settings),
+    ...findTimingContradictions(settings),
+    ...findSecretContradictions(settings),
   ];
 }
 
-function portClashes(settings: Settings): problems.SettingsProblem[] {
+function findPortConflicts(settings: Settings): problems.SettingsProblem[] {
   const found: problems.SettingsProblem[] = [];
   const taken = new Map<number, string>();
   for (const [door, port] of Object.entries(settings.ports)) {
@@ -89,41 +89,45 @@
   /** Field that must be at least `times` times the other one. */
   readonly longer: TimingName;
   readonly shorter: TimingName;
-  readonly times: number;
-  readonly because: string;
+  readonly minRatio: number;
+  readonly reason: string;
 }
 
 const TIMING_RULES: readonly TimingRule[] = [
   {
     longer: "leaseMs",
     shorter: "renewMs",
-    times: LEAST_RENEWALS,
-    because: "one lost renewal would end a healthy server's lease",
+    minRatio: MIN_RENEWALS,
+    reason: "one lost renewal would end a healthy server's lease",
   },
   {
     longer: "evidenceMs",
     shorter: "heartbeatMs",
-    times: LEAST_BEATS,
-    because: "one lost heartbeat would leave a keeper without evidence",
+    minRatio: MIN_HEARTBEATS,
+    reason: "one lost heartbeat would leave a keeper without evidence",
   },
   {
     longer: "detectMs",
     shorter: "heartbeatMs",
-    times: LEAST_RENEWALS,
-    because: "one lost heartbeat would count a healthy peer as lost",
+    minRatio: MIN_RENEWALS,
+    reason: "one lost heartbeat would count a healthy peer as lost",
   },
   {
     longer: "dutyLeaseMs",
     shorter: "dutyRenewMs",
-    times: LEAST_BEATS,
-    because: "one lost reply of the store would end control duty",
+    minRatio: MIN_HEARTBEATS,
+    reason: "one lost reply of the store would end control duty",
   },
 ];
 
-function timingContradictions(settings: Settings): problems.SettingsProblem[] {
+function findTimingContradictions(
+  settings: Settings,
+): problems.SettingsProblem[] {
   const found: problems.SettingsProblem[] = [];
   const timings = settings.timings;
-  for (const { longer, shorter, times, because } of TIMING_RULES) {
+  for (
+    const { longer, shorter, minRatio: times, reason: because } of TIMING_RULES
+  ) {
     const least = timings[shorter] * times;
     if (timings[longer] >= least) continue;
     found.push({
@@ -136,7 +140,9 @@
   return found;
 }
 
-function secretContradictions(settings: Settings): problems.SettingsProblem[] {
+function findSecretContradictions(
+  settings: Settings,
+): problems.SettingsProblem[] {
   const hasText = settings.peerSecret !== undefined;
   const hasFile = settings.peerSecretFile !== undefined;
   if (hasText !== hasFile) return [];
--- a/packages/entry/src/settings/problems.ts
+++ b/packages/entry/src/settings/problems.ts
@@ -34,17 +34,17 @@
 const UNIT_SUFFIX =
   /(Ms|Msec|Millis|Milliseconds|Secs?|Seconds?|Mins?|Minutes?|S|Bytes|Kb|KB|Mb|MB|Percent)$/;
 const SECRET_NAME = /(secret|password|token|sha256)$/i;
-const SEEN_LIMIT_CHARACTERS = 80;
+const MAX_ACTUAL_LENGTH = 80;
 
 type Path = readonly PropertyKey[];
 
 /** Lists the problems that zod found in `raw`. */
-export function problemsOf(error: z.ZodError, raw: unknown): SettingsProblem[] {
-  return error.issues.flatMap((issue) => fromIssue(issue, raw));
+export function toProblems(error: z.ZodError, raw: unknown): SettingsProblem[] {
+  return error.issues.flatMap((issue) => issueToProblems(issue, raw));
 }
 
 /** A path as operators write it. */
-export function pathText(path: Path): string {
+export function formatPath(path: Path): string {
   let text = "";
   for (const part of path) {
     if (typeof part === "number") text += `[${part}]`;
@@ -53,12 +53,17 @@
   return text === "" ? "(whole file)" : text;
 }
 
-function fromIssue(issue: z.core.$ZodIssue, raw: unknown): SettingsProblem[] {
+function issueToProblems(
+  issue: z.core.$ZodIssue,
+  raw: unknown,
+): SettingsProblem[] {
   if (issue.code === "unrecognized_keys") {
-    return issue.keys.map((key) => unknownField([...issue.path, key], raw));
+    return issue.keys.map((key) =>
+      toUnknownFieldProblem([...issue.path, key], raw)
+    );
   }
   const path = issue.path;
-  const base = { path: pathText(path), seen: seenAt(raw, path) };
+  const base = { path: formatPath(path), seen: formatActual(raw, path) };
   if (valueAt(raw, path) === undefined) {
     const remedy = `Add the field "${base.path}"`;
     return [{ ...base, kind: "missing", remedy }];
@@ -70,19 +75,19 @@
 type Diagnosis = Pick<SettingsProblem, "kind" | "remedy">;
 
 function diagnose(issue: z.core.$ZodIssue, value: unknown): Diagnosis {
-  const unit = unitOf(issue.path);
+  const unit = unitOfField(issue.path);
   switch (issue.code) {
     case "invalid_type":
       return diagnoseType(issue, value, unit);
     case "too_small":
       return {
         kind: "out-of-range",
-        remedy: `Use at least ${issue.minimum}${unitText(unit)}`,
+        remedy: `Use at least ${issue.minimum}${formatUnit(unit)}`,
       };
     case "too_big":
       return {
         kind: "out-of-range",
-        remedy: `Use at most ${issue.maximum}${unitText(unit)}`,
+        remedy: `Use at most ${issue.maximum}${formatUnit(unit)}`,
       };
     case "invalid_value":
       return {
@@ -133,39 +138,41 @@
   return "Use a whole URL, such as http://10.0.0.2:7300";
 }
 
-function unknownField(path: Path, raw: unknown): SettingsProblem {
-  const base = { path: pathText(path), seen: seenAt(raw, path) };
-  const known = siblingsOf(path);
-  const near = known.find((name) => stem(name) === stem(String(path.at(-1))));
+function toUnknownFieldProblem(path: Path, raw: unknown): SettingsProblem {
+  const base = { path: formatPath(path), seen: formatActual(raw, path) };
+  const known = knownFields(path);
+  const near = known.find((name) =>
+    normalizeFieldName(name) === normalizeFieldName(String(path.at(-1)))
+  );
   if (near === undefined) {
     const remedy = `Remove it; known fields here are ${known.join(", ")}`;
     return { ...base, kind: "unknown-field", remedy };
   }
-  const unit = unitOf([near]);
+  const unit = unitOfField([near]);
   const inUnit = unit === undefined ? "" : ` and give it in ${unit}`;
   const kind = unit === undefined ? "unknown-field" : "wrong-unit";
   return { ...base, kind, remedy: `Name the field "${near}"${inUnit}` };
 }
 
-function stem(name: string): string {
+function normalizeFieldName(name: string): string {
   return name.replace(UNIT_SUFFIX, "").replaceAll(/[-_]/g, "").toLowerCase();
 }
 
-function siblingsOf(path: Path): string[] {
+function knownFields(path: Path): string[] {
   let schema: unknown = settingsSchema;
-  for (const part of path.slice(0, -1)) schema = childOf(schema, part);
-  schema = unwrap(schema);
+  for (const part of path.slice(0, -1)) schema = childSchema(schema, part);
+  schema = unwrapSchema(schema);
   return schema instanceof z.ZodObject ? Object.keys(schema.shape) : [];
 }
 
-function childOf(schema: unknown, part: PropertyKey): unknown {
-  const inner = unwrap(schema);
+function childSchema(schema: unknown, part: PropertyKey): unknown {
+  const inner = unwrapSchema(schema);
   if (inner instanceof z.ZodArray) return inner.element;
   if (inner instanceof z.ZodObject) return inner.shape[String(part)];
   return undefined;
 }
 
-function unwrap(schema: unknown): unknown {
+function unwrapSchema(schema: unknown): unknown {
   let inner = schema;
   while (
     inner instanceof z.ZodDefault || inner instanceof z.ZodPrefault ||
@@ -176,12 +183,12 @@
   return inner;
 }
 
-function unitOf(path: Path): string | undefined {
+function unitOfField(path: Path): string | undefined {
   const name = String(path.at(-1));
   return UNIT_NAMES.find(([suffix]) => name.endsWith(suffix))?.[1];
 }
 
-function unitText(unit: string | undefined): string {
+function formatUnit(unit: string | undefined): string {
   return unit === undefined ? "" : ` ${unit}`;
 }
 
@@ -194,11 +201,11 @@
   return value;
 }
 
-function seenAt(raw: unknown, path: Path): string {
+function formatActual(raw: unknown, path: Path): string {
   // A refused file is often pasted into a ticket: secrets stay out of it.
   if (SECRET_NAME.test(String(path.at(-1)))) return "(hidden)";
   const text = JSON.stringify(valueAt(raw, path)) ?? "nothing";
-  return text.length <= SEEN_LIMIT_CHARACTERS
+  return text.length <= MAX_ACTUAL_LENGTH
     ? text
-    : `${text.slice(0, SEEN_LIMIT_CHARACTERS)}...`;
+    : `${text.slice(0, MAX_ACTUAL_LENGTH)}...`;
 }
--- a/packages/entry/src/settings/schema.ts
+++ b/packages/entry/src/settings/schema.ts
@@ -6,11 +6,11 @@
 import * as contracts from "@guavatide/contracts";
 import * as z from "zod";
 
-const wholeMs = z.number().int().min(1).max(86_400_000);
+const durationMs = z.number().int().min(1).max(86_400_000);
 const count = z.number().int().min(1).max(1_000_000);
 const sizeBytes = z.number().int().min(256).max(1_073_741_824);
 
-const ipNumber = z.string().refine((text) => net.isIP(text) !== 0, {
+const ipAddress = z.string().refine((text) => net.isIP(text) !== 0, {
   error: "not an IP number",
   params: { kind: "bad-address" },
 });
@@ -40,7 +40,7 @@
   /** Base URL of the platform's VM list. */
   vmListUrl: httpUrl,
   /** Longest time one call to the store may take. */
-  storeTimeoutMs: wholeMs.default(1000),
+  storeTimeoutMs: durationMs.default(1000),
 });
 
 const timingsSchema = z.strictObject({
@@ -50,35 +50,35 @@
    */
   heartbeatMs: z.number().int().min(20).max(250).default(250),
   /** How long evidence for an assignment revision is good. */
-  evidenceMs: wholeMs.default(500),
+  evidenceMs: durationMs.default(500),
   /** Length of a server's lease. */
-  leaseMs: wholeMs.default(1000),
+  leaseMs: durationMs.default(1000),
   /** Between two renewals of a server's lease. */
-  renewMs: wholeMs.default(250),
+  renewMs: durationMs.default(250),
   /** Silence after which a peer or a server counts as lost. */
-  detectMs: wholeMs.default(1000),
+  detectMs: durationMs.default(1000),
   /** Largest difference in rate between two clocks, as a fraction. */
   clockRateMargin: z.number().min(0).max(0.5).default(0.02),
   /** Length of the lease of control duty. */
-  dutyLeaseMs: wholeMs.default(6000),
+  dutyLeaseMs: durationMs.default(6000),
   /** Between two renewals of control duty. */
-  dutyRenewMs: wholeMs.default(2000),
+  dutyRenewMs: durationMs.default(2000),
   /** Additional wait for servers that do not check who orders them. */
   unfencedMoveWaitMs: z.number().int().min(0).max(86_400_000).default(2000),
   /** How long a VM must be off the list before it counts as gone for good. */
-  vmGoneGraceMs: wholeMs.default(30_000),
+  vmGoneGraceMs: durationMs.default(30_000),
   /** Between two reads of the VM list. */
-  vmListMs: wholeMs.default(1000),
+  vmListMs: durationMs.default(1000),
   /** Between two plans of placement. */
-  planMs: wholeMs.default(1000),
+  planMs: durationMs.default(1000),
   /** Longest wait of one long poll of the store's watch. */
-  watchWaitMs: wholeMs.default(10_000),
+  watchWaitMs: durationMs.default(10_000),
   /** Mean time between two draws whether to compare with the store. */
-  configCompareMs: wholeMs.default(4000),
+  configCompareMs: durationMs.default(4000),
   /** How long a fresh start listens before it takes a peer's configuration. */
-  configSettleMs: wholeMs.default(1000),
+  configSettleMs: durationMs.default(1000),
   /** Longest time a graceful shutdown waits for requests in flight. */
-  drainMs: wholeMs.default(15_000),
+  drainMs: durationMs.default(15_000),
 });
 
 const limitsSchema = z.strictObject({
@@ -91,11 +91,11 @@
   /** Open connections at each door. */
   connections: count.default(4000),
   /** Time within which a request's headers must have arrived. */
-  headerTimeoutMs: wholeMs.default(5000),
+  headerTimeoutMs: durationMs.default(5000),
   /** Time within which a whole request must have arrived. */
-  requestTimeoutMs: wholeMs.default(15_000),
+  requestTimeoutMs: durationMs.default(15_000),
   /** Time after which an idle connection is closed. */
-  keepAliveMs: wholeMs.default(30_000),
+  keepAliveMs: durationMs.default(30_000),
 });
 
 const logSchema = z.strictObject({
@@ -129,7 +129,7 @@
 /** One operator's access to the administration API. */
 export type AdministrationToken = z.infer<typeof administrationTokenSchema>;
 
-const doorTlsSchema = z.strictObject({
+const listenerTlsSchema = z.strictObject({
   /** PEM file with the certificate chain. */
   certFile: z.string().min(1),
   /** PEM file with the private key. */
@@ -138,13 +138,13 @@
   caFile: z.string().min(1).optional(),
 });
 /** Certificate files of one door. */
-export type DoorTls = z.infer<typeof doorTlsSchema>;
+export type ListenerTls = z.infer<typeof listenerTlsSchema>;
 
 const tlsSchema = z.strictObject({
-  callers: doorTlsSchema.optional(),
-  peers: doorTlsSchema.optional(),
-  administration: doorTlsSchema.optional(),
-  metrics: doorTlsSchema.optional(),
+  callers: listenerTlsSchema.optional(),
+  peers: listenerTlsSchema.optional(),
+  administration: listenerTlsSchema.optional(),
+  metrics: listenerTlsSchema.optional(),
 });
 
 /** Schema of {@link Settings}. */
@@ -156,7 +156,7 @@
   /** Region of that availability zone. */
   region: z.string().min(1).max(100),
   /** IP number on which every door listens and which peers use. */
-  host: ipNumber,
+  host: ipAddress,
   ports: portsSchema.prefault({}),
   platform: platformSchema,
   timings: timingsSchema.prefault({}),
--- a/packages/entry/src/settings/secrets.ts
+++ b/packages/entry/src/settings/secrets.ts
@@ -1,7 +1,7 @@
 /** Reads the files that settings name. */
 import * as fs from "node:fs";
 import * as neverthrow from "neverthrow";
-import type { DoorTls, Settings } from "./schema.ts";
+import type { ListenerTls, Settings } from "./schema.ts";
 
 /** A file named in the settings could not be used. */
 export interface SettingsFileError {
@@ -10,18 +10,18 @@
 }
 
 /** Contents of one door's certificate files. */
-export interface DoorCertificate {
+export interface ListenerCertificate {
   readonly cert: string;
   readonly key: string;
   readonly ca?: string;
 }
 
 /** Certificates by door; a door without one speaks plain HTTP. */
-export type DoorCertificates = {
-  readonly [Door in keyof Settings["tls"]]?: DoorCertificate;
+export type ListenerCertificates = {
+  readonly [Door in keyof Settings["tls"]]?: ListenerCertificate;
 };
 
-const LEAST_SECRET_CHARACTERS = 16;
+const MIN_SECRET_LENGTH = 16;
 
 /** The secret of the entry VMs. Errors: unreadable file, secret too short. */
 export function readPeerSecret(
@@ -31,13 +31,13 @@
     return neverthrow.ok(settings.peerSecret);
   }
   const path = settings.peerSecretFile ?? "";
-  return readText(path).andThen((text) => {
+  return readTextFile(path).andThen((text) => {
     const secret = text.trim();
-    if (secret.length >= LEAST_SECRET_CHARACTERS) return neverthrow.ok(secret);
+    if (secret.length >= MIN_SECRET_LENGTH) return neverthrow.ok(secret);
     return neverthrow.err<string, SettingsFileError>({
       kind: "too-short",
       message: `The secret in "${path}" is short: ` +
-        `use ${LEAST_SECRET_CHARACTERS} characters or more`,
+        `use ${MIN_SECRET_LENGTH} characters or more`,
     });
   });
 }
@@ -45,8 +45,8 @@
 /** Certificates of every door that has one. Errors: unreadable file. */
 export function readCertificates(
   settings: Settings,
-): neverthrow.Result<DoorCertificates, SettingsFileError> {
-  const found: { [Door in keyof Settings["tls"]]: DoorCertificate } = {};
+): neverthrow.Result<ListenerCertificates, SettingsFileError> {
+  const found: { [Door in keyof Settings["tls"]]: ListenerCertificate } = {};
   for (const [door, files] of Object.entries(settings.tls)) {
     if (files === undefined) continue;
     const read = readCertificate(files);
@@ -58,18 +58,20 @@
 
 /** A door's certificate. Errors: unreadable file. */
 export function readCertificate(
-  files: DoorTls,
-): neverthrow.Result<DoorCertificate, SettingsFileError> {
+  files: ListenerTls,
+): neverthrow.Result<ListenerCertificate, SettingsFileError> {
   return neverthrow.Result.combine([
-    readText(files.certFile),
-    readText(files.keyFile),
+    readTextFile(files.certFile),
+    readTextFile(files.keyFile),
     files.caFile === undefined
       ? neverthrow.ok<string | undefined, SettingsFileError>(undefined)
-      : readText(files.caFile),
+      : readTextFile(files.caFile),
   ]).map(([cert, key, ca]) => ({ cert: cert!, key: key!, ca }));
 }
 
-function readText(path: string): neverthrow.Result<string, SettingsFileError> {
+function readTextFile(
+  path: string,
+): neverthrow.Result<string, SettingsFileError> {
   try {
     return neverthrow.ok(fs.readFileSync(path, "utf8"));
   } catch (error) {
--- a/packages/entry/src/utils/clock.ts
+++ b/packages/entry/src/utils/clock.ts
@@ -16,7 +16,7 @@
 }
 
 /** A jump of the time of day beyond this is taken for a suspension. */
-const SUSPENSION_MS = 80;
+const MIN_SUSPENSION_MS = 80;
 
 /**
  * Counts time during which the machine was suspended, which CLOCK_MONOTONIC
@@ -24,7 +24,7 @@
  * and a woken VM would renew what others have given away meanwhile. A step of
  * the time of day ahead looks the same and only makes evidence old.
  */
-export class SuspensionClock implements Clock {
+export class SuspendAwareClock implements Clock {
   #offsetMs = Date.now() - performance.now();
   #suspendedMs = 0;
   #suspensions = 0;
@@ -38,11 +38,11 @@
     const steadyMs = performance.now();
     const offsetMs = Date.now() - steadyMs;
     const jumpMs = offsetMs - this.#offsetMs;
-    if (jumpMs > SUSPENSION_MS) {
+    if (jumpMs > MIN_SUSPENSION_MS) {
       this.#suspendedMs += jumpMs;
       this.#suspensions++;
     }
-    if (Math.abs(jumpMs) > SUSPENSION_MS) this.#offsetMs = offsetMs;
+    if (Math.abs(jumpMs) > MIN_SUSPENSION_MS) this.#offsetMs = offsetMs;
     return steadyMs + this.#suspendedMs;
   }
 }
--- a/packages/entry/src/utils/once_per_turn.ts
+++ b/packages/entry/src/utils/coalesced_callback.ts
@@ -1,7 +1,7 @@
 /** Gathers what changes in one turn of the event loop. */
 
 /** Runs a callback once at the end of a turn, however often it is asked for. */
-export class OncePerTurn {
+export class CoalescedCallback {
   readonly #run: () => void;
   #isScheduled = false;
 
--- a/packages/entry/src/utils/loop_lag.ts
+++ b/packages/entry/src/utils/event_loop_lag_monitor.ts
@@ -1,19 +1,19 @@
 /** How far the event loop is behind: how long what it reads may have waited. */
-import type { LifeCycle, RegularWork } from "./life_cycle.ts";
+import type { LifeCycle, PeriodicTask } from "./life_cycle.ts";
 
-const TICK_MS = 20;
+const TICK_INTERVAL_MS = 20;
 /** Lags below this are ordinary scheduling. */
-const LEAST_LAG_MS = 60;
+const MIN_LAG_MS = 60;
 /** A loop that is behind for longer has more work than it can do. */
-const LASTING_MS = 400;
+const SUSTAINED_LAG_MS = 400;
 
 /** Watches the event loop by a timer. */
-export class LoopLag {
+export class EventLoopLagMonitor {
   readonly #now: () => number;
   #tickAtMs: number;
   /** How late the timer fired last. */
   #lateMs = 0;
-  #work: RegularWork | undefined;
+  #work: PeriodicTask | undefined;
   /** Since when each tick was late; undefined while they are on time. */
   #behindSinceMs: number | undefined;
 
@@ -25,7 +25,7 @@
 
   /** Starts to watch while there is something to read. */
   start(lifeCycle: LifeCycle, isIdle: () => boolean = () => false): void {
-    this.#work = lifeCycle.every(TICK_MS, () => {
+    this.#work = lifeCycle.every(TICK_INTERVAL_MS, () => {
       this.tick();
       if (isIdle()) this.#work?.setIntervalMs(Number.POSITIVE_INFINITY);
     });
@@ -33,7 +33,7 @@
 
   /** There is something to read again. */
   resume(): void {
-    if (!this.#work?.setIntervalMs(TICK_MS)) return;
+    if (!this.#work?.setIntervalMs(TICK_INTERVAL_MS)) return;
     this.#tickAtMs = this.#now();
     this.#lateMs = 0;
     this.#behindSinceMs = undefined;
@@ -42,9 +42,9 @@
   /** The timer has fired. */
   tick(): void {
     const nowMs = this.#now();
-    this.#lateMs = Math.max(0, nowMs - this.#tickAtMs - TICK_MS);
+    this.#lateMs = Math.max(0, nowMs - this.#tickAtMs - TICK_INTERVAL_MS);
     this.#tickAtMs = nowMs;
-    if (this.#lateMs < LEAST_LAG_MS) this.#behindSinceMs = undefined;
+    if (this.#lateMs < MIN_LAG_MS) this.#behindSinceMs = undefined;
     else this.#behindSinceMs ??= nowMs;
   }
 
@@ -52,9 +52,9 @@
    * Whether the loop has been behind for a while: a single stall is over when
    * what it has made late is read, and refusing that helps nobody.
    */
-  get isLasting(): boolean {
+  get isSustained(): boolean {
     if (this.#behindSinceMs === undefined) return false;
-    return this.#now() - this.#behindSinceMs >= LASTING_MS;
+    return this.#now() - this.#behindSinceMs >= SUSTAINED_LAG_MS;
   }
 
   /**
@@ -63,8 +63,8 @@
    * turn before counts as well.
    */
   get lagMs(): number {
-    const lateMs = Math.max(0, this.#now() - this.#tickAtMs - TICK_MS);
+    const lateMs = Math.max(0, this.#now() - this.#tickAtMs - TICK_INTERVAL_MS);
     const lagMs = lateMs + this.#lateMs;
-    return lagMs < LEAST_LAG_MS ? 0 : lagMs;
+    return lagMs < MIN_LAG_MS ? 0 : lagMs;
   }
 }
--- a/packages/entry/src/utils/loop_lag_test.ts
+++ b/packages/entry/src/utils/event_loop_lag_monitor_test.ts
@@ -1,11 +1,11 @@
 import { expect } from "earl";
 import { test } from "node:test";
-import { LoopLag } from "./loop_lag.ts";
+import { EventLoopLagMonitor } from "./event_loop_lag_monitor.ts";
 
 /** Guards against a late-read request that counts as fresh. */
 test("should count the turn before a request is read", () => {
   let nowMs = 0;
-  const lag = new LoopLag(() => nowMs);
+  const lag = new EventLoopLagMonitor(() => nowMs);
   nowMs = 20;
   lag.tick();
   expect(lag.lagMs).toEqual(0);
--- a/packages/entry/src/utils/life_cycle.ts
+++ b/packages/entry/src/utils/life_cycle.ts
@@ -4,7 +4,7 @@
  */
 
 /** One thing to undo. */
-export interface CleanUp {
+export interface CleanupStep {
   readonly name: string;
   /** Longest time the step may take before it is abandoned. */
   readonly timeoutMs: number;
@@ -25,10 +25,10 @@
  * Regular work that is due within this time runs together: each timer of its
  * own wakes the process once more.
  */
-const STEP_MS = 20;
+const COALESCING_WINDOW_MS = 20;
 
 /** Work that runs at an interval. */
-export interface RegularWork {
+export interface PeriodicTask {
   /**
    * Runs it at another interval; never while that is infinite. Returns whether
    * the interval was another.
@@ -36,7 +36,7 @@
   setIntervalMs(intervalMs: number): boolean;
 }
 
-interface ScheduledWork {
+interface ScheduledTask {
   readonly run: () => void;
   intervalMs: number;
   dueMs: number;
@@ -44,9 +44,9 @@
 
 /** The life-cycle manager of one process. */
 export class LifeCycle {
-  readonly #steps: CleanUp[] = [];
+  readonly #steps: CleanupStep[] = [];
   readonly #controller = new AbortController();
-  readonly #work = new Set<ScheduledWork>();
+  readonly #work = new Set<ScheduledTask>();
   #timer: NodeJS.Timeout | undefined;
   #timerAtMs = Number.POSITIVE_INFINITY;
   #stopping: Promise<StopReport> | undefined;
@@ -62,7 +62,7 @@
   }
 
   /** Registers a step; the last one registered runs first. */
-  onStop(step: CleanUp): void {
+  onStop(step: CleanupStep): void {
     this.#steps.push(step);
   }
 
@@ -70,9 +70,9 @@
    * Runs a callback at an interval until the process stops. Work that is due at
    * about the same time runs together; on average the interval is kept.
    */
-  every(intervalMs: number, callback: () => void): RegularWork {
+  every(intervalMs: number, callback: () => void): PeriodicTask {
     const dueMs = performance.now() + intervalMs;
-    const work: ScheduledWork = { intervalMs, run: callback, dueMs };
+    const work: ScheduledTask = { intervalMs, run: callback, dueMs };
     this.#work.add(work);
     this.#schedule();
     this.onStop({
@@ -110,7 +110,9 @@
     this.#timerAtMs = Number.POSITIVE_INFINITY;
     const nowMs = performance.now();
     for (const work of [...this.#work]) {
-      if (work.dueMs - nowMs > Math.min(STEP_MS, work.intervalMs) / 2) continue;
+      if (
+        work.dueMs - nowMs > Math.min(COALESCING_WINDOW_MS, work.intervalMs) / 2
+      ) continue;
       // What was missed while the process stood still is not made up for.
       work.dueMs = Math.max(
         work.dueMs + work.intervalMs,
@@ -133,7 +135,7 @@
     const failed: { name: string; reason: string }[] = [];
     for (const step of [...this.#steps].reverse()) {
       try {
-        await withDeadline(step);
+        await runWithTimeout(step);
         done.push(step.name);
       } catch (error) {
         failed.push({ name: step.name, reason: String(error) });
@@ -143,7 +145,7 @@
   }
 }
 
-async function withDeadline(step: CleanUp): Promise<void> {
+async function runWithTimeout(step: CleanupStep): Promise<void> {
   let timer: NodeJS.Timeout | undefined;
   const deadline = new Promise<never>((_, reject) => {
     timer = setTimeout(
--- a/packages/entry/src/utils/log.ts
+++ b/packages/entry/src/utils/log.ts
@@ -27,7 +27,7 @@
 >;
 
 /** Writes the lines of one part. */
-export interface PartLog {
+export interface Logger {
   debug(sentence: string, fields?: LogFields): void;
   info(sentence: string, fields?: LogFields): void;
   warn(sentence: string, fields?: LogFields): void;
@@ -35,8 +35,8 @@
 }
 
 /** Gives each part its log. */
-export interface Log {
-  part(part: LogPart): PartLog;
+export interface LoggerFactory {
+  part(part: LogPart): Logger;
 }
 
 /** Options of {@link createLog}. */
@@ -90,7 +90,7 @@
 }
 
 /** Creates the program's log. Errors: none. */
-export function createLog(options: CreateLogOptions): Log {
+export function createLog(options: CreateLogOptions): LoggerFactory {
   const reporter = options.format === "json"
     ? new JsonReporter()
     : new TextReporter();
@@ -100,7 +100,7 @@
     throttle: 0,
   });
   return {
-    part(part: LogPart): PartLog {
+    part(part: LogPart): Logger {
       const tagged = root.withTag(part);
       return {
         debug: (sentence, fields) => tagged.debug(sentence, fields),
--- a/packages/entry/src/utils/line_log.ts
+++ b/packages/entry/src/utils/non_blocking_log.ts
@@ -5,19 +5,19 @@
  */
 import * as consola from "consola";
 import { SonicBoom } from "sonic-boom";
-import type { CreateLogOptions, Log, LogFields } from "./log.ts";
+import type { CreateLogOptions, LogFields, LoggerFactory } from "./log.ts";
 import { LOG_LEVELS } from "./log.ts";
 
 /** Bytes that may wait for the reader; lines beyond are dropped. */
-const BUFFER_BYTES = 512 * 1024;
-const STDOUT = 1;
+const MAX_BUFFERED_BYTES = 512 * 1024;
+const STDOUT_FD = 1;
 
 /** Writes lines to standard output in the background. */
-class BackgroundReporter {
+class NonBlockingReporter {
   readonly #out = new SonicBoom({
-    fd: STDOUT,
+    fd: STDOUT_FD,
     sync: false,
-    maxLength: BUFFER_BYTES,
+    maxLength: MAX_BUFFERED_BYTES,
   });
   #dropped = 0;
 
@@ -45,12 +45,12 @@
 }
 
 /** Creates a log of JSON lines that never blocks. */
-export function createLineLog(
+export function createNonBlockingLog(
   { level }: Pick<CreateLogOptions, "level">,
-): Log {
+): LoggerFactory {
   const root = consola.createConsola({
     level: LOG_LEVELS[level],
-    reporters: [new BackgroundReporter()],
+    reporters: [new NonBlockingReporter()],
     throttle: 0,
   });
   return { part: (part) => root.withTag(part) };
--- a/packages/entry/src/utils/read_body.ts
+++ b/packages/entry/src/utils/read_body.ts
@@ -2,7 +2,7 @@
 import type * as http from "node:http";
 
 /** What came of reading a body. */
-export type BodyRead =
+export type ReadBodyResult =
   /** Undefined when the request has no body. */
   | { readonly kind: "whole"; readonly body: Uint8Array | undefined }
   | { readonly kind: "too-large" }
@@ -13,7 +13,7 @@
 export function readBody(
   incoming: http.IncomingMessage,
   limitBytes: number,
-): Promise<BodyRead> {
+): Promise<ReadBodyResult> {
   const declared = Number(incoming.headers["content-length"] ?? 0);
   if (declared > limitBytes) return Promise.resolve({ kind: "too-large" });
   const hasBody = declared > 0 ||
--- a/packages/entry/src/utils/reset_connection.ts
+++ b/packages/entry/src/utils/reset_connection.ts
@@ -3,11 +3,11 @@
 import * as tls from "node:tls";
 import * as undici from "undici";
 
-const open = new Set<net.Socket>();
+const openSockets = new Set<net.Socket>();
 
 /** Resets what is open, for a process that ends without closing it. */
 export function resetOpenConnections(): void {
-  for (const socket of open) socket.destroy();
+  for (const socket of openSockets) socket.destroy();
 }
 
 /**
@@ -22,7 +22,7 @@
   return (target, callback) =>
     connect(target, (...result) => {
       const [error, socket] = result;
-      if (error === null) resetWhenDestroyed(socket);
+      if (error === null) resetOnDestroy(socket);
       callback(...result);
     });
 }
@@ -31,11 +31,11 @@
  * Makes a connection end with a reset whoever destroys it: undici does so on
  * its own, before its caller hears of it.
  */
-function resetWhenDestroyed(socket: net.Socket): void {
+function resetOnDestroy(socket: net.Socket): void {
   // Node resets TCP connections only.
   if (socket instanceof tls.TLSSocket) return;
-  open.add(socket);
-  socket.once("close", () => open.delete(socket));
+  openSockets.add(socket);
+  socket.once("close", () => openSockets.delete(socket));
   const destroy = socket.destroy.bind(socket);
   socket.destroy = (error) => {
     socket.destroy = () => destroy(error);
--- a/packages/entry/src/vms/peer_calls_of.ts
+++ b/packages/entry/src/vms/create_peer_rpc.ts
@@ -1,27 +1,27 @@
 /** Gives the request path its view of the other entry VMs. */
 import type * as decisions from "@guavatide/decisions";
 import type * as contracts from "@guavatide/contracts";
-import type { PeerCalls } from "../requests/peer_calls.ts";
-import type { PeerDoor } from "./peer_door.ts";
+import type { PeerRpc } from "../requests/peer_rpc.ts";
+import type { PeerServer } from "./peer_server.ts";
 import type { PeerTask } from "./peer_task.ts";
 
-/** Options of {@link peerCallsOf}. */
-export interface PeerCallsOfOptions {
-  readonly self: PeerCalls["self"];
-  readonly door: PeerDoor;
+/** Options of {@link createPeerRpc}. */
+export interface CreatePeerRpcOptions {
+  readonly self: PeerRpc["self"];
+  readonly peerServer: PeerServer;
   readonly membership: decisions.Membership;
   readonly clock: contracts.Clock;
 }
 
 /** Calls through the links that a peer task owns. */
-export function peerCallsOf(
+export function createPeerRpc(
   task: PeerTask,
-  options: PeerCallsOfOptions,
-): PeerCalls {
-  const { self, door, membership, clock } = options;
+  options: CreatePeerRpcOptions,
+): PeerRpc {
+  const { self, peerServer: door, membership, clock } = options;
   // Asked for every request, changed a few times a day.
   let members: readonly contracts.VmId[] | undefined;
-  task.onMember(() => members = undefined);
+  task.onMemberChange(() => members = undefined);
   return {
     self,
     members: () => {
--- a/packages/entry/src/vms/peer_link.ts
+++ b/packages/entry/src/vms/peer_client.ts
@@ -13,7 +13,7 @@
 import type { PeerError } from "./peer_error.ts";
 
 /** Connections to one peer; a call that waits longest blocks one of them. */
-const CONNECTIONS = 4;
+const MAX_CONNECTIONS = 4;
 const CONNECT_TIMEOUT_MS = 400;
 
 /** Where a peer listens. */
@@ -23,16 +23,16 @@
   readonly port: number;
 }
 
-/** Options of {@link PeerLink}. */
-export interface PeerLinkOptions {
+/** Options of {@link PeerClient}. */
+export interface PeerClientOptions {
   /** Shared by all entry VMs of one deployment. */
   readonly secret: string;
   /** This VM's certificate and the authority that signs those of peers. */
   readonly tls?: ServerTls;
 }
 
-/** Options of {@link PeerLink.call}. */
-export interface PeerLinkCallOptions<Schema extends z.ZodType> {
+/** Options of {@link PeerClient.call}. */
+export interface PeerClientCallOptions<Schema extends z.ZodType> {
   readonly params: unknown;
   /** Shape of the answer. */
   readonly schema: Schema;
@@ -40,13 +40,13 @@
 }
 
 /** The client side of one peer. */
-export class PeerLink {
+export class PeerClient {
   readonly address: PeerAddress;
   readonly #headers: Readonly<Record<string, string>>;
   readonly #pool: undici.Pool;
   #nextId = 1;
 
-  constructor(address: PeerAddress, options: PeerLinkOptions) {
+  constructor(address: PeerAddress, options: PeerClientOptions) {
     this.address = address;
     this.#headers = {
       "authorization": `Bearer ${options.secret}`,
@@ -57,7 +57,7 @@
     this.#pool = new undici.Pool(
       `${scheme}://${address.host}:${address.port}`,
       {
-        connections: CONNECTIONS,
+        connections: MAX_CONNECTIONS,
         connect: buildResettingConnector({
           timeout: CONNECT_TIMEOUT_MS,
           ...tls,
@@ -70,7 +70,7 @@
   /** Calls a method and checks the shape of its answer. */
   call<Schema extends z.ZodType>(
     method: string,
-    options: PeerLinkCallOptions<Schema>,
+    options: PeerClientCallOptions<Schema>,
   ): neverthrow.ResultAsync<z.infer<Schema>, PeerError> {
     return new neverthrow.ResultAsync(this.#call(method, options));
   }
@@ -82,7 +82,7 @@
 
   async #call<Schema extends z.ZodType>(
     method: string,
-    options: PeerLinkCallOptions<Schema>,
+    options: PeerClientCallOptions<Schema>,
   ): Promise<neverthrow.Result<z.infer<Schema>, PeerError>> {
     const request = jsonRpc.createJSONRPCRequest(
       this.#nextId++,
--- a/packages/entry/src/vms/peer_link_test.ts
+++ b/packages/entry/src/vms/peer_client_test.ts
@@ -2,14 +2,14 @@
 import { test } from "node:test";
 import * as z from "zod";
 import { LifeCycle } from "../utils/life_cycle.ts";
-import { PeerDoor } from "./peer_door.ts";
-import { PeerLink } from "./peer_link.ts";
+import { PeerServer } from "./peer_server.ts";
+import { PeerClient } from "./peer_client.ts";
 
 const HOST = "127.0.0.1";
 const TIMEOUT_MS = 5_000;
 
-async function openDoor(lifeCycle: LifeCycle): Promise<number> {
-  const door = new PeerDoor({ host: HOST, port: 0, secret: "right-secret" });
+async function startServer(lifeCycle: LifeCycle): Promise<number> {
+  const door = new PeerServer({ host: HOST, port: 0, secret: "right-secret" });
   door.register("echo", z.strictObject({ text: z.string() }), (given) => given);
   return await door.listen(lifeCycle);
 }
@@ -19,8 +19,8 @@
 // could tell an entry VM of a newer assignment.
 test("should refuse a peer with another secret", async () => {
   const lifeCycle = new LifeCycle();
-  const port = await openDoor(lifeCycle);
-  const link = new PeerLink({ host: HOST, port }, { secret: "wrong-secret" });
+  const port = await startServer(lifeCycle);
+  const link = new PeerClient({ host: HOST, port }, { secret: "wrong-secret" });
   const result = await link.call("echo", {
     params: { text: "hello" },
     schema: z.unknown(),
@@ -39,8 +39,10 @@
 for (const { name, method, params } of REFUSED_CALLS) {
   test(`should refuse ${name}`, async () => {
     const lifeCycle = new LifeCycle();
-    const port = await openDoor(lifeCycle);
-    const link = new PeerLink({ host: HOST, port }, { secret: "right-secret" });
+    const port = await startServer(lifeCycle);
+    const link = new PeerClient({ host: HOST, port }, {
+      secret: "right-secret",
+    });
     const result = await link.call(method, {
       params,
       schema: z.unknown(),
@@ -56,9 +58,9 @@
 // the caller of the link may safely ask another VM.
 test("should tell that a closed port was not reached", async () => {
   const lifeCycle = new LifeCycle();
-  const port = await openDoor(lifeCycle);
+  const port = await startServer(lifeCycle);
   await lifeCycle.stop();
-  const link = new PeerLink({ host: HOST, port }, { secret: "right-secret" });
+  const link = new PeerClient({ host: HOST, port }, { secret: "right-secret" });
   const result = await link.call("echo", {
     params: { text: "hello" },
     schema: z.unknown(),
--- a/packages/entry/src/vms/peer_door.ts
+++ b/packages/entry/src/vms/peer_server.ts
@@ -15,14 +15,14 @@
 import type { LifeCycle } from "../utils/life_cycle.ts";
 
 /** Largest call of a peer, in bytes: an assignment with room to spare. */
-const BODY_LIMIT_BYTES = 4 * 1024 * 1024;
+const MAX_BODY_BYTES = 4 * 1024 * 1024;
 /** Time a peer may take to send a whole call. */
 const REQUEST_TIMEOUT_MS = 5_000;
 const STOP_TIMEOUT_MS = 500;
 const PEER_PATH = "/peer";
 
-/** Options of {@link PeerDoor}. */
-export interface PeerDoorOptions {
+/** Options of {@link PeerServer}. */
+export interface PeerServerOptions {
   /** IP number to listen on. */
   readonly host: string;
   /** 0 takes any free port. */
@@ -34,12 +34,12 @@
 }
 
 /** Listens for calls of other entry VMs. */
-export class PeerDoor {
+export class PeerServer {
   readonly #rpc = new jsonRpc.JSONRPCServer();
-  readonly #options: PeerDoorOptions;
+  readonly #options: PeerServerOptions;
   readonly #secretDigest: Buffer;
 
-  constructor(options: PeerDoorOptions) {
+  constructor(options: PeerServerOptions) {
     this.#options = options;
     this.#secretDigest = digest(`Bearer ${options.secret}`);
   }
@@ -81,7 +81,7 @@
     }
     const text = await readText(request);
     if (text === undefined) {
-      return refuse(response, 413, `Send at most ${BODY_LIMIT_BYTES} bytes`);
+      return refuse(response, 413, `Send at most ${MAX_BODY_BYTES} bytes`);
     }
     const answer = await this.#rpc.receiveJSON(text);
     if (answer === null) {
@@ -109,7 +109,7 @@
   let sizeBytes = 0;
   for await (const chunk of request) {
     sizeBytes += chunk.length;
-    if (sizeBytes > BODY_LIMIT_BYTES) return undefined;
+    if (sizeBytes > MAX_BODY_BYTES) return undefined;
     chunks.push(chunk);
   }
   return Buffer.concat(chunks).toString("utf8");
--- a/packages/entry/src/vms/peer_task.ts
+++ b/packages/entry/src/vms/peer_task.ts
@@ -8,10 +8,10 @@
 import type * as decisions from "@guavatide/decisions";
 import type { LifeCycle } from "../utils/life_cycle.ts";
 import type { ServerTls } from "../utils/http_server.ts";
-import type { PartLog } from "../utils/log.ts";
-import type { PeerDoor } from "./peer_door.ts";
+import type { Logger } from "../utils/log.ts";
+import type { PeerServer } from "./peer_server.ts";
 import type { PeerError } from "./peer_error.ts";
-import { type PeerAddress, PeerLink } from "./peer_link.ts";
+import { type PeerAddress, PeerClient } from "./peer_client.ts";
 
 /** A beat before its participants have filled it in. */
 export type HeartbeatDraft = contracts.PeerHeartbeat;
@@ -29,7 +29,7 @@
 }
 
 /** Where a member listens; absent once it has been forgotten. */
-export interface PeerTarget extends PeerAddress {
+export interface PeerEndpoint extends PeerAddress {
   readonly vm: contracts.VmId;
 }
 
@@ -49,16 +49,16 @@
   readonly heartbeatMs: number;
   /** Time that a peer has to answer a beat. */
   readonly heartbeatTimeoutMs: number;
-  readonly door: PeerDoor;
+  readonly peerServer: PeerServer;
   readonly membership: decisions.Membership;
   readonly clock: contracts.Clock;
-  readonly log: PartLog;
+  readonly log: Logger;
 }
 
 /** Owns the links to all peers. */
 export class PeerTask {
   readonly #options: PeerTaskOptions;
-  readonly #links = new Map<contracts.VmId, PeerLink>();
+  readonly #links = new Map<contracts.VmId, PeerClient>();
   readonly #participants: HeartbeatParticipant[] = [];
   readonly #waiting = new Set<contracts.VmId>();
   readonly #listeners = new Set<(event: decisions.MemberEvent) => void>();
@@ -66,20 +66,21 @@
 
   constructor(options: PeerTaskOptions) {
     this.#options = options;
-    options.door.register(
+    options.peerServer.register(
       "heartbeat",
       contractsValues.peerHeartbeatSchema,
       (beat) => this.#answer(beat),
     );
-    options.door.register(
+    options.peerServer.register(
       "member",
       contractsValues.memberStatusRequestSchema,
-      ({ about }) => options.membership.answerHelper(about, this.#nowMs()),
+      ({ about }) =>
+        options.membership.answerIndirectProbe(about, this.#nowMs()),
     );
   }
 
   /** Adds a part whose fields travel in beats. */
-  join(participant: HeartbeatParticipant): void {
+  addParticipant(participant: HeartbeatParticipant): void {
     this.#participants.push(participant);
   }
 
@@ -95,31 +96,34 @@
       timeoutMs: this.#options.heartbeatTimeoutMs + 100,
       run: () => this.#tellLeaving(),
     });
-    lifeCycle.every(this.#options.heartbeatMs, () => void this.beatNow());
+    lifeCycle.every(
+      this.#options.heartbeatMs,
+      () => void this.sendHeartbeats(),
+    );
   }
 
   /** Calls back with each change of membership. */
-  onMember(listener: (event: decisions.MemberEvent) => void): void {
+  onMemberChange(listener: (event: decisions.MemberEvent) => void): void {
     this.#listeners.add(listener);
   }
 
   /** Takes the platform's list of VMs. */
-  noteList(vms: readonly contracts.ListedVm[]): void {
-    this.#tell(this.#options.membership.noteList(vms, this.#nowMs()));
+  noteVmList(vms: readonly contracts.ListedVm[]): void {
+    this.#tell(this.#options.membership.noteVmList(vms, this.#nowMs()));
   }
 
   /** Beats to all targets at once, for example after a new revision. */
-  async beatNow(): Promise<void> {
-    const effects = this.#options.membership.beat(this.#nowMs());
+  async sendHeartbeats(): Promise<void> {
+    const effects = this.#options.membership.heartbeat(this.#nowMs());
     this.#tell(effects.events);
     await Promise.all([
       ...effects.targets.map((vm) => this.#beat(vm)),
-      ...effects.questions.map((question) => this.#askHelper(question)),
+      ...effects.indirectProbes.map((question) => this.#askHelper(question)),
     ]);
   }
 
   /** The link to a member, made when first needed. */
-  link(vm: contracts.VmId): PeerLink | undefined {
+  link(vm: contracts.VmId): PeerClient | undefined {
     const member = this.#options.membership.member(vm, this.#nowMs());
     if (member === undefined) return undefined;
     const address = { host: member.host, port: member.peerPort };
@@ -128,7 +132,7 @@
       return known;
     }
     void known?.close();
-    const link = new PeerLink(address, this.#options);
+    const link = new PeerClient(address, this.#options);
     this.#links.set(vm, link);
     return link;
   }
@@ -152,7 +156,7 @@
     );
   }
 
-  async #askHelper(question: decisions.HelperQuestion): Promise<void> {
+  async #askHelper(question: decisions.IndirectProbe): Promise<void> {
     const askedAtMs = this.#nowMs();
     const result = await this.link(question.to)?.call("member", {
       params: { about: question.about },
@@ -161,7 +165,7 @@
     });
     if (result === undefined || result.isErr()) return;
     const times = { askedAtMs, nowMs: this.#nowMs() };
-    this.#tell(this.#options.membership.noteHelper(result.value, times));
+    this.#tell(this.#options.membership.noteIndirectReply(result.value, times));
   }
 
   #noteReply(reply: contracts.PeerHeartbeatReply, askedAtMs: number): void {
@@ -170,7 +174,7 @@
     this.#tell(
       membership.noteReply(reply.vm, reply.incarnation, { askedAtMs, nowMs }),
     );
-    this.#tell(membership.noteNews(reply.news, nowMs));
+    this.#tell(membership.noteUpdates(reply.news, nowMs));
     for (const part of this.#participants) part.noteReply?.(reply, askedAtMs);
   }
 
@@ -185,14 +189,14 @@
   #answer(beat: contracts.PeerHeartbeat): contracts.PeerHeartbeatReply {
     const { membership } = this.#options;
     const nowMs = this.#nowMs();
-    this.#tell(membership.noteHeard(beat, nowMs));
-    this.#tell(membership.noteNews(beat.news, nowMs));
+    this.#tell(membership.noteHeartbeat(beat, nowMs));
+    this.#tell(membership.noteUpdates(beat.news, nowMs));
     const draft: HeartbeatReplyDraft = {
       vm: this.#options.self.vm,
       incarnation: this.#options.self.incarnation,
       known: [],
       configRevision: 0,
-      news: membership.takeNews(),
+      news: membership.takeUpdates(),
       newer: [],
     };
     for (const part of this.#participants) part.answer?.(beat, draft);
@@ -205,7 +209,7 @@
       leaving: this.#isLeaving,
       known: [],
       configRevision: 0,
-      news: this.#options.membership.takeNews(),
+      news: this.#options.membership.takeUpdates(),
     };
     for (const part of this.#participants) part.fill?.(draft);
     return draft;
@@ -225,7 +229,7 @@
   async #tellLeaving(): Promise<void> {
     this.#isLeaving = true;
     this.#waiting.clear();
-    await this.beatNow();
+    await this.sendHeartbeats();
   }
 
   async #closeLinks(): Promise<void> {
--- a/packages/entry/src/vms/peer_tls_test.ts
+++ b/packages/entry/src/vms/peer_tls_test.ts
@@ -4,8 +4,8 @@
 import * as z from "zod";
 import type { ServerTls } from "../utils/http_server.ts";
 import { LifeCycle } from "../utils/life_cycle.ts";
-import { PeerDoor } from "./peer_door.ts";
-import { PeerLink } from "./peer_link.ts";
+import { PeerServer } from "./peer_server.ts";
+import { PeerClient } from "./peer_client.ts";
 
 const HOST = "127.0.0.1";
 const SECRET = "secret-of-all-entry-vms";
@@ -26,8 +26,8 @@
   return { cert: pems.cert, key: pems.private, ca: pems.cert };
 }
 
-const OURS = createCertificate();
-const STRANGERS = createCertificate();
+const TRUSTED = createCertificate();
+const UNTRUSTED = createCertificate();
 
 interface TlsCase {
   readonly name: string;
@@ -39,16 +39,16 @@
 // entry VM. The connection must end before the secret or a call is read; a
 // peer with a certificate is served.
 const CASES: readonly TlsCase[] = [
-  { name: "a peer with our certificate", tls: OURS, answer: "answered" },
+  { name: "a peer with our certificate", tls: TRUSTED, answer: "answered" },
   { name: "a peer without TLS", tls: undefined, answer: "refused" },
   {
     name: "a peer that shows a stranger's certificate",
-    tls: { ...STRANGERS, ca: OURS.ca },
+    tls: { ...UNTRUSTED, ca: TRUSTED.ca },
     answer: "refused",
   },
   {
     name: "a peer that trusts another authority",
-    tls: { ...OURS, ca: STRANGERS.ca },
+    tls: { ...TRUSTED, ca: UNTRUSTED.ca },
     answer: "refused",
   },
 ];
@@ -57,15 +57,15 @@
   test(`should leave ${name} ${answer} over TLS`, async () => {
     const lifeCycle = new LifeCycle();
     let calls = 0;
-    const door = new PeerDoor({
+    const door = new PeerServer({
       host: HOST,
       port: 0,
       secret: SECRET,
-      tls: OURS,
+      tls: TRUSTED,
     });
     door.register("count", z.strictObject({}), () => ++calls);
     const port = await door.listen(lifeCycle);
-    const link = new PeerLink({ host: HOST, port }, { secret: SECRET, tls });
+    const link = new PeerClient({ host: HOST, port }, { secret: SECRET, tls });
     const result = await link.call("count", {
       params: {},
       schema: z.number(),
--- a/packages/entry/src/wire.ts
+++ b/packages/entry/src/wire.ts
@@ -21,18 +21,18 @@
 import * as platform from "./platform/mod.ts";
 import * as requests from "./requests/mod.ts";
 import * as settingsParts from "./settings/mod.ts";
-import { ownershipTimingsOf, requestSettingsOf } from "./settings_of_parts.ts";
+import { toOwnershipTimings, toRequestSettings } from "./derived_settings.ts";
 import { type StartError, toStartError } from "./start_error.ts";
 import { MonotonicClock, SystemRandom } from "./utils/clock.ts";
 import { LifeCycle } from "./utils/life_cycle.ts";
 import * as logParts from "./utils/log.ts";
-import { peerCallsOf } from "./vms/peer_calls_of.ts";
-import { PeerDoor } from "./vms/peer_door.ts";
+import { createPeerRpc } from "./vms/create_peer_rpc.ts";
+import { PeerServer } from "./vms/peer_server.ts";
 import { PeerTask } from "./vms/peer_task.ts";
 import { ServerDirectory } from "./zones/server_directory.ts";
 
 /** Beats that fit into the time a peer has to answer one. */
-const HEARTBEAT_TIMEOUT_BEATS = 2;
+const HEARTBEAT_TIMEOUT_INTERVALS = 2;
 const PLATFORM_STOP_TIMEOUT_MS = 1_000;
 
 /** Ports that a running entry process listens on. */
@@ -73,17 +73,17 @@
 async function start(
   settings: settingsParts.Settings,
   secret: string,
-  tls: settingsParts.DoorCertificates,
+  tls: settingsParts.ListenerCertificates,
 ): Promise<Entry> {
-  const base = createBase(settings, secret, tls);
+  const base = createContext(settings, secret, tls);
   const { lifeCycle, directory, metrics } = base;
   // First to open and so last to close: it says until the end that the
   // process is not ready, and why.
-  const metricsPort = await createMetricsDoor(base).listen(lifeCycle);
-  const vms = await createVms(base);
+  const metricsPort = await createMetricsServer(base).listen(lifeCycle);
+  const vms = await createPeerNetwork(base);
   const config = await createConfiguration(base, vms);
   const hasher = await ownership.KeyHasher.create();
-  const moves = administration.createMoveJournal(administrationBase(base));
+  const moves = administration.createMoveJournal(adminDependencies(base));
   const { owners, loads } = createOwnership(base, {
     ...vms,
     config,
@@ -94,8 +94,8 @@
     linkParts.CONNECTION_POOLS_DEFAULTS,
     lifeCycle,
   );
-  const listener = createRequests(base, {
-    serverLinks,
+  const listener = createCallerListener(base, {
+    serverConnections: serverLinks,
     ...vms,
     config,
     hasher,
@@ -115,14 +115,14 @@
   vms.peers.start(lifeCycle);
   owners.start(lifeCycle);
   loads.start(lifeCycle);
-  const administrationPort = await administration.startAdministration({
-    ...administrationBase(base),
+  const administrationPort = await administration.startAdminApi({
+    ...adminDependencies(base),
     config,
     servers: directory,
     owners,
     ownership: {
       assignment: (service) => owners.assignment(service),
-      hashOf: (key) => hasher.hash(key),
+      hashKey: (key) => hasher.hash(key),
     },
     moves,
     certificate: tls.administration,
@@ -143,11 +143,11 @@
 }
 
 /** What every part of the process is built from. */
-interface Base {
+interface ProcessContext {
   readonly settings: settingsParts.Settings;
   readonly secret: string;
-  readonly tls: settingsParts.DoorCertificates;
-  readonly log: logParts.Log;
+  readonly tls: settingsParts.ListenerCertificates;
+  readonly log: logParts.LoggerFactory;
   readonly lifeCycle: LifeCycle;
   readonly clock: contracts.Clock;
   readonly random: contracts.RandomSource;
@@ -162,11 +162,11 @@
   readonly ready: { reason(): string | undefined };
 }
 
-function createBase(
+function createContext(
   settings: settingsParts.Settings,
   secret: string,
-  tls: settingsParts.DoorCertificates,
-): Base {
+  tls: settingsParts.ListenerCertificates,
+): ProcessContext {
   const log = logParts.createLog(settings.log);
   const lifeCycle = new LifeCycle();
   const metrics = new metricsParts.Metrics();
@@ -205,23 +205,23 @@
 }
 
 /** Other entry VMs, as this process knows and calls them. */
-interface Vms {
+interface PeerNetwork {
   readonly membership: decisions.Membership;
-  readonly door: PeerDoor;
+  readonly door: PeerServer;
   readonly peers: PeerTask;
   readonly peerPort: number;
 }
 
-async function createVms(base: Base): Promise<Vms> {
+async function createPeerNetwork(base: ProcessContext): Promise<PeerNetwork> {
   const { settings, secret, tls, self, random, clock, log } = base;
   const { timings, host } = settings;
   const membership = new decisions.Membership({
     ...decisions.DEFAULT_MEMBERSHIP,
     vm: settings.vm,
     random,
-    beatMs: timings.heartbeatMs,
+    heartbeatIntervalMs: timings.heartbeatMs,
   });
-  const door = new PeerDoor({
+  const door = new PeerServer({
     host,
     port: settings.ports.peers,
     secret,
@@ -233,19 +233,19 @@
     secret,
     tls: tls.peers,
     heartbeatMs: timings.heartbeatMs,
-    heartbeatTimeoutMs: timings.heartbeatMs * HEARTBEAT_TIMEOUT_BEATS,
-    door,
+    heartbeatTimeoutMs: timings.heartbeatMs * HEARTBEAT_TIMEOUT_INTERVALS,
+    peerServer: door,
     membership,
     clock,
     log: log.part("member"),
   });
-  base.directory.onList((vms) => peers.noteList(vms));
+  base.directory.onVmList((vms) => peers.noteVmList(vms));
   return { membership, door, peers, peerPort };
 }
 
 async function createConfiguration(
-  base: Base,
-  vms: Vms,
+  base: ProcessContext,
+  vms: PeerNetwork,
 ): Promise<configuration.ConfigTask> {
   const { settings, store, clock, random, directory } = base;
   const { timings } = settings;
@@ -257,13 +257,13 @@
       clock,
       ...vms,
     }),
-    choice: await decisions.createWatcherSelector(),
+    watcherSelector: await decisions.createWatcherSelector(),
     clock,
     random,
     log: base.log.part("config"),
     watchWaitMs: timings.watchWaitMs,
-    compareMs: timings.configCompareMs,
-    settleMs: timings.configSettleMs,
+    compareIntervalMs: timings.configCompareMs,
+    peerDiscoveryMs: timings.configSettleMs,
     storeTimeoutMs: settings.platform.storeTimeoutMs,
     peerTimeoutMs: settings.platform.storeTimeoutMs,
   });
@@ -273,7 +273,7 @@
   return config;
 }
 
-interface OwnershipParts extends Vms {
+interface OwnershipDependencies extends PeerNetwork {
   readonly config: configuration.ConfigTask;
   readonly hasher: ownership.KeyHasher;
   readonly moves: administration.MoveJournal;
@@ -284,7 +284,10 @@
   readonly loads: LoadTask;
 }
 
-function createOwnership(base: Base, parts: OwnershipParts): Ownership {
+function createOwnership(
+  base: ProcessContext,
+  parts: OwnershipDependencies,
+): Ownership {
   const { settings, self, clock, directory } = base;
   const { membership, peers, door } = parts;
   const peerView = new ownershipTasks.MembershipPeerView({
@@ -294,10 +297,10 @@
     clock,
     timeoutMs: settings.timings.evidenceMs,
   });
-  directory.onList((vms) => peerView.noteList(vms));
-  const loads = new LoadTask({ self, peers, door, clock });
+  directory.onVmList((vms) => peerView.noteVmList(vms));
+  const loads = new LoadTask({ self, peers, peerServer: door, clock });
   const owners = new ownershipTasks.OwnershipTask({
-    timings: ownershipTimingsOf(settings),
+    timings: toOwnershipTimings(settings),
     clock,
     random: base.random,
     hasher: parts.hasher,
@@ -305,46 +308,51 @@
     store: base.store,
     config: parts.config,
     servers: directory,
-    moveRecord: new MeteredMoves(parts.moves, base.metrics),
+    moveRecorder: new MeteredMoves(parts.moves, base.metrics),
     peers: peerView,
     connect: (address) =>
       new platform.HttpBackendControl(`http://${address.host}:${address.port}`),
-    load: (service) => loads.source(service),
+    load: (service) => loads.loadSource(service),
   });
-  loads.follow(owners);
-  peers.join(owners);
-  peers.join(loads);
+  loads.setOwnershipSource(owners);
+  peers.addParticipant(owners);
+  peers.addParticipant(loads);
   door.register(
     ownershipTasks.ASSIGNMENT_METHOD,
     contractsValues.assignmentSchema,
-    (assignment) => owners.takePushed(assignment),
+    (assignment) => owners.acceptAssignment(assignment),
   );
   door.register(
-    ownershipTasks.KNOWN_METHOD,
+    ownershipTasks.KNOWN_REVISION_METHOD,
     contractsValues.knownRevisionRequestSchema,
-    (question) => owners.answerKnown(question),
+    (question) => owners.answerKnownRevision(question),
   );
   return { owners, loads };
 }
 
-interface RequestParts extends Vms, Ownership {
-  readonly serverLinks: linkParts.ConnectionPools;
+interface RequestDependencies extends PeerNetwork, Ownership {
+  readonly serverConnections: linkParts.ConnectionPools;
   readonly config: configuration.ConfigTask;
   readonly hasher: ownership.KeyHasher;
 }
 
-function createRequests(
-  base: Base,
-  parts: RequestParts,
+function createCallerListener(
+  base: ProcessContext,
+  parts: RequestDependencies,
 ): requests.CallerListener {
   const { settings, self, clock, lifeCycle } = base;
   const { membership, door, hasher, loads } = parts;
-  const peerCalls = peerCallsOf(parts.peers, { self, door, membership, clock });
+  const peerCalls = createPeerRpc(parts.peers, {
+    self,
+    peerServer: door,
+    membership,
+    clock,
+  });
   const router = new requests.RequestRouter({
     config: parts.config,
     servers: base.directory,
     owners: parts.owners,
-    links: parts.serverLinks,
+    connectionPools: parts.serverConnections,
     hashKey: (key) => hasher.hash(key),
     entryVmCount: () => peerCalls.members().length,
     clock,
@@ -353,14 +361,14 @@
     lifeCycle,
     metrics: {
       ...createRequestMetrics(base.metrics),
-      keyedWork: (work) => loads.record(work),
+      keyedWork: (work) => loads.recordRequest(work),
     },
-    longestTimeoutMs: requests.REQUEST_DEFAULTS.longestTimeoutMs,
-    unfencedRunMs: settings.timings.unfencedMoveWaitMs,
+    maxTimeoutMs: requests.REQUEST_DEFAULTS.maxTimeoutMs,
+    unfencedTimeoutMs: settings.timings.unfencedMoveWaitMs,
     peers: peerCalls,
   });
   return new requests.CallerListener({
-    settings: requestSettingsOf(settings),
+    settings: toRequestSettings(settings),
     tls: base.tls.callers,
     clock,
     lifeCycle,
@@ -368,7 +376,7 @@
   });
 }
 
-function createMetricsDoor(base: Base): MetricsServer {
+function createMetricsServer(base: ProcessContext): MetricsServer {
   return new MetricsServer({
     host: base.settings.host,
     port: base.settings.ports.metrics,
@@ -379,11 +387,13 @@
   });
 }
 
-function administrationBase({ settings, store, clock, log }: Base) {
+function adminDependencies({ settings, store, clock, log }: ProcessContext) {
   return { settings, store, clock, log: log.part("admin") };
 }
 
-async function stop({ lifeCycle, log, settings }: Base): Promise<void> {
+async function stop(
+  { lifeCycle, log, settings }: ProcessContext,
+): Promise<void> {
   const report = await lifeCycle.stop();
   const mainLog = log.part("main");
   for (const { name, reason } of report.failed) {
--- a/packages/entry/src/zones/server_directory.ts
+++ b/packages/entry/src/zones/server_directory.ts
@@ -6,17 +6,17 @@
 import type * as contracts from "@guavatide/contracts";
 import type { ServerAddress, ServerView } from "../contracts/views.ts";
 import type { LifeCycle } from "../utils/life_cycle.ts";
-import type { PartLog } from "../utils/log.ts";
+import type { Logger } from "../utils/log.ts";
 
 /** How long a server's word that it drains counts, unless it is repeated. */
-const DRAIN_WORD_MS = 15_000;
+const DRAIN_REPORT_TTL_MS = 15_000;
 
 /** Options of {@link ServerDirectory}. */
 export interface ServerDirectoryOptions {
   readonly vmList: contracts.VmList;
   readonly pollIntervalMs: number;
   readonly clock: contracts.Clock;
-  readonly log: PartLog;
+  readonly log: Logger;
 }
 
 /** Polls the VM list and answers where servers are. */
@@ -42,7 +42,7 @@
   }
 
   /** Calls back with every list that arrives. */
-  onList(listener: (vms: contracts.ListedVm[]) => void): void {
+  onVmList(listener: (vms: contracts.ListedVm[]) => void): void {
     this.#listeners.add(listener);
   }
 
@@ -74,7 +74,7 @@
   saysDraining(id: contracts.ServerId): boolean {
     const sinceMs = this.#drainingSinceMs.get(id);
     return sinceMs !== undefined &&
-      this.#options.clock.nowMs() < sinceMs + DRAIN_WORD_MS;
+      this.#options.clock.nowMs() < sinceMs + DRAIN_REPORT_TTL_MS;
   }
 
   /** The server takes work again, for example after a restart. */
--- a/packages/entry/src/zones/server_directory_test.ts
+++ b/packages/entry/src/zones/server_directory_test.ts
@@ -36,13 +36,13 @@
   nowMs = 10_000;
   directory.noteDraining(SERVER);
   nowMs = 20_000;
-  await nextList(directory);
+  await waitForNextList(directory);
   expect(directory.server(SERVER)?.state).toEqual("draining");
   nowMs = 30_000;
-  await nextList(directory);
+  await waitForNextList(directory);
   expect(directory.server(SERVER)?.state).toEqual("live");
 });
 
-function nextList(directory: ServerDirectory): Promise<void> {
-  return new Promise((resolve) => directory.onList(() => resolve()));
+function waitForNextList(directory: ServerDirectory): Promise<void> {
+  return new Promise((resolve) => directory.onVmList(() => resolve()));
 }
--- a/packages/standins/src/administration/config_delivery_main.ts
+++ b/packages/standins/src/administration/config_delivery_main.ts
@@ -14,7 +14,7 @@
 import * as plans from "../deployment/deployment_plan.ts";
 import { LocalDeployment } from "../deployment/local_deployment.ts";
 import * as processes from "../processes/mod.ts";
-import { Operator, tokenSettings } from "./operator.ts";
+import { OperatorClient, tokenSettings } from "./operator_client.ts";
 
 const DEADLINE_MS = 20_000;
 const POLL_MS = 5;
@@ -36,7 +36,10 @@
 const isStoreAway = values["store-away"];
 
 async function main(): Promise<void> {
-  const plan = plans.scalePlan(plans.KAYFA, { entryVms, maxServersPerService: 1 });
+  const plan = plans.scalePlan(plans.KAYFA, {
+    entryVms,
+    maxServersPerService: 1,
+  });
   const deployment = await LocalDeployment.start({
     plan: zones === 0 ? plan : {
       ...plan,
@@ -61,14 +64,17 @@
 async function measure(deployment: LocalDeployment): Promise<object> {
   const origins = [...deployment.entries.values()]
     .map((entry) => processes.originOf(entry.ports.administration));
-  const watchers = origins.map((origin) => new Operator("ana", origin));
+  const watchers = origins.map((origin) => new OperatorClient("ana", origin));
   await untilInForce(watchers, 1);
   await createGuest(watchers[0]!);
   const everywhere = hdr.build({ numberOfSignificantValueDigits: 3 });
   const conflicts: number[] = [];
   for (let round = 0; round < publishes; round++) {
     const ana = watchers[round % watchers.length]!;
-    const blas = new Operator("blas", origins[(round + 1) % origins.length]!);
+    const blas = new OperatorClient(
+      "blas",
+      origins[(round + 1) % origins.length]!,
+    );
     conflicts.push(await race(ana, blas, round));
     const revision = await ana.publish();
     const acceptedMs = performance.now();
@@ -92,18 +98,18 @@
 }
 
 /** The second partner of the split. */
-async function createGuest(operator: Operator): Promise<void> {
+async function createGuest(operator: OperatorClient): Promise<void> {
   const body = { requestsPerSecond: 100, burstRequests: 10 };
   await operator.call("PUT", "/v1/objects/partner/guest", {
     body,
-    isCreation: true,
+    onlyIfAbsent: true,
   });
 }
 
 /** Both edit the version they have seen; returns how many were refused. */
 async function race(
-  ana: Operator,
-  blas: Operator,
+  ana: OperatorClient,
+  blas: OperatorClient,
   round: number,
 ): Promise<number> {
   const { etag, body } = await ana.call("GET", SPLIT);
@@ -126,7 +132,7 @@
 }
 
 async function untilInForce(
-  watchers: readonly Operator[],
+  watchers: readonly OperatorClient[],
   revision: number,
 ): Promise<void> {
   await Promise.all(watchers.map(async (watcher) => {
--- a/packages/standins/src/administration/operator.ts
+++ b/packages/standins/src/administration/operator_client.ts
@@ -19,24 +19,24 @@
 }
 
 /** What the API answered. */
-export interface ApiAnswer {
+export interface ApiResponse {
   readonly status: number;
   readonly etag: string | undefined;
   // deno-lint-ignore no-explicit-any
   readonly body: any;
 }
 
-/** Options of {@link Operator.call}. */
+/** Options of {@link OperatorClient.call}. */
 export interface OperatorCallOptions {
   readonly body?: unknown;
   /** Value of If-Match, quotes included. */
   readonly ifMatch?: string;
   /** Only create. */
-  readonly isCreation?: boolean;
+  readonly onlyIfAbsent?: boolean;
 }
 
 /** One operator at one entry VM's administration port. */
-export class Operator {
+export class OperatorClient {
   readonly name: string;
   readonly #origin: string;
 
@@ -49,12 +49,12 @@
     method: string,
     path: string,
     options: OperatorCallOptions = {},
-  ): Promise<ApiAnswer> {
+  ): Promise<ApiResponse> {
     const headers = new Headers({
       authorization: `Bearer ${tokenOf(this.name)}`,
     });
     if (options.ifMatch !== undefined) headers.set("if-match", options.ifMatch);
-    if (options.isCreation) headers.set("if-none-match", "*");
+    if (options.onlyIfAbsent) headers.set("if-none-match", "*");
     const answer = await fetch(`${this.#origin}${path}`, {
       method,
       headers,
--- a/packages/standins/src/backend_server/backend_app.ts
+++ b/packages/standins/src/backend_server/backend_app.ts
@@ -8,14 +8,14 @@
 import { Journal } from "./journal.ts";
 import { LoadHistory } from "./load_history.ts";
 import { OwnershipState } from "./ownership_state.ts";
-import { ServiceTimes } from "./service_times.ts";
+import { ServiceTimeSampler } from "./service_time_sampler.ts";
 import {
   type BackendFaults,
   backendFaultsSchema,
   type BackendSettings,
 } from "./settings.ts";
 import {
-  type ArrivedRequest,
+  type IncomingRequest,
   WorkQueue,
   type WorkResult,
 } from "./work_queue.ts";
@@ -31,7 +31,7 @@
 type BackendContext = Context<serve.StandInEnv>;
 
 /** What a served request answers. */
-export interface WorkAnswer {
+export interface WorkResponseBody {
   readonly server: string;
   readonly requestId: string;
   readonly operationId?: string;
@@ -74,7 +74,10 @@
       clock: options.clock,
       ownership: this.#ownership,
       journal: this.#journal,
-      times: new ServiceTimes(settings.serviceTimeMs, settings.seed),
+      serviceTimes: new ServiceTimeSampler(
+        settings.serviceTimeMs,
+        settings.seed,
+      ),
     });
     this.#load = new LoadHistory(settings.loadLagMs);
     this.#addRoutes();
@@ -86,7 +89,7 @@
   }
 
   /** Refuses new work from now on, or takes it again. */
-  drain(isDraining: boolean): void {
+  setDraining(isDraining: boolean): void {
     this.#queue.isDraining = isDraining;
   }
 
@@ -116,7 +119,7 @@
     await serve.delay(linkDelayMs + connectMs);
     const isControl = context.req.path.startsWith("/control/");
     if (isControl && this.#faults.controlHangs === true) {
-      return serve.neverAnswer();
+      return serve.leaveUnanswered();
     }
     await next();
     await serve.delay(linkDelayMs);
@@ -127,7 +130,7 @@
     if (!parsed.success) return context.text(parsed.error.message, 400);
     this.#faults = { ...this.#faults, ...parsed.data };
     this.#queue.slowFactor = this.#faults.slowFactor ?? 1;
-    this.#queue.holdRuns(this.#faults.holdRuns ?? false);
+    this.#queue.setHoldRuns(this.#faults.holdRuns ?? false);
     return context.json({});
   }
 
@@ -139,7 +142,10 @@
     const isMine = parsed.data.server === this.#settings.server &&
       parsed.data.service === this.#settings.service;
     if (!isMine) return context.text("order for another server", 421);
-    const answer = this.#ownership.order(parsed.data, this.#clock.nowMs());
+    const answer = this.#ownership.applyLeaseCommand(
+      parsed.data,
+      this.#clock.nowMs(),
+    );
     const reply: contracts.LeaseCommandReply = {
       ...answer,
       draining: this.#queue.isDraining,
@@ -148,7 +154,7 @@
   }
 
   #reportLoad(context: BackendContext): Response {
-    const told = this.#load.told(this.#clock.nowMs());
+    const told = this.#load.reportedLoad(this.#clock.nowMs());
     const report: contracts.LoadReport = {
       inFlight: told.inFlight,
       slots: this.#settings.slots,
@@ -162,7 +168,7 @@
 
   async #setDrain(context: BackendContext): Promise<Response> {
     const body = await context.req.json().catch(() => ({}));
-    this.drain(body.draining !== false);
+    this.setDraining(body.draining !== false);
     return context.json({ draining: this.#queue.isDraining });
   }
 
@@ -189,7 +195,7 @@
     return this.#answer(context, { request, result, body });
   }
 
-  #readRequest(context: BackendContext): ArrivedRequest | undefined {
+  #readRequest(context: BackendContext): IncomingRequest | undefined {
     const requestId = context.req.header(contracts.REQUEST_ID_HEADER);
     if (requestId === undefined) return undefined;
     const stamped = context.req.header(contracts.DEADLINE_STAMP_HEADER);
@@ -218,11 +224,11 @@
 
   async #answer(
     context: BackendContext,
-    work: { request: ArrivedRequest; result: WorkResult; body: string },
+    work: { request: IncomingRequest; result: WorkResult; body: string },
   ): Promise<Response> {
     const { request, result } = work;
     await serve.delay(this.#faults.answerLateMs ?? 0);
-    if (this.#take("lostAnswers")) return serve.neverAnswer();
+    if (this.#take("lostAnswers")) return serve.leaveUnanswered();
     const id = this.#take("wrongIdAnswers")
       ? `${request.requestId}-other`
       : request.requestId;
@@ -240,7 +246,7 @@
       return context.json({ refused: result.refusal }, status);
     }
     const fillerBytes = Number(context.req.query("bytes") ?? "0");
-    const answer: WorkAnswer = {
+    const answer: WorkResponseBody = {
       server: this.#settings.server,
       requestId: request.requestId,
       operationId: request.operationId,
@@ -262,7 +268,7 @@
   }
 
   #noteLoad(): void {
-    this.#load.note(this.#queue.inFlight, this.#clock.nowMs());
+    this.#load.record(this.#queue.inFlight, this.#clock.nowMs());
   }
 }
 
@@ -279,5 +285,5 @@
   });
   const half = answer.text.slice(0, answer.text.length / 2);
   outgoing.write(half, () => incoming.socket.destroy());
-  return serve.neverAnswer();
+  return serve.leaveUnanswered();
 }
--- a/packages/standins/src/backend_server/backend_main.ts
+++ b/packages/standins/src/backend_server/backend_main.ts
@@ -19,7 +19,7 @@
   });
   listening.server.maxConnections = settings.connectionLimit;
   serve.stopOnSignal(async () => {
-    app.drain(true);
+    app.setDraining(true);
     await serve.delay(settings.drainGraceMs);
     while (app.inFlight > 0) await serve.delay(IDLE_CHECK_MS);
     // The last answer leaves before the connections are closed.
--- a/packages/standins/src/backend_server/journal.ts
+++ b/packages/standins/src/backend_server/journal.ts
@@ -39,8 +39,8 @@
   readonly clock: Clock;
 }
 
-/** Options of {@link Journal.note}. */
-export interface NoteOptions {
+/** Options of {@link Journal.append}. */
+export interface AppendOptions {
   /**
    * The very time by which the step was decided. A time read afresh could
    * come from after a pause that followed the decision.
@@ -70,10 +70,10 @@
   }
 
   /** Notes one step. */
-  note(
+  append(
     step: JournalStep,
     request: JournaledRequest,
-    options: NoteOptions,
+    options: AppendOptions,
   ): void {
     const entry: JournalEntry = {
       server: this.#server,
--- a/packages/standins/src/backend_server/load_history.ts
+++ b/packages/standins/src/backend_server/load_history.ts
@@ -15,13 +15,15 @@
   }
 
   /** Notes the load from now on. */
-  note(inFlight: number, nowMs: number): void {
+  record(inFlight: number, nowMs: number): void {
     this.#samples.push({ sinceMs: nowMs, inFlight });
     this.#forget(nowMs);
   }
 
   /** The load that the report tells now. */
-  told(nowMs: number): { readonly inFlight: number; readonly ageMs: number } {
+  reportedLoad(
+    nowMs: number,
+  ): { readonly inFlight: number; readonly ageMs: number } {
     this.#forget(nowMs);
     return { inFlight: this.#samples[0]!.inFlight, ageMs: this.#lagMs };
   }
--- a/packages/standins/src/backend_server/ownership_state.ts
+++ b/packages/standins/src/backend_server/ownership_state.ts
@@ -18,9 +18,9 @@
 }
 
 /** The part of a reply that ownership decides. */
-export type OwnershipAnswer = Omit<LeaseCommandReply, "draining">;
+export type OwnershipReply = Omit<LeaseCommandReply, "draining">;
 
-interface Hold {
+interface Lease {
   readonly fence: number;
   /** On the server's own clock. */
   leaseEndMs: number;
@@ -29,9 +29,9 @@
 /** Slices held, their leases and the requests that run in them. */
 export class OwnershipState {
   readonly #options: OwnershipStateOptions;
-  readonly #holds = new Map<SliceId, Hold>();
+  readonly #holds = new Map<SliceId, Lease>();
   /** Holds that were let go while requests of theirs were running. */
-  readonly #lettingGo = new Map<SliceId, Hold>();
+  readonly #lettingGo = new Map<SliceId, Lease>();
   readonly #running = new Map<SliceId, number>();
   #revision = 0;
 
@@ -45,7 +45,7 @@
   }
 
   /** Applies an order and answers it. */
-  order(order: LeaseCommand, nowMs: number): OwnershipAnswer {
+  applyLeaseCommand(order: LeaseCommand, nowMs: number): OwnershipReply {
     if (order.revision < this.#revision) return this.#answer(false, nowMs);
     this.#revision = order.revision;
     this.#letGo(order.slices);
@@ -56,7 +56,7 @@
   }
 
   /** Whether a request may run now for this slice at this fence. */
-  mayRun(slice: SliceId, fence: number, nowMs: number): boolean {
+  mayStart(slice: SliceId, fence: number, nowMs: number): boolean {
     if (!this.#options.checksFences) return true;
     const hold = this.#holds.get(slice);
     if (hold === undefined) return false;
@@ -68,8 +68,8 @@
    * let go meanwhile may until its lease ends: whoever took the slice waits
    * for the word that nothing is in flight, or for that end.
    */
-  mayTakeEffect(slice: SliceId, fence: number, nowMs: number): boolean {
-    if (this.mayRun(slice, fence, nowMs)) return true;
+  mayCommit(slice: SliceId, fence: number, nowMs: number): boolean {
+    if (this.mayStart(slice, fence, nowMs)) return true;
     const hold = this.#lettingGo.get(slice);
     if (hold === undefined) return false;
     return hold.fence === fence && nowMs < hold.leaseEndMs;
@@ -130,7 +130,7 @@
     present.leaseEndMs = Math.max(present.leaseEndMs, leaseEndMs);
   }
 
-  #answer(isAccepted: boolean, nowMs: number): OwnershipAnswer {
+  #answer(isAccepted: boolean, nowMs: number): OwnershipReply {
     const releasing = [...this.#running.entries()]
       .filter(([slice]) => !this.#holds.has(slice))
       .map(([slice, inFlight]) => ({ slice, inFlight }));
--- a/packages/standins/src/backend_server/ownership_state_test.ts
+++ b/packages/standins/src/backend_server/ownership_state_test.ts
@@ -122,25 +122,26 @@
     });
     let accepted: boolean | undefined;
     for (const step of row.orders) {
-      accepted = state.order(step.order, step.atMs).accepted;
+      accepted = state.applyLeaseCommand(step.order, step.atMs).accepted;
     }
     expect(accepted).toEqual(row.lastAccepted);
     for (const look of row.mayRun) {
-      expect(state.mayRun(SLICE_A, 1, look.atMs)).toEqual(look.expected);
+      expect(state.mayStart(SLICE_A, 1, look.atMs)).toEqual(look.expected);
     }
   });
 }
 
 test("should report requests that still run in a slice it let go", () => {
   const state = new OwnershipState({ instance: "run-1", checksFences: true });
-  state.order(order(1, [held(SLICE_A, 1), held(SLICE_B, 1)]), 10);
+  state.applyLeaseCommand(order(1, [held(SLICE_A, 1), held(SLICE_B, 1)]), 10);
   state.begin(SLICE_A);
   state.begin(SLICE_A);
-  const releasing = state.order(order(2, [held(SLICE_B, 1)]), 20).releasing;
+  const releasing =
+    state.applyLeaseCommand(order(2, [held(SLICE_B, 1)]), 20).releasing;
   expect(releasing).toEqual([{ slice: SLICE_A, inFlight: 2 }]);
   state.end(SLICE_A);
   state.end(SLICE_A);
-  const answer = state.order(order(2, [held(SLICE_B, 1)]), 30);
+  const answer = state.applyLeaseCommand(order(2, [held(SLICE_B, 1)]), 30);
   expect(answer.releasing).toEqual([]);
 });
 
@@ -148,13 +149,13 @@
   // A planned move takes the slice while a booking is being made. It must not
   // be cut off; nor may it take effect once the mover has waited the lease out.
   const state = new OwnershipState({ instance: "run-1", checksFences: true });
-  state.order(order(1, OWNS_A), 10);
+  state.applyLeaseCommand(order(1, OWNS_A), 10);
   state.begin(SLICE_A);
-  state.order(order(2, []), 20);
-  expect(state.mayRun(SLICE_A, 1, 30)).toEqual(false);
-  expect(state.mayTakeEffect(SLICE_A, 1, 999)).toEqual(true);
-  expect(state.mayTakeEffect(SLICE_A, 1, 1000)).toEqual(false);
-  expect(state.mayTakeEffect(SLICE_A, 2, 30)).toEqual(false);
+  state.applyLeaseCommand(order(2, []), 20);
+  expect(state.mayStart(SLICE_A, 1, 30)).toEqual(false);
+  expect(state.mayCommit(SLICE_A, 1, 999)).toEqual(true);
+  expect(state.mayCommit(SLICE_A, 1, 1000)).toEqual(false);
+  expect(state.mayCommit(SLICE_A, 2, 30)).toEqual(false);
   state.end(SLICE_A);
-  expect(state.mayTakeEffect(SLICE_A, 1, 30)).toEqual(false);
+  expect(state.mayCommit(SLICE_A, 1, 30)).toEqual(false);
 });
--- a/packages/standins/src/backend_server/service_times.ts
+++ b/packages/standins/src/backend_server/service_time_sampler.ts
@@ -4,7 +4,7 @@
 import type { ServiceTime } from "./settings.ts";
 
 /** Seeded draws of one distribution. */
-export class ServiceTimes {
+export class ServiceTimeSampler {
   readonly #distribution: ServiceTime;
   readonly #random: ReturnType<typeof xoroshiro128plus>;
 
--- a/packages/standins/src/backend_server/work_queue.ts
+++ b/packages/standins/src/backend_server/work_queue.ts
@@ -7,13 +7,13 @@
 import type { Clock, ServerRefusal, SliceId } from "@guavatide/contracts";
 import type { Journal, JournaledRequest } from "./journal.ts";
 import type { OwnershipState } from "./ownership_state.ts";
-import type { ServiceTimes } from "./service_times.ts";
+import type { ServiceTimeSampler } from "./service_time_sampler.ts";
 import type { BackendSettings } from "./settings.ts";
 
-const REMEMBERED_CANCELLATIONS = 10_000;
+const MAX_REMEMBERED_CANCELLATIONS = 10_000;
 
 /** A request that has arrived. */
-export interface ArrivedRequest extends JournaledRequest {
+export interface IncomingRequest extends JournaledRequest {
   /** On the server's clock; undefined without one. */
   readonly deadlineMs: number | undefined;
   /** The same, given by the sender on the server's clock: holds to the end. */
@@ -28,9 +28,9 @@
 /** What a cancellation met. */
 export type CancelResult = "removed" | "running" | "unknown";
 
-interface Waiting {
-  readonly request: ArrivedRequest;
-  finish(result: WorkResult): void;
+interface PendingRequest {
+  readonly request: IncomingRequest;
+  resolve(result: WorkResult): void;
 }
 
 /** Options of {@link WorkQueue}. */
@@ -39,17 +39,17 @@
   readonly clock: Clock;
   readonly ownership: OwnershipState;
   readonly journal: Journal;
-  readonly times: ServiceTimes;
+  readonly serviceTimes: ServiceTimeSampler;
 }
 
 /** Slots and queue of one server. */
 export class WorkQueue {
   readonly #options: WorkQueueOptions;
   readonly #startedMs: number;
-  readonly #waiting: Waiting[] = [];
+  readonly #waiting: PendingRequest[] = [];
   readonly #runningIds = new Set<string>();
   readonly #cancelledIds = new Set<string>();
-  readonly #held: Waiting[] = [];
+  readonly #held: PendingRequest[] = [];
   #holdsRuns = false;
   /** Requests run this many times slower. */
   slowFactor = 1;
@@ -66,20 +66,20 @@
   }
 
   /** Fault control: while set, no run ends. */
-  holdRuns(holds: boolean): void {
+  setHoldRuns(holds: boolean): void {
     this.#holdsRuns = holds;
     if (holds) return;
     for (const work of this.#held.splice(0)) this.#finish(work);
   }
 
   /** Runs the request as soon as a slot is free, or refuses it. */
-  submit(request: ArrivedRequest): Promise<WorkResult> {
+  submit(request: IncomingRequest): Promise<WorkResult> {
     const refusal = this.#refusalOnArrival(request);
     if (refusal !== undefined) {
       return Promise.resolve(this.#refuse(request, refusal));
     }
     return new Promise((resolve) => {
-      this.#waiting.push({ request, finish: resolve });
+      this.#waiting.push({ request, resolve: resolve });
       this.#startWaiting();
     });
   }
@@ -99,18 +99,18 @@
       return "unknown";
     }
     this.#waiting.splice(index, 1);
-    waiting.finish(this.#refuse(waiting.request, "deadline"));
+    waiting.resolve(this.#refuse(waiting.request, "deadline"));
     return "removed";
   }
 
   #rememberCancelled(requestId: string): void {
     this.#cancelledIds.add(requestId);
-    if (this.#cancelledIds.size <= REMEMBERED_CANCELLATIONS) return;
+    if (this.#cancelledIds.size <= MAX_REMEMBERED_CANCELLATIONS) return;
     const oldest = this.#cancelledIds.values().next().value;
     if (oldest !== undefined) this.#cancelledIds.delete(oldest);
   }
 
-  #refusalOnArrival(request: ArrivedRequest): ServerRefusal | undefined {
+  #refusalOnArrival(request: IncomingRequest): ServerRefusal | undefined {
     const { settings } = this.#options;
     if (this.isDraining) return "draining";
     if (this.#isCold() && settings.coldMode === "refuse") return "cold";
@@ -122,7 +122,7 @@
   }
 
   #refusalNow(
-    request: ArrivedRequest,
+    request: IncomingRequest,
     nowMs: number,
   ): ServerRefusal | undefined {
     if (nowMs >= (request.deadlineMs ?? Infinity)) return "deadline";
@@ -130,21 +130,21 @@
     return this.#ownsKeyOf(request, nowMs) ? undefined : "not-owner";
   }
 
-  #ownsKeyOf(request: ArrivedRequest, nowMs: number): boolean {
+  #ownsKeyOf(request: IncomingRequest, nowMs: number): boolean {
     const { settings, ownership } = this.#options;
     if (!settings.keyed || !settings.checksFences) return true;
     if (request.slice === undefined || request.fence === undefined) {
       return false;
     }
-    return ownership.mayRun(request.slice as SliceId, request.fence, nowMs);
+    return ownership.mayStart(request.slice as SliceId, request.fence, nowMs);
   }
 
-  #mayTakeEffect(request: ArrivedRequest, nowMs: number): boolean {
+  #mayTakeEffect(request: IncomingRequest, nowMs: number): boolean {
     if (nowMs >= (request.effectDeadlineMs ?? Infinity)) return false;
     const { settings, ownership } = this.#options;
     if (!settings.keyed || !settings.checksFences) return true;
     const { slice, fence } = request;
-    return ownership.mayTakeEffect(slice as SliceId, fence!, nowMs);
+    return ownership.mayCommit(slice as SliceId, fence!, nowMs);
   }
 
   #startWaiting(): void {
@@ -154,16 +154,16 @@
       const nowMs = this.#options.clock.nowMs();
       const refusal = this.#refusalNow(next.request, nowMs);
       if (refusal === undefined) this.#run(next, nowMs);
-      else next.finish(this.#refuse(next.request, refusal));
+      else next.resolve(this.#refuse(next.request, refusal));
     }
   }
 
-  #run(work: Waiting, nowMs: number): void {
+  #run(work: PendingRequest, nowMs: number): void {
     const { request } = work;
-    const { ownership, journal, times } = this.#options;
+    const { ownership, journal, serviceTimes: times } = this.#options;
     this.#runningIds.add(request.requestId);
     if (request.slice !== undefined) ownership.begin(request.slice as SliceId);
-    journal.note("start", request, { nowMs });
+    journal.append("start", request, { nowMs });
     const coldFactor = this.#isCold()
       ? this.#options.settings.coldSlowFactor
       : 1;
@@ -171,7 +171,7 @@
     setTimeout(() => this.#finish(work), runMs);
   }
 
-  #finish(work: Waiting): void {
+  #finish(work: PendingRequest): void {
     if (this.#holdsRuns) {
       this.#held.push(work);
       return;
@@ -180,18 +180,18 @@
     const { ownership, journal, clock } = this.#options;
     const nowMs = clock.nowMs();
     const ownsStill = this.#mayTakeEffect(request, nowMs);
-    journal.note(ownsStill ? "end" : "abandoned", request, { nowMs });
+    journal.append(ownsStill ? "end" : "abandoned", request, { nowMs });
     this.#runningIds.delete(request.requestId);
     if (request.slice !== undefined) ownership.end(request.slice as SliceId);
-    work.finish(
+    work.resolve(
       ownsStill ? { kind: "ran" } : { kind: "refused", refusal: "not-owner" },
     );
     this.#startWaiting();
   }
 
-  #refuse(request: ArrivedRequest, refusal: ServerRefusal): WorkResult {
+  #refuse(request: IncomingRequest, refusal: ServerRefusal): WorkResult {
     const nowMs = this.#options.clock.nowMs();
-    this.#options.journal.note("refused", request, { nowMs, refusal });
+    this.#options.journal.append("refused", request, { nowMs, refusal });
     return { kind: "refused", refusal };
   }
 
--- a/packages/standins/src/bench/bench_cluster.ts
+++ b/packages/standins/src/bench/bench_cluster.ts
@@ -108,7 +108,7 @@
     const backend = this.#backends[index]!;
     backend.journals.push(...await this.#journalOf(backend));
     backend.program.kill("SIGKILL");
-    await backend.program.ended();
+    await backend.program.exited();
     const { server, zone } = backend;
     backend.program = await this.#startBackend({ server, zone }, {
       coldStartMs: COLD_START_MS,
@@ -141,7 +141,7 @@
       script,
       args: [JSON.stringify(argument)],
     });
-    const end = await caller.ended();
+    const end = await caller.exited();
     if (end.code === 0) return;
     throw new Error(
       `The caller process failed; its output was: ${caller.lines.join("\n")}`,
--- a/packages/standins/src/bench/bench_entry_main.ts
+++ b/packages/standins/src/bench/bench_entry_main.ts
@@ -13,7 +13,7 @@
 import { MonotonicClock, SystemRandom } from "guavatide/utils/clock";
 import { LifeCycle } from "guavatide/utils/life_cycle";
 import { createLog } from "guavatide/utils/log";
-import { PeerDoor } from "guavatide/vms/peer_door";
+import { PeerServer } from "guavatide/vms/peer_server";
 import { Hono } from "hono";
 import * as crypto from "node:crypto";
 import * as perf from "node:perf_hooks";
@@ -27,7 +27,7 @@
 class BenchEntry {
   readonly #argument: messages.EntryArgument;
   readonly #lifeCycle = new LifeCycle();
-  readonly #peerServer: PeerDoor;
+  readonly #peerServer: PeerServer;
   readonly #peers: BenchPeers;
   #setup: messages.EntrySetup | undefined;
   #addresses: ServerAddress[] = [];
@@ -36,7 +36,7 @@
 
   constructor(argument: messages.EntryArgument) {
     this.#argument = argument;
-    this.#peerServer = new PeerDoor({
+    this.#peerServer = new PeerServer({
       host: HOST,
       port: 0,
       secret: argument.secret,
@@ -52,7 +52,7 @@
       config: this.#config(),
       servers: this.#servers(),
       owners: NO_OWNERS,
-      links: new links.ConnectionPools(
+      connectionPools: new links.ConnectionPools(
         links.CONNECTION_POOLS_DEFAULTS,
         this.#lifeCycle,
       ),
@@ -63,8 +63,8 @@
       log: createLog({ format: "text", level: "warn" }),
       lifeCycle: this.#lifeCycle,
       metrics: this.#metrics(),
-      longestTimeoutMs: requests.REQUEST_DEFAULTS.longestTimeoutMs,
-      unfencedRunMs: 2_000,
+      maxTimeoutMs: requests.REQUEST_DEFAULTS.maxTimeoutMs,
+      unfencedTimeoutMs: 2_000,
       peers: this.#peers,
     });
     const listener = new requests.CallerListener({
--- a/packages/standins/src/bench/bench_peers.ts
+++ b/packages/standins/src/bench/bench_peers.ts
@@ -1,23 +1,23 @@
 /** Connections between the bench's entry processes, with a set delay. */
 import type * as contracts from "@guavatide/contracts";
-import type { PeerCallOptions, PeerCalls } from "guavatide/requests/peer_calls";
-import type { PeerDoor } from "guavatide/vms/peer_door";
-import { PeerLink } from "guavatide/vms/peer_link";
+import type { PeerCallOptions, PeerRpc } from "guavatide/requests/peer_rpc";
+import type { PeerServer } from "guavatide/vms/peer_server";
+import { PeerClient } from "guavatide/vms/peer_client";
 import * as crypto from "node:crypto";
 import type * as z from "zod";
 import * as serve from "../http/serve.ts";
 import type { EntryArgument, EntrySetup } from "./bench_messages.ts";
 
 /** Production peer connections to a fixed list of peers. */
-export class BenchPeers implements PeerCalls {
-  readonly self: PeerCalls["self"];
+export class BenchPeers implements PeerRpc {
+  readonly self: PeerRpc["self"];
   readonly #argument: EntryArgument;
-  readonly #peerServer: PeerDoor;
-  readonly #connections = new Map<contracts.VmId, PeerLink>();
+  readonly #peerServer: PeerServer;
+  readonly #connections = new Map<contracts.VmId, PeerClient>();
   #members: contracts.VmId[] = [];
   #sent = 0;
 
-  constructor(argument: EntryArgument, peerServer: PeerDoor) {
+  constructor(argument: EntryArgument, peerServer: PeerServer) {
     this.#argument = argument;
     this.#peerServer = peerServer;
     this.self = {
@@ -37,7 +37,7 @@
       if (this.#connections.has(vm)) continue;
       const address = { host: "127.0.0.1", port };
       const { secret } = this.#argument;
-      this.#connections.set(vm, new PeerLink(address, { secret }));
+      this.#connections.set(vm, new PeerClient(address, { secret }));
     }
   }
 
--- a/packages/standins/src/contract_tests/backend_control_cases.ts
+++ b/packages/standins/src/contract_tests/backend_control_cases.ts
@@ -12,23 +12,27 @@
 } from "@guavatide/contracts";
 import { expect } from "earl";
 import type { BackendFaults } from "../backend_server/settings.ts";
-import { type ContractCase, expectKind, valueOf } from "./contract_case.ts";
+import {
+  type ContractCase,
+  expectErrorKind,
+  expectOk,
+} from "./contract_case.ts";
 
 /** A server's control side and the control of its faults. */
-export interface BackendFixture {
+export interface BackendControlFixture {
   readonly control: BackendControl;
   setFaults(faults: BackendFaults): Promise<void>;
   drain(): Promise<void>;
 }
 
-type BackendCase = ContractCase<BackendFixture>;
+type BackendCase = ContractCase<BackendControlFixture>;
 
 const CALL = { timeoutMs: 10_000 };
 const SHORT_CALL = { timeoutMs: 60 };
 const LEASE_MS = 60_000;
 
 /** An order for the whole hash space, without a stamp. */
-export function firstOrder(revision: number): LeaseCommand {
+export function unstampedCommand(revision: number): LeaseCommand {
   return {
     service: "availability" as ServiceId,
     server: "s1" as ServerId,
@@ -44,7 +48,7 @@
 }
 
 /** The same order with the stamp of an earlier reply. */
-export function stamped(
+export function withStamp(
   order: LeaseCommand,
   reply: LeaseCommandReply,
 ): LeaseCommand {
@@ -56,16 +60,16 @@
   {
     name: "should accept an order only with its own stamp",
     async run({ control }) {
-      const first = valueOf(
-        await control.sendLeaseCommand(firstOrder(1), CALL),
+      const first = expectOk(
+        await control.sendLeaseCommand(unstampedCommand(1), CALL),
       );
       expect(first.accepted).toEqual(false);
-      const order = stamped(firstOrder(1), first);
-      const second = valueOf(await control.sendLeaseCommand(order, CALL));
+      const order = withStamp(unstampedCommand(1), first);
+      const second = expectOk(await control.sendLeaseCommand(order, CALL));
       expect(second.accepted).toEqual(true);
       expect(second.revision).toEqual(1);
       const foreign = { ...order, stampInstance: "another-run" };
-      expect(valueOf(await control.sendLeaseCommand(foreign, CALL)).accepted)
+      expect(expectOk(await control.sendLeaseCommand(foreign, CALL)).accepted)
         .toEqual(
           false,
         );
@@ -76,11 +80,11 @@
     async run({ control }) {
       // A keeper was paused with an order in hand and sends it on waking,
       // when another has already moved the keys.
-      const first = valueOf(
-        await control.sendLeaseCommand(firstOrder(5), CALL),
+      const first = expectOk(
+        await control.sendLeaseCommand(unstampedCommand(5), CALL),
       );
-      const stale = stamped(firstOrder(4), first);
-      const answer = valueOf(await control.sendLeaseCommand(stale, CALL));
+      const stale = withStamp(unstampedCommand(4), first);
+      const answer = expectOk(await control.sendLeaseCommand(stale, CALL));
       expect(answer.accepted).toEqual(false);
       expect(answer.revision).toEqual(5);
     },
@@ -90,26 +94,29 @@
     async run({ control }) {
       // An address was given to a new server while a keeper still used it for
       // the old one.
-      const order = { ...firstOrder(1), server: "s2" as ServerId };
-      expectKind(await control.sendLeaseCommand(order, CALL), "bad-answer");
+      const order = { ...unstampedCommand(1), server: "s2" as ServerId };
+      expectErrorKind(
+        await control.sendLeaseCommand(order, CALL),
+        "bad-answer",
+      );
     },
   },
   {
     name: "should say that it drains",
     async run({ control, drain }) {
       await drain();
-      const reply = valueOf(
-        await control.sendLeaseCommand(firstOrder(1), CALL),
+      const reply = expectOk(
+        await control.sendLeaseCommand(unstampedCommand(1), CALL),
       );
       expect(reply.draining).toEqual(true);
-      expect(valueOf(await control.load(CALL)).draining).toEqual(true);
+      expect(expectOk(await control.load(CALL)).draining).toEqual(true);
     },
   },
   {
     name: "should pass on a load report even when it misleads",
     async run({ control, setFaults }) {
       await setFaults({ load: { inFlight: 99, ageMs: 0, healthy: true } });
-      const report = valueOf(await control.load(CALL));
+      const report = expectOk(await control.load(CALL));
       expect(report.inFlight).toEqual(99);
     },
   },
@@ -117,11 +124,11 @@
     name: "should end a call that hangs by its deadline and recover",
     async run({ control, setFaults }) {
       await setFaults({ controlHangs: true });
-      expectKind(
-        await control.sendLeaseCommand(firstOrder(1), SHORT_CALL),
+      expectErrorKind(
+        await control.sendLeaseCommand(unstampedCommand(1), SHORT_CALL),
         "timeout",
       );
-      expectKind(await control.load(SHORT_CALL), "timeout");
+      expectErrorKind(await control.load(SHORT_CALL), "timeout");
       await setFaults({ controlHangs: false });
       expect((await control.load(CALL)).isOk()).toEqual(true);
     },
--- a/packages/standins/src/contract_tests/backend_work_cases.ts
+++ b/packages/standins/src/contract_tests/backend_work_cases.ts
@@ -7,8 +7,8 @@
 import { expect } from "earl";
 import type { JournalEntry } from "../backend_server/journal.ts";
 import type { BackendFaults } from "../backend_server/settings.ts";
-import { firstOrder, stamped } from "./backend_control_cases.ts";
-import { type ContractCase, valueOf } from "./contract_case.ts";
+import { unstampedCommand, withStamp } from "./backend_control_cases.ts";
+import { type ContractCase, expectOk } from "./contract_case.ts";
 
 /** What a work request was answered. */
 export interface WorkReply {
@@ -39,18 +39,21 @@
 type WorkCase = ContractCase<WorkFixture>;
 
 const CALL = { timeoutMs: 10_000 };
-const SLICE = firstOrder(1).slices[0]!.slice;
+const SLICE = unstampedCommand(1).slices[0]!.slice;
 const SHORT_LEASE_MS = 150;
 const LOOK_EVERY_MS = 2;
 const SEEN_WITHIN_MS = 10_000;
 
 async function own(fixture: WorkFixture): Promise<void> {
   const { control } = fixture;
-  const reply = valueOf(await control.sendLeaseCommand(firstOrder(1), CALL));
-  const order = stamped(firstOrder(1), reply);
-  expect(valueOf(await control.sendLeaseCommand(order, CALL)).accepted).toEqual(
-    true,
+  const reply = expectOk(
+    await control.sendLeaseCommand(unstampedCommand(1), CALL),
   );
+  const order = withStamp(unstampedCommand(1), reply);
+  expect(expectOk(await control.sendLeaseCommand(order, CALL)).accepted)
+    .toEqual(
+      true,
+    );
 }
 
 function headersOf(
@@ -78,7 +81,7 @@
 
 function untilInFlight(fixture: WorkFixture, count: number): Promise<void> {
   return until(async () =>
-    valueOf(await fixture.control.load(CALL)).inFlight === count
+    expectOk(await fixture.control.load(CALL)).inFlight === count
   );
 }
 
@@ -109,9 +112,9 @@
 async function startUnderShortLease(fixture: WorkFixture) {
   for (let attempt = 1;; attempt++) {
     const requestId = `short-${attempt}`;
-    const first = { ...firstOrder(1), leaseMs: SHORT_LEASE_MS };
-    const reply = valueOf(await fixture.control.sendLeaseCommand(first, CALL));
-    await fixture.control.sendLeaseCommand(stamped(first, reply), CALL);
+    const first = { ...unstampedCommand(1), leaseMs: SHORT_LEASE_MS };
+    const reply = expectOk(await fixture.control.sendLeaseCommand(first, CALL));
+    await fixture.control.sendLeaseCommand(withStamp(first, reply), CALL);
     const running = fixture.work({ headers: headersOf(requestId) });
     const refused = running.then(() => true);
     const started = untilInFlight(fixture, 1).then(() => false);
@@ -196,8 +199,8 @@
       const { running, behind } = await fillServer(fixture, {
         headers: headersOf("behind"),
       });
-      const taken = { ...firstOrder(2), slices: [] };
-      const reply = valueOf(
+      const taken = { ...unstampedCommand(2), slices: [] };
+      const reply = expectOk(
         await fixture.control.sendLeaseCommand(taken, CALL),
       );
       expect(reply.releasing).toEqual([{ slice: SLICE, inFlight: 1 }]);
@@ -229,8 +232,8 @@
       // The server was frozen with the request in its buffers. Time left
       // would count anew from waking; the moment on its own clock does not.
       await own(fixture);
-      const reply = valueOf(
-        await fixture.control.sendLeaseCommand(firstOrder(1), CALL),
+      const reply = expectOk(
+        await fixture.control.sendLeaseCommand(unstampedCommand(1), CALL),
       );
       const moments = [
         { requestId: "late", stamp: `${reply.instance}/${reply.stampMs - 1}` },
--- a/packages/standins/src/contract_tests/contract_case.ts
+++ b/packages/standins/src/contract_tests/contract_case.ts
@@ -9,13 +9,13 @@
 }
 
 /** The value of a call that must succeed. */
-export function valueOf<T>(result: Result<T, { message: string }>): T {
+export function expectOk<T>(result: Result<T, { message: string }>): T {
   if (result.isErr()) throw new Error(result.error.message);
   return result.value;
 }
 
 /** Checks that a call failed with this kind. */
-export function expectKind(
+export function expectErrorKind(
   result: Result<unknown, { kind: string }>,
   kind: string,
 ): void {
--- a/packages/standins/src/contract_tests/http_adapters_test.ts
+++ b/packages/standins/src/contract_tests/http_adapters_test.ts
@@ -20,7 +20,7 @@
 import * as serve from "../http/serve.ts";
 import { StoreApp } from "../platform_store/store_app.ts";
 import { getJson, originOf, postJson } from "../processes/mod.ts";
-import { RelayedLink } from "../relay/relayed_link.ts";
+import { TcpRelay } from "../relay/tcp_relay.ts";
 import { VmListApp } from "../vm_list/vm_list_app.ts";
 import { BACKEND_CONTROL_CASES } from "./backend_control_cases.ts";
 import {
@@ -28,7 +28,7 @@
   type WorkOptions,
   type WorkReply,
 } from "./backend_work_cases.ts";
-import { expectKind, valueOf } from "./contract_case.ts";
+import { expectErrorKind, expectOk } from "./contract_case.ts";
 import { PLATFORM_STORE_CASES } from "./platform_store_cases.ts";
 import { VM_LIST_CASES } from "./vm_list_cases.ts";
 
@@ -152,7 +152,7 @@
     // every call would time out although the store is up.
     const app = new StoreApp();
     const listening = await serve.listen(app.hono, { port: 0 });
-    const link = new RelayedLink({ host: "127.0.0.1", port: listening.port });
+    const link = new TcpRelay({ host: "127.0.0.1", port: listening.port });
     const store = new platform.HttpPlatformStore(
       originOf(await link.listen(0)),
     );
@@ -162,9 +162,9 @@
       while (app.counters.watch === 0) await serve.delay(1);
       link.setFaults({ mode });
       app.table.put("a", "1", { kind: "any" });
-      expectKind(await watching, "unavailable");
+      expectErrorKind(await watching, "unavailable");
       link.setFaults({ mode: "pass" });
-      const next = valueOf(await store.get("a", { timeoutMs: 10_000 }));
+      const next = expectOk(await store.get("a", { timeoutMs: 10_000 }));
       expect(next.value).toEqual("1");
     } finally {
       await store.close();
--- a/packages/standins/src/contract_tests/platform_store_cases.ts
+++ b/packages/standins/src/contract_tests/platform_store_cases.ts
@@ -12,7 +12,11 @@
 import { expect } from "earl";
 import type { StoreFaultSettings } from "../platform_store/store_faults.ts";
 import type { StoreCounters } from "../platform_store/store_app.ts";
-import { type ContractCase, expectKind, valueOf } from "./contract_case.ts";
+import {
+  type ContractCase,
+  expectErrorKind,
+  expectOk,
+} from "./contract_case.ts";
 
 /** An empty store and the control of its faults. */
 export interface StoreFixture {
@@ -37,18 +41,18 @@
   value: string,
 ): Promise<string> {
   const options = { ...CALL, condition: ANY };
-  return valueOf(await fixture.store.put(name, value, options));
+  return expectOk(await fixture.store.put(name, value, options));
 }
 
 async function read(
   fixture: StoreFixture,
   name: string,
 ): Promise<StoredObject> {
-  return valueOf(await fixture.store.get(name, CALL));
+  return expectOk(await fixture.store.get(name, CALL));
 }
 
 async function cursorOf(fixture: StoreFixture): Promise<string> {
-  return valueOf(await fixture.store.list("", CALL)).cursor;
+  return expectOk(await fixture.store.list("", CALL)).cursor;
 }
 
 const ORDINARY: readonly StoreCase[] = [
@@ -70,7 +74,7 @@
     async run(fixture) {
       const names = ["a/2", "b/1", "a/1", "a/odd name%2F é?#"];
       for (const name of names) await put(fixture, name, "{}");
-      const listed = valueOf(await fixture.store.list("a/", CALL));
+      const listed = expectOk(await fixture.store.list("a/", CALL));
       expect(listed.objects.map((object) => object.name)).toEqual([
         "a/1",
         "a/2",
@@ -81,9 +85,9 @@
   {
     name: "should tell a missing object from a missing answer",
     async run(fixture) {
-      expectKind(await fixture.store.get("none", CALL), "not-found");
+      expectErrorKind(await fixture.store.get("none", CALL), "not-found");
       const options = { ...CALL, condition: ANY };
-      expectKind(await fixture.store.delete("none", options), "not-found");
+      expectErrorKind(await fixture.store.delete("none", options), "not-found");
     },
   },
   {
@@ -96,7 +100,7 @@
       );
       const options = { ...CALL, condition: ANY };
       const over = await fixture.store.put("large", `${largest} `, options);
-      expectKind(over, "refused");
+      expectErrorKind(over, "refused");
     },
   },
   {
@@ -110,10 +114,10 @@
       });
       await put(fixture, "other", "{}");
       await put(fixture, "w/1", "{}");
-      const told = valueOf(await waiting);
+      const told = expectOk(await waiting);
       expect(told.events.map((event) => event.name)).toEqual(["w/1"]);
       await fixture.store.delete("w/1", { ...CALL, condition: ANY });
-      const next = valueOf(
+      const next = expectOk(
         await fixture.store.watch("w/", {
           ...CALL,
           cursor: told.cursor,
@@ -128,7 +132,7 @@
     async run(fixture) {
       const cursor = await cursorOf(fixture);
       const options = { ...CALL, cursor, waitMs: 20 };
-      const told = valueOf(await fixture.store.watch("w/", options));
+      const told = expectOk(await fixture.store.watch("w/", options));
       expect(told.events).toEqual([]);
       expect(told.reset).toEqual(false);
     },
@@ -173,7 +177,7 @@
       expect(winners.length).toEqual(1);
       expect((await read(fixture, "raced")).value).toEqual(winners[0]!);
       const losers = results.filter((result) => result.isErr());
-      for (const loser of losers) expectKind(loser, "conflict");
+      for (const loser of losers) expectErrorKind(loser, "conflict");
     },
   },
   {
@@ -185,10 +189,13 @@
       const stale = { kind: "version", version: old } as const;
       for (const condition of [ABSENT, stale]) {
         const options = { ...CALL, condition };
-        expectKind(await fixture.store.put("kept", "3", options), "conflict");
+        expectErrorKind(
+          await fixture.store.put("kept", "3", options),
+          "conflict",
+        );
       }
       const options = { ...CALL, condition: stale };
-      expectKind(await fixture.store.delete("kept", options), "conflict");
+      expectErrorKind(await fixture.store.delete("kept", options), "conflict");
       expect((await read(fixture, "kept")).version).toEqual(present);
     },
   },
@@ -204,7 +211,7 @@
       await fixture.setFaults({ loseRepliesOfWrites: 1 });
       const options = { ...CALL, condition: ABSENT };
       const result = await fixture.store.put("lost", "1", options);
-      expectKind(result, "unavailable");
+      expectErrorKind(result, "unavailable");
       expect((await read(fixture, "lost")).value).toEqual("1");
       expect((await fixture.counters()).put).toEqual(1);
     },
@@ -215,11 +222,17 @@
       // A proxy of the platform gives 5xx in place of an answer that it lost.
       const options = { ...CALL, condition: ABSENT };
       await fixture.setFaults({ failWritesAfterEffect: 1 });
-      expectKind(await fixture.store.put("a", "1", options), "unavailable");
+      expectErrorKind(
+        await fixture.store.put("a", "1", options),
+        "unavailable",
+      );
       expect((await read(fixture, "a")).value).toEqual("1");
       await fixture.setFaults({ failCalls: 1 });
-      expectKind(await fixture.store.put("b", "1", options), "unavailable");
-      expectKind(await fixture.store.get("b", CALL), "not-found");
+      expectErrorKind(
+        await fixture.store.put("b", "1", options),
+        "unavailable",
+      );
+      expectErrorKind(await fixture.store.get("b", CALL), "not-found");
     },
   },
   ...(["hang", "refuse"] as const).map((outage): StoreCase => ({
@@ -239,7 +252,7 @@
         store.delete("a", write),
         store.watch("a", watch),
       ]);
-      for (const result of results) expectKind(result, "unavailable");
+      for (const result of results) expectErrorKind(result, "unavailable");
       await fixture.setFaults({ outage: "none" });
       expect((await read(fixture, "a")).value).toEqual("1");
     },
@@ -249,7 +262,7 @@
     async run(fixture) {
       await put(fixture, "a", "1");
       await fixture.setFaults({ delayMs: 500 });
-      expectKind(await fixture.store.get("a", SHORT_CALL), "unavailable");
+      expectErrorKind(await fixture.store.get("a", SHORT_CALL), "unavailable");
       await fixture.setFaults({ delayMs: 0 });
       expect((await read(fixture, "a")).value).toEqual("1");
     },
@@ -264,7 +277,7 @@
         signal: controller.signal,
       });
       controller.abort();
-      expectKind(await call, "unavailable");
+      expectErrorKind(await call, "unavailable");
     },
   },
   {
@@ -276,8 +289,8 @@
       await fixture.setFaults({ watch: "silent" });
       await put(fixture, "w/1", "{}");
       const options = { ...SHORT_CALL, cursor, waitMs: 10 };
-      expectKind(await fixture.store.watch("w/", options), "unavailable");
-      const listed = valueOf(await fixture.store.list("w/", CALL));
+      expectErrorKind(await fixture.store.watch("w/", options), "unavailable");
+      const listed = expectOk(await fixture.store.list("w/", CALL));
       expect(listed.objects.length).toEqual(1);
     },
   },
@@ -291,9 +304,9 @@
       else await fixture.setFaults({ skipEvents: 1 });
       await put(fixture, "w/1", "{}");
       const options = { ...CALL, cursor, waitMs: 20 };
-      const told = valueOf(await fixture.store.watch("w/", options));
+      const told = expectOk(await fixture.store.watch("w/", options));
       expect(told.events).toEqual([]);
-      const listed = valueOf(await fixture.store.list("w/", CALL));
+      const listed = expectOk(await fixture.store.list("w/", CALL));
       expect(listed.objects.length).toEqual(1);
     },
   })),
@@ -305,7 +318,7 @@
       await put(fixture, "w/1", "{}");
       await fixture.setFaults({ forgetLog: true });
       const options = { ...CALL, cursor, waitMs: 9_000 };
-      const told = valueOf(await fixture.store.watch("w/", options));
+      const told = expectOk(await fixture.store.watch("w/", options));
       expect(told.reset).toEqual(true);
     },
   },
--- a/packages/standins/src/contract_tests/vm_list_cases.ts
+++ b/packages/standins/src/contract_tests/vm_list_cases.ts
@@ -2,7 +2,11 @@
 import type { ListedVm, VmList } from "@guavatide/contracts";
 import { expect } from "earl";
 import type { VmListFaults } from "../vm_list/vm_list_app.ts";
-import { type ContractCase, expectKind, valueOf } from "./contract_case.ts";
+import {
+  type ContractCase,
+  expectErrorKind,
+  expectOk,
+} from "./contract_case.ts";
 
 /** A list, the means to set it, and the control of its faults. */
 export interface VmListFixture {
@@ -31,7 +35,7 @@
     name: "should tell each line as it was set",
     async run({ list, set }) {
       await set([LINE]);
-      expect(valueOf(await list.fetch(CALL)).vms).toEqual([LINE]);
+      expect(expectOk(await list.fetch(CALL)).vms).toEqual([LINE]);
     },
   },
   {
@@ -41,9 +45,9 @@
       // list alone sends work to it.
       await setFaults({ lagMs: 60_000 });
       await set([LINE]);
-      expect(valueOf(await list.fetch(CALL)).vms).toEqual([]);
+      expect(expectOk(await list.fetch(CALL)).vms).toEqual([]);
       await setFaults({ lagMs: 0 });
-      expect(valueOf(await list.fetch(CALL)).vms).toEqual([LINE]);
+      expect(expectOk(await list.fetch(CALL)).vms).toEqual([LINE]);
     },
   },
   ...(["hang", "refuse"] as const).map((outage): VmListCase => ({
@@ -51,9 +55,9 @@
     async run({ list, set, setFaults }) {
       await set([LINE]);
       await setFaults({ outage });
-      expectKind(await list.fetch(SHORT_CALL), "unavailable");
+      expectErrorKind(await list.fetch(SHORT_CALL), "unavailable");
       await setFaults({ outage: "none" });
-      expect(valueOf(await list.fetch(CALL)).vms).toEqual([LINE]);
+      expect(expectOk(await list.fetch(CALL)).vms).toEqual([LINE]);
     },
   })),
 ];
--- a/packages/standins/src/deployment/first_publish.ts
+++ b/packages/standins/src/deployment/config_publish.ts
@@ -11,24 +11,24 @@
 const OPERATOR = "local-deployment";
 
 /** Writes the objects as drafts and publishes them. Errors: rejects. */
-export async function publishFirst(
+export async function publishInitial(
   store: contracts.PlatformStore,
   objects: readonly contracts.ConfigObject[],
 ): Promise<void> {
-  await publishMore(store, objects, { knownRevision: 0 });
+  await publishAdditional(store, objects, { knownRevision: 0 });
 }
 
-/** Options of {@link publishMore}. */
-export interface PublishMoreOptions {
+/** Options of {@link publishAdditional}. */
+export interface PublishAdditionalOptions {
   /** Highest revision known to be in force. */
   readonly knownRevision: number;
 }
 
 /** Adds objects and publishes; returns the revision. Errors: rejects. */
-export async function publishMore(
+export async function publishAdditional(
   store: contracts.PlatformStore,
   objects: readonly contracts.ConfigObject[],
-  options: PublishMoreOptions,
+  options: PublishAdditionalOptions,
 ): Promise<number> {
   const times = {
     store,
--- a/packages/standins/src/deployment/deployment_plan.ts
+++ b/packages/standins/src/deployment/deployment_plan.ts
@@ -83,7 +83,7 @@
 }
 
 /** The configuration objects that a plan stands for. */
-export function configObjectsOf(
+export function toConfigObjects(
   plan: DeploymentPlan,
 ): contracts.ConfigObject[] {
   const partner = plan.partner as contracts.PartnerId;
--- a/packages/standins/src/deployment/local_deployment.ts
+++ b/packages/standins/src/deployment/local_deployment.ts
@@ -13,7 +13,7 @@
 import * as url from "node:url";
 import type { BackendSettings } from "../backend_server/settings.ts";
 import * as processes from "../processes/mod.ts";
-import * as publishing from "./first_publish.ts";
+import * as publishing from "./config_publish.ts";
 import * as plans from "./deployment_plan.ts";
 
 const STOP_TIMEOUT_MS = 20_000;
@@ -22,7 +22,7 @@
 export const LOCAL_OPERATOR_TOKEN = "local-operator-token";
 
 /** A running entry VM. */
-export interface LocalEntry {
+export interface LocalEntryVm {
   readonly vm: contracts.VmId;
   readonly zone: contracts.ZoneId;
   program: processes.ChildProgram;
@@ -31,7 +31,7 @@
 
 /** A running backend server. */
 export interface LocalServer {
-  readonly argument: processes.BackendArgument;
+  readonly argument: processes.BackendSettingsInput;
   program: processes.ChildProgram;
   port: number;
 }
@@ -56,7 +56,7 @@
 /** All processes of one deployment. */
 export class LocalDeployment {
   readonly plan: plans.DeploymentPlan;
-  readonly entries = new Map<string, LocalEntry>();
+  readonly entries = new Map<string, LocalEntryVm>();
   readonly servers = new Map<string, LocalServer>();
   readonly #options: LocalDeploymentOptions;
   readonly #folder: string;
@@ -112,7 +112,9 @@
   }
 
   /** Starts a backend server and lists it. */
-  async startServer(argument: processes.BackendArgument): Promise<LocalServer> {
+  async startServer(
+    argument: processes.BackendSettingsInput,
+  ): Promise<LocalServer> {
     const program = await processes.startStandIn(
       "backend_server/backend_main",
       {
@@ -123,7 +125,7 @@
     );
     const server = { argument, program, port: program.port };
     this.servers.set(argument.server, server);
-    await this.listServer(argument.server, "live");
+    await this.addToVmList(argument.server, "live");
     return server;
   }
 
@@ -141,7 +143,7 @@
   }
 
   /** Puts a backend server on the VM list. */
-  async listServer(id: string, state: "live" | "leaving"): Promise<void> {
+  async addToVmList(id: string, state: "live" | "leaving"): Promise<void> {
     const { argument, port } = this.servers.get(id)!;
     const { server, service, zone } = argument;
     const listedPort = await this.#options.listedPortFor?.(id, port) ?? port;
@@ -159,15 +161,15 @@
   }
 
   /** Takes a VM or a backend server off the list. */
-  async dropFromList(id: string): Promise<void> {
+  async removeFromVmList(id: string): Promise<void> {
     await this.#changeList({ drop: [id] });
   }
 
   /** Starts an entry VM and lists it; a known one keeps its ports. */
-  async startEntry(vm: string, zone: string): Promise<LocalEntry> {
+  async startEntry(vm: string, zone: string): Promise<LocalEntryVm> {
     const program = await this.#runEntry(vm, zone);
     const ready = JSON.parse(program.readyLine) as { ready: wire.EntryPorts };
-    const entry: LocalEntry = {
+    const entry: LocalEntryVm = {
       vm: vm as contracts.VmId,
       zone: zone as contracts.ZoneId,
       program,
@@ -249,11 +251,11 @@
 
   async #publish(): Promise<void> {
     const store = new platform.HttpPlatformStore(this.storeUrl);
-    await publishing.publishFirst(store, plans.configObjectsOf(this.plan));
+    await publishing.publishInitial(store, plans.toConfigObjects(this.plan));
     await store.close();
   }
 
-  #serverArguments(): processes.BackendArgument[] {
+  #serverArguments(): processes.BackendSettingsInput[] {
     return this.plan.services.flatMap((service) =>
       Array.from({ length: service.servers }, (_, index) => ({
         server: `${service.name}-${index + 1}` as contracts.ServerId,
--- a/packages/standins/src/http/serve.ts
+++ b/packages/standins/src/http/serve.ts
@@ -22,7 +22,7 @@
 }
 
 /** A listening server. */
-export interface Listening {
+export interface HttpListener {
   readonly port: number;
   readonly server: http.Server;
   /** Closes the port and every connection. */
@@ -33,7 +33,7 @@
 export function listen(
   app: Hono<StandInEnv>,
   options: ListenOptions,
-): Promise<Listening> {
+): Promise<HttpListener> {
   return new Promise((resolve, reject) => {
     const server = serve({
       fetch: app.fetch,
@@ -91,7 +91,7 @@
 }
 
 /** Leaves a call without an answer; its connection stays open. */
-export function neverAnswer(): Response {
+export function leaveUnanswered(): Response {
   return RESPONSE_ALREADY_SENT;
 }
 
--- a/packages/standins/src/measure/request_main.ts
+++ b/packages/standins/src/measure/request_main.ts
@@ -98,7 +98,10 @@
 
 async function main(): Promise<void> {
   const deployment = await LocalDeployment.start({
-    plan: plans.scalePlan(plans.KAYFA, { entryVms: 1, maxServersPerService: 10 }),
+    plan: plans.scalePlan(plans.KAYFA, {
+      entryVms: 1,
+      maxServersPerService: 10,
+    }),
     entrySettings: { log: { format: "text", level: "error" } },
     backendSettings: {
       linkDelayMs: 0,
--- a/packages/standins/src/measure/slopes_main.ts
+++ b/packages/standins/src/measure/slopes_main.ts
@@ -158,7 +158,7 @@
     vm: SELF.vm,
     random: new SeededRandom(3),
   });
-  created.noteList(listedVms(vms), 0);
+  created.noteVmList(listedVms(vms), 0);
   for (const { vm } of listedVms(vms)) {
     const incarnation = `${vm}-3f0c2a52-9d5b` as contracts.Incarnation;
     created.noteReply(vm!, incarnation, { askedAtMs: 0, nowMs: 0 });
@@ -180,8 +180,8 @@
     let targetCount = 0;
     const heartbeats = 400;
     const sendHeartbeats = () => {
-      nowMs += membership.DEFAULT_MEMBERSHIP.beatMs;
-      const { targets } = members.beat(nowMs);
+      nowMs += membership.DEFAULT_MEMBERSHIP.heartbeatIntervalMs;
+      const { targets } = members.heartbeat(nowMs);
       targetCount += targets.length;
       for (const vm of targets) {
         const incarnation = `${vm}-3f0c2a52-9d5b` as contracts.Incarnation;
--- a/packages/standins/src/platform_store/object_table.ts
+++ b/packages/standins/src/platform_store/object_table.ts
@@ -103,7 +103,7 @@
   }
 
   /** Fault control: forgets the log, so that every watch is reset. */
-  forgetLog(): void {
+  compactLog(): void {
     this.#log = [];
     this.#sequence++;
     this.#firstTold = this.#sequence + 1;
--- a/packages/standins/src/platform_store/store_app.ts
+++ b/packages/standins/src/platform_store/store_app.ts
@@ -53,7 +53,7 @@
     if (parsed.data.skipEvents !== undefined) {
       this.table.skipEvents(parsed.data.skipEvents);
     }
-    if (parsed.data.forgetLog === true) this.table.forgetLog();
+    if (parsed.data.forgetLog === true) this.table.compactLog();
     return context.json({});
   }
 
@@ -65,7 +65,7 @@
     const outage = this.#outageAnswer(context);
     if (outage !== undefined) return outage;
     await serve.delay(this.faults.delayMs);
-    if (this.faults.takeFailure()) return context.text("failed", 503);
+    if (this.faults.consumeFailure()) return context.text("failed", 503);
     await next();
   }
 
@@ -74,7 +74,7 @@
       case "refuse":
         return serve.cutConnection(context);
       case "hang":
-        return serve.neverAnswer();
+        return serve.leaveUnanswered();
       case "none":
         return undefined;
     }
@@ -123,7 +123,7 @@
       case "written":
         break;
     }
-    const fault = this.faults.takeWriteReplyFault();
+    const fault = this.faults.consumeWriteReplyFault();
     if (fault === "lose") return serve.cutConnection(context);
     if (fault === "fail") return context.text("failed", 503);
     context.header("etag", `"${outcome.version}"`);
@@ -140,7 +140,7 @@
     await this.#waitForEvent(context, { prefix, cursor, waitMs });
     const outageSince = this.#outageAnswer(context);
     if (outageSince !== undefined) return outageSince;
-    if (this.faults.watch === "silent") return serve.neverAnswer();
+    if (this.faults.watch === "silent") return serve.leaveUnanswered();
     if (this.faults.watch === "empty") {
       return context.json({ cursor, events: [], reset: false });
     }
--- a/packages/standins/src/platform_store/store_faults.ts
+++ b/packages/standins/src/platform_store/store_faults.ts
@@ -58,7 +58,7 @@
   }
 
   /** Whether this call fails before it has any effect. */
-  takeFailure(): boolean {
+  consumeFailure(): boolean {
     const left = this.#settings.failCalls ?? 0;
     if (left === 0) return false;
     this.#settings = { ...this.#settings, failCalls: left - 1 };
@@ -66,7 +66,7 @@
   }
 
   /** What becomes of the reply of a write that took effect. */
-  takeWriteReplyFault(): WriteReplyFault {
+  consumeWriteReplyFault(): WriteReplyFault {
     const toLose = this.#settings.loseRepliesOfWrites ?? 0;
     if (toLose > 0) {
       this.#settings = { ...this.#settings, loseRepliesOfWrites: toLose - 1 };
--- a/packages/standins/src/processes/child_program.ts
+++ b/packages/standins/src/processes/child_program.ts
@@ -27,17 +27,17 @@
 }
 
 /** How a program ended. */
-export interface ProgramEnd {
+export interface ProgramExit {
   readonly code: number | null;
   readonly signal: NodeJS.Signals | null;
 }
 
-const running = new Set<childProcess.ChildProcess>();
+const runningChildren = new Set<childProcess.ChildProcess>();
 
 // A harness that fails half-way would otherwise leave its processes behind,
 // and every later figure on the machine would be taken beside them.
 process.on("exit", () => {
-  for (const child of running) child.kill("SIGKILL");
+  for (const child of runningChildren) child.kill("SIGKILL");
 });
 
 /** A running child process of ours. */
@@ -45,17 +45,17 @@
   readonly name: string;
   readonly #child: childProcess.ChildProcess;
   readonly #lines: string[] = [];
-  readonly #ended: Promise<ProgramEnd>;
+  readonly #ended: Promise<ProgramExit>;
   #readyLine = "";
-  #end: ProgramEnd | undefined;
+  #end: ProgramExit | undefined;
 
   private constructor(name: string, child: childProcess.ChildProcess) {
     this.name = name;
     this.#child = child;
-    running.add(child);
+    runningChildren.add(child);
     this.#ended = new Promise((resolve) => {
       child.once("close", (code, signal) => {
-        running.delete(child);
+        runningChildren.delete(child);
         this.#end = { code, signal };
         resolve(this.#end);
       });
@@ -104,18 +104,18 @@
     return (JSON.parse(this.#readyLine) as { port: number }).port;
   }
 
-  get hasEnded(): boolean {
+  get hasExited(): boolean {
     return this.#end !== undefined;
   }
 
   /** Resolves when the process has ended and its output is read. */
-  ended(): Promise<ProgramEnd> {
+  exited(): Promise<ProgramExit> {
     return this.#ended;
   }
 
   /** Sends a signal to this process alone. */
   kill(signal: NodeJS.Signals): void {
-    if (!this.hasEnded) this.#child.kill(signal);
+    if (!this.hasExited) this.#child.kill(signal);
   }
 
   /** Stops the process in its tracks: SIGSTOP. */
@@ -129,7 +129,7 @@
   }
 
   /** Asks the process to end; kills it after the deadline. */
-  async stop(timeoutMs: number): Promise<ProgramEnd> {
+  async stop(timeoutMs: number): Promise<ProgramExit> {
     this.kill("SIGTERM");
     this.wake();
     const timer = setTimeout(() => this.kill("SIGKILL"), timeoutMs);
--- a/packages/standins/src/processes/stand_ins.ts
+++ b/packages/standins/src/processes/stand_ins.ts
@@ -5,20 +5,20 @@
 import { ChildProgram } from "./child_program.ts";
 
 /** The stand-ins that run as processes of their own. */
-export type StandInKind =
+export type StandInScript =
   | "platform_store/store_main"
   | "vm_list/vm_list_main"
   | "backend_server/backend_main"
   | "relay/relay_main";
 
 /** Settings of a backend server; what is left out has its default. */
-export type BackendArgument =
+export type BackendSettingsInput =
   & Pick<BackendSettings, "server" | "service" | "zone">
   & Partial<BackendSettings>;
 
 /** Starts one stand-in with its JSON argument. */
 export function startStandIn(
-  kind: StandInKind,
+  kind: StandInScript,
   argument: object,
 ): Promise<ChildProgram> {
   const script = url.fileURLToPath(
--- a/packages/standins/src/proofs/caller_load.ts
+++ b/packages/standins/src/proofs/caller_load.ts
@@ -4,7 +4,7 @@
  */
 import * as contracts from "@guavatide/contracts";
 import * as undici from "undici";
-import type { WorkAnswer } from "../backend_server/backend_app.ts";
+import type { WorkResponseBody } from "../backend_server/backend_app.ts";
 import { OPERATION_HEADER } from "../backend_server/backend_app.ts";
 import {
   type CallerRecord,
@@ -152,7 +152,7 @@
   operationId: string,
 ): { server: string | undefined; isOwnAnswer: boolean } {
   try {
-    const answer = JSON.parse(text) as WorkAnswer;
+    const answer = JSON.parse(text) as WorkResponseBody;
     const isOwnAnswer = answer.operationId === operationId &&
       answer.filler.length === ANSWER_FILLER_BYTES;
     return { server: answer.server, isOwnAnswer };
--- a/packages/standins/src/proofs/config_marks.ts
+++ b/packages/standins/src/proofs/config_marks.ts
@@ -5,7 +5,7 @@
  */
 import * as contracts from "@guavatide/contracts";
 import * as platform from "guavatide/platform/mod";
-import { publishMore } from "../deployment/first_publish.ts";
+import { publishAdditional } from "../deployment/config_publish.ts";
 import { pause, type ProofCluster } from "./proof_cluster.ts";
 import { OPERATOR_TOKEN } from "./proof_plan.ts";
 
@@ -32,7 +32,7 @@
 
   /** Publishes a new mark; resolves when the store has acknowledged it. */
   async publish(mark: string): Promise<void> {
-    this.#revision = await publishMore(this.#store, objectsOf(mark), {
+    this.#revision = await publishAdditional(this.#store, objectsOf(mark), {
       knownRevision: this.#revision,
     });
     this.#published.push(mark);
--- a/packages/standins/src/proofs/given_up_request_test.ts
+++ b/packages/standins/src/proofs/given_up_request_test.ts
@@ -4,7 +4,7 @@
 import * as net from "node:net";
 import { test } from "node:test";
 import * as timers from "node:timers/promises";
-import { RelayedLink } from "../relay/relayed_link.ts";
+import { TcpRelay } from "../relay/tcp_relay.ts";
 
 /** Longer than held-back bytes or a reset take to arrive. */
 const ARRIVAL_MS = 200;
@@ -22,7 +22,7 @@
   });
   await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
   const { port } = server.address() as net.AddressInfo;
-  const relay = new RelayedLink({ host: "127.0.0.1", port });
+  const relay = new TcpRelay({ host: "127.0.0.1", port });
   const connection = new ServerConnection({
     host: "127.0.0.1",
     port: await relay.listen(0),
--- a/packages/standins/src/proofs/proof_cluster.ts
+++ b/packages/standins/src/proofs/proof_cluster.ts
@@ -107,7 +107,7 @@
   async killEntry(vm: string): Promise<void> {
     this.downVms.add(vm);
     this.entry(vm).kill("SIGKILL");
-    await this.entry(vm).ended();
+    await this.entry(vm).exited();
   }
 
   /** Restarts a killed entry VM without any of its former state. */
@@ -123,7 +123,7 @@
   /** Kills a backend server. */
   async killServer(id: string): Promise<void> {
     this.server(id).kill("SIGKILL");
-    await this.server(id).ended();
+    await this.server(id).exited();
   }
 
   /** Every stored object that the schema accepts. */
--- a/packages/standins/src/proofs/relays.ts
+++ b/packages/standins/src/proofs/relays.ts
@@ -1,6 +1,6 @@
 /** The relay process of a proof, with one relayed link for each target port. */
 import * as processes from "../processes/mod.ts";
-import type { RelayFaults } from "../relay/relayed_link.ts";
+import type { RelayFaults } from "../relay/tcp_relay.ts";
 
 /** Relayed links by name, opened on first use. */
 export class Relays {
--- a/packages/standins/src/proofs/shutdown_scenarios.ts
+++ b/packages/standins/src/proofs/shutdown_scenarios.ts
@@ -43,7 +43,7 @@
     async run(cluster) {
       await startLoads(cluster);
       const server = keyed ? await cluster.ownerOf(KEYS[0]!) : `${UNKEYED}-1`;
-      await cluster.deployment.listServer(server, "leaving");
+      await cluster.deployment.addToVmList(server, "leaving");
       const before = await cluster.untilNoNewWork(server);
       await cluster.untilAnswered(300);
       await cluster.untilServed();
--- a/packages/standins/src/proofs/silent_peer_test.ts
+++ b/packages/standins/src/proofs/silent_peer_test.ts
@@ -1,10 +1,10 @@
 import { expect } from "earl";
 import { LifeCycle } from "guavatide/utils/life_cycle";
-import { PeerDoor } from "guavatide/vms/peer_door";
-import { PeerLink } from "guavatide/vms/peer_link";
+import { PeerServer } from "guavatide/vms/peer_server";
+import { PeerClient } from "guavatide/vms/peer_client";
 import { test } from "node:test";
 import * as z from "zod";
-import { RelayedLink } from "../relay/relayed_link.ts";
+import { TcpRelay } from "../relay/tcp_relay.ts";
 
 const SECRET = "secret-of-the-peers";
 
@@ -14,12 +14,16 @@
     // looks open at both ends, but heartbeats over it get no answer. If it were
     // kept, each VM would consider the other failed although both run.
     const lifeCycle = new LifeCycle();
-    const server = new PeerDoor({ host: "127.0.0.1", port: 0, secret: SECRET });
+    const server = new PeerServer({
+      host: "127.0.0.1",
+      port: 0,
+      secret: SECRET,
+    });
     server.register("echo", z.string(), (text) => text);
     const port = await server.listen(lifeCycle);
-    const relay = new RelayedLink({ host: "127.0.0.1", port });
+    const relay = new TcpRelay({ host: "127.0.0.1", port });
     const relayPort = await relay.listen(0);
-    const connection = new PeerLink(
+    const connection = new PeerClient(
       { host: "127.0.0.1", port: relayPort },
       { secret: SECRET },
     );
--- a/packages/standins/src/relay/relay_app.ts
+++ b/packages/standins/src/relay/relay_app.ts
@@ -2,7 +2,7 @@
 import { type Context, Hono } from "hono";
 import * as z from "zod";
 import type * as serve from "../http/serve.ts";
-import { RelayedLink, relayFaultsSchema } from "./relayed_link.ts";
+import { relayFaultsSchema, TcpRelay } from "./tcp_relay.ts";
 
 type RelayContext = Context<serve.StandInEnv>;
 
@@ -16,7 +16,7 @@
 /** The routes of a relay process; a link is named by its port. */
 export class RelayApp {
   readonly hono = new Hono<serve.StandInEnv>();
-  readonly #links = new Map<string, RelayedLink>();
+  readonly #links = new Map<string, TcpRelay>();
 
   constructor() {
     this.hono.post("/links", (context) => this.#open(context));
@@ -35,7 +35,7 @@
     const parsed = newLinkSchema.safeParse(await context.req.json());
     if (!parsed.success) return context.text(parsed.error.message, 400);
     const { targetHost, targetPort } = parsed.data;
-    const link = new RelayedLink({ host: targetHost, port: targetPort });
+    const link = new TcpRelay({ host: targetHost, port: targetPort });
     const port = await link.listen(parsed.data.port);
     this.#links.set(String(port), link);
     return context.json({ port });
@@ -47,6 +47,6 @@
     const parsed = relayFaultsSchema.safeParse(await context.req.json());
     if (!parsed.success) return context.text(parsed.error.message, 400);
     link.setFaults(parsed.data);
-    return context.json({ connections: link.connections });
+    return context.json({ connections: link.connectionCount });
   }
 }
--- a/packages/standins/src/relay/relayed_link.ts
+++ b/packages/standins/src/relay/tcp_relay.ts
@@ -43,18 +43,18 @@
   readonly client: net.Socket;
   readonly target: net.Socket;
   /** Once silent or once a piece was lost, for good. */
-  readonly lost: Set<Direction>;
+  readonly blackholed: Set<Direction>;
   /** What waits for the end of a hold, in its order. */
-  held: HeldPiece[];
+  held: HeldChunk[];
 }
 
-interface HeldPiece {
+interface HeldChunk {
   readonly direction: Direction;
-  readonly handOn: () => void;
+  readonly deliver: () => void;
 }
 
 /** One listening port and its connections to one target. */
-export class RelayedLink {
+export class TcpRelay {
   readonly #target: RelayTarget;
   readonly #server: net.Server;
   readonly #connections = new Set<RelayedConnection>();
@@ -77,7 +77,7 @@
   }
 
   /** Connections open now. */
-  get connections(): number {
+  get connectionCount(): number {
     return this.#connections.size;
   }
 
@@ -105,7 +105,7 @@
     const connection: RelayedConnection = {
       client,
       target,
-      lost: new Set(),
+      blackholed: new Set(),
       held: [],
     };
     this.#connections.add(connection);
@@ -140,10 +140,10 @@
     direction: Direction,
     handOn: () => void,
   ): void {
-    if (this.#isMuted(direction)) connection.lost.add(direction);
-    if (connection.lost.has(direction)) return;
+    if (this.#isMuted(direction)) connection.blackholed.add(direction);
+    if (connection.blackholed.has(direction)) return;
     if (this.#faults.mode === "hold") {
-      connection.held.push({ direction, handOn });
+      connection.held.push({ direction, deliver: handOn });
       return;
     }
     const delayMs = this.#faults.delayMs ?? 0;
@@ -158,13 +158,13 @@
 
   #handOnAll(): void {
     for (const connection of this.#connections) {
-      for (const { handOn } of connection.held.splice(0)) handOn();
+      for (const { deliver: handOn } of connection.held.splice(0)) handOn();
     }
   }
 
   #silenceAll(): void {
     for (const connection of this.#connections) {
-      connection.lost.add("to-target").add("to-client");
+      connection.blackholed.add("to-target").add("to-client");
     }
   }
 
--- a/packages/standins/src/vm_list/vm_list_app.ts
+++ b/packages/standins/src/vm_list/vm_list_app.ts
@@ -49,7 +49,7 @@
   }
 
   /** The list as it is told now. */
-  told(): VmListSnapshot {
+  visibleSnapshot(): VmListSnapshot {
     const asOfMs = this.#clock.nowMs() - (this.#faults.lagMs ?? 0);
     const known = this.#history.filter((entry) => entry.sinceMs <= asOfMs);
     return known.at(-1)!.snapshot;
@@ -63,8 +63,8 @@
 
   #get(context: ListContext): Response {
     if (this.#faults.outage === "refuse") return serve.cutConnection(context);
-    if (this.#faults.outage === "hang") return serve.neverAnswer();
-    return context.json(this.told());
+    if (this.#faults.outage === "hang") return serve.leaveUnanswered();
+    return context.json(this.visibleSnapshot());
   }
 
   async #post(context: ListContext): Promise<Response> {
