--- a/packages/standins/src/proofs/given_up_request_test.ts
+++ b/packages/standins/src/proofs/given_up_request_test.ts
@@ -6,11 +6,15 @@
 import * as timers from "node:timers/promises";
 import { TcpRelay } from "../relay/tcp_relay.ts";
 
-/** Longer than what was held, or a reset, takes to arrive. */
+/** Longer than held-back bytes or a reset take to arrive. */
 const ARRIVAL_MS = 200;
 
-/** Guards against work on a request whose caller has long had an answer. */
-test("should not let a request that was given up arrive when its link heals", async () => {
+/**
+ * Guards against a server running a request after its caller was told that it
+ * timed out. It comes about when the network holds the bytes back and delivers
+ * them later.
+ */
+test("should not deliver an abandoned request after its connection heals", async () => {
   let arrivedBytes = 0;
   const server = net.createServer((socket) => {
     socket.on("error", () => {});
@@ -19,7 +23,7 @@
   await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
   const { port } = server.address() as net.AddressInfo;
   const relay = new TcpRelay({ host: "127.0.0.1", port });
-  const link = new ServerConnection({
+  const connection = new ServerConnection({
     host: "127.0.0.1",
     port: await relay.listen(0),
     connectTimeoutMs: 1_000,
@@ -29,7 +33,7 @@
   });
   try {
     relay.setFaults({ mode: "hold" });
-    const sent = link.send({
+    const sent = connection.send({
       id: "1" as contracts.RequestId,
       method: "GET",
       path: "/",
@@ -39,14 +43,14 @@
       onServerStamp: () => {},
     });
     await timers.setTimeout(ARRIVAL_MS);
-    link.abandon("timeout-after-send", "No answer before the deadline");
+    connection.abandon("timeout-after-send", "No answer before the deadline");
     expect((await sent).kind).toEqual("unknown");
     await timers.setTimeout(ARRIVAL_MS);
     relay.setFaults({ mode: "pass" });
     await timers.setTimeout(ARRIVAL_MS);
     expect(arrivedBytes).toEqual(0);
   } finally {
-    link.retire();
+    connection.retire();
     await relay.close();
     server.close();
   }
