--- a/packages/entry/src/loads/load_task.ts
+++ b/packages/entry/src/loads/load_task.ts
@@ -70,17 +70,15 @@
   }
 
   /** Counts one answered request. */
-  recordRequest(sample: KeyedRequestSample): void {
-    const slices = this.#ownership?.assignment(sample.service)?.slices;
+  recordRequest(work: KeyedRequestSample): void {
+    const slices = this.#ownership?.assignment(work.service)?.slices;
     if (slices === undefined) return;
-    const slice = slices[placement.findSlice(slices, sample.keyHash)];
+    const slice = slices[placement.findSlice(slices, work.keyHash)];
     if (slice === undefined) return;
     const { fromHash, toHash } = slice;
-    const tracker = this.#trackerOf(sample.service);
-    tracker.record({ fromHash, toHash, keyHash: sample.keyHash });
-    if (sample.hadFreeSlot) {
-      tracker.recordServiceTime(sample.server, sample.workMs);
-    }
+    const tracker = this.#trackerOf(work.service);
+    tracker.record({ fromHash, toHash, keyHash: work.keyHash });
+    if (work.hadFreeSlot) tracker.recordServiceTime(work.server, work.workMs);
   }
 
   /** Load estimates for the planner of a service. */
