--- a/packages/decisions/src/grants/fencing_releases_test.ts
+++ b/packages/decisions/src/grants/fencing_releases_test.ts
@@ -24,7 +24,7 @@
   return { range, oldOwner, isFencing: true };
 }
 
-/** Guards against a delayed grant with the old fence after a link recovers. */
+/** Guards against a delayed grant with the old fence after a connection recovers. */
 test("should retry until the old owner knows the next fence", () => {
   const fencing = new FencingReleases();
   fencing.add(fencingRelease(0, 9, 5), 1_000);
--- a/packages/decisions/src/grants/grant_model_test.ts
+++ b/packages/decisions/src/grants/grant_model_test.ts
@@ -13,7 +13,7 @@
 const STEP_MS = 10;
 const RUN_MS = 14_000;
 const TIMINGS = grants.DEFAULT_GRANT_TIMINGS;
-const LONG_HOLD_MS = 2_600;
+const LONG_LEASE_MS = 2_600;
 const STATUS_MS = 200;
 const QUARTER = KEY_COUNT / 4;
 const SAMPLE_KEYS = [0, 1, 2, 3].map((index) => index * QUARTER + 7);
@@ -28,7 +28,7 @@
   /** A fault: the first VM alone reaches the store, and it reaches no peer. */
   readonly isolateFirst?: boolean;
   /**
-   * A fault: the last VM reaches the servers, but no peer and not the store.
+   * A fault: the last VM reaches the servers, but neither a peer nor the store.
    */
   readonly isolateLast?: boolean;
 }
@@ -212,7 +212,7 @@
     if (this.nowMs - vm.statusMs >= STATUS_MS) this.#sendStatus(vm);
     if (!vm.hasReadMap) this.#read(vm);
     this.#renew(vm);
-    if (this.#isLeader(vm)) this.#move(vm);
+    if (this.#isLeader(vm)) this.#controlHandovers(vm);
   }
 
   #isLeader(vm: ModelVm): boolean {
@@ -343,7 +343,7 @@
     this.#after(TIMINGS.grantTimeoutMs, giveUp);
   }
 
-  #move(vm: ModelVm): void {
+  #controlHandovers(vm: ModelVm): void {
     const { controller } = vm;
     const tick = this.#tick();
     controller.checkAcknowledgements(this.nowMs, tick.removedVoters);
@@ -418,7 +418,7 @@
       plan: () => this.#plan(),
       nonce: () => String(this.#version),
       // Requests need longer leases in the second half of the run.
-      leaseMs: this.nowMs < RUN_MS / 2 ? TIMINGS.holdMs : LONG_HOLD_MS,
+      leaseMs: this.nowMs < RUN_MS / 2 ? TIMINGS.holdMs : LONG_LEASE_MS,
     };
   }
 
@@ -455,7 +455,7 @@
 const RUNS = Number(process.env["GRANT_MODEL_RUNS"] ?? 40);
 const SEED = Number(process.env["GRANT_MODEL_SEED"] ?? 1);
 
-function play(
+function runModels(
   faults: Faults,
   runs: number,
 ): { violations: number; moves: number } {
@@ -471,19 +471,19 @@
 }
 
 test("should never let two servers hold a key", () => {
-  const { violations, moves } = play({}, RUNS);
+  const { violations, moves } = runModels({}, RUNS);
   expect(violations).toEqual(0);
   expect(moves > RUNS * 5).toEqual(true);
 });
 
 /** Guards against two holders when only the leader reaches the store. */
 test("should not move keys without a reachable majority", () => {
-  expect(play({ isolateFirst: true }, 20).violations).toEqual(0);
+  expect(runModels({ isolateFirst: true }, 20).violations).toEqual(0);
 });
 
 /** Guards against renewals by a voter that reaches nothing but the servers. */
 test("should wait for a voter that is partitioned from its peers and the store", () => {
-  expect(play({ isolateLast: true }, 20).violations).toEqual(0);
+  expect(runModels({ isolateLast: true }, 20).violations).toEqual(0);
 });
 
 /**
@@ -501,6 +501,6 @@
 
 for (const [safeguard, faults] of DISABLED_SAFEGUARDS) {
   test(`should detect two holders without the safeguard that ${safeguard}`, () => {
-    expect(play(faults, 60).violations > 0).toEqual(true);
+    expect(runModels(faults, 60).violations > 0).toEqual(true);
   });
 }
--- a/packages/decisions/src/grants/grant_timings.ts
+++ b/packages/decisions/src/grants/grant_timings.ts
@@ -41,7 +41,7 @@
 /** Longest time from the end of a grant call until its lease has expired. */
 export function maxLeaseLifetimeMs(
   { transitMs, clockRateMargin }: GrantTimings,
-  holdMs: number,
+  leaseMs: number,
 ): number {
-  return transitMs + holdMs * (1 + clockRateMargin);
+  return transitMs + leaseMs * (1 + clockRateMargin);
 }
--- a/packages/decisions/src/grants/handover_wait.ts
+++ b/packages/decisions/src/grants/handover_wait.ts
@@ -19,7 +19,10 @@
   readonly map: contracts.RangeMap;
   readonly range: contracts.RangeState;
   readonly reports: VoterReports;
-  /** When a majority of each voter set was known to know the revision. */
+  /**
+   * When this VM learned that a majority of each voter set has acknowledged the
+   * revision.
+   */
   readonly acknowledgedAtMs: number | undefined;
   /** The release that the old owner answered. */
   readonly release: AnsweredRelease | undefined;
@@ -40,12 +43,15 @@
   if (release === undefined || isReleaseVoid(facts)) return expiredMs;
   // A release revokes a grant that was answered before it; an unanswered grant
   // may take effect after it.
-  const releasedMs = lastGrantEndMs(
+  const unansweredExpiredMs = lastGrantEndMs(
     facts,
     acknowledgedAtMs,
     "lastUnansweredMs",
   );
-  return Math.min(expiredMs, Math.max(release.answeredAtMs, releasedMs));
+  return Math.min(
+    expiredMs,
+    Math.max(release.answeredAtMs, unansweredExpiredMs),
+  );
 }
 
 /**
@@ -58,7 +64,7 @@
   const { server, revision } = range.vacating!;
   return [...new Set(map.keeperSets.flat())].some((vm) => {
     const report = reports.reportOf(vm);
-    // Leases granted by an unresponsive voter are waited for instead.
+    // For an unresponsive voter, the expiry of its leases is awaited instead.
     if (report === undefined || report.revision < revision) return false;
     const endMs = report.lastGrantMs.get(server) ?? Number.NEGATIVE_INFINITY;
     return endMs >= release.sentAtMs;
--- a/packages/decisions/src/grants/lost_servers.ts
+++ b/packages/decisions/src/grants/lost_servers.ts
@@ -5,8 +5,8 @@
 const QUARANTINE_MIN_MS = 3_000;
 /**
  * Upper limit of the quarantine, which doubles with each further loss: a server
- * that reaches the store but not the VMs stays registered, and would be given
- * keys over and over.
+ * that reaches the store but not the VMs stays registered, and would be
+ * assigned keys again and again.
  */
 const QUARANTINE_MAX_MS = 24_000;
 /** A loss is forgotten after this time. */
@@ -36,7 +36,7 @@
   ): contracts.ServerId[] {
     const newlyLost: contracts.ServerId[] = [];
     const reported = new Set(
-      [...this.#unresponsiveByVm.values()].flatMap((it) => [...it]),
+      [...this.#unresponsiveByVm.values()].flatMap((names) => [...names]),
     );
     for (const name of reported) {
       const server = name as contracts.ServerId;
--- a/packages/decisions/src/grants/range_planner.ts
+++ b/packages/decisions/src/grants/range_planner.ts
@@ -217,7 +217,7 @@
 interface RebalancePair {
   readonly hot: contracts.ServerId;
   readonly cold: contracts.ServerId;
-  /** Utilization up to which the cold server may be filled. */
+  /** Utilization up to which the cold (less loaded) server may be filled. */
   readonly level: number;
 }
 
--- a/packages/decisions/src/grants/release_call.ts
+++ b/packages/decisions/src/grants/release_call.ts
@@ -8,6 +8,9 @@
 export interface ReleaseCall {
   readonly range: contracts.RangeState;
   readonly oldOwner: NonNullable<contracts.RangeState["vacating"]>;
-  /** The next owner has the keys already; the call only tells the new fence. */
+  /**
+   * Whether the keys have already been granted to the next owner, so that the
+   * call only passes the new fencing token to the old one.
+   */
   readonly isFencing?: boolean;
 }
--- a/packages/decisions/src/grants/voter_selection.ts
+++ b/packages/decisions/src/grants/voter_selection.ts
@@ -47,7 +47,7 @@
 }
 
 /**
- * Time without a message that this process has witnessed itself. Without the
+ * Time without a message, at most the uptime of this process. Without the
  * limit, a process that has just started would remove live voters.
  */
 function unresponsiveMs(
