--- a/packages/decisions/src/admission/server_load.ts
+++ b/packages/decisions/src/admission/server_load.ts
@@ -117,7 +117,7 @@
     return 1 + (slowdownRatio - 1) * weight;
   }
 
-  /** A request is sent. The returned function records its outcome. */
+  /** Records that a request is sent. The returned function takes its outcome. */
   startRequest(nowMs: number): (outcome: SendOutcome, nowMs: number) => void {
     const sent = { atMs: nowMs };
     this.#inFlight.add(sent);
--- a/packages/decisions/src/admission/service_queue.ts
+++ b/packages/decisions/src/admission/service_queue.ts
@@ -159,7 +159,7 @@
 
   /** Sends, queues or refuses a request; calls its `placed` or `refused`. */
   add(request: WaitingRequest, nowMs: number): void {
-    if (this.#tryPlace(request, nowMs)) return;
+    if (this.#trySend(request, nowMs)) return;
     // Its coordinator decides whether it can be answered in time.
     if (this.#awaitsSlot(request, nowMs)) return this.#insert(request);
     const reason = this.#blockedBy(request, nowMs);
@@ -186,7 +186,7 @@
     const index = this.#waiting.indexOf(request);
     if (index < 0) return;
     this.#waiting.splice(index, 1);
-    if (!this.#tryPlace(request, nowMs)) this.#insert(request);
+    if (!this.#trySend(request, nowMs)) this.#insert(request);
   }
 
   /** Refuses a request that a coordinator refused. */
@@ -207,7 +207,7 @@
       // Routes to one destination may be allowed different numbers of its
       // slots.
       const group = `${this.#destinationOf(request)} ${request.route.name}`;
-      if (!full.has(group) && this.#tryPlace(request, nowMs)) {
+      if (!full.has(group) && this.#trySend(request, nowMs)) {
         this.#order.recordSent(request, queued);
         continue;
       }
@@ -216,7 +216,7 @@
       if (isFull) full.add(group);
       rest.push(request);
     }
-    // A request that was placed may have ended already and queued others.
+    // A request that was sent may have ended already and queued others.
     this.#waiting = [...rest, ...this.#waiting];
   }
 
@@ -260,7 +260,7 @@
       : keyed.ownerOf(request.key);
   }
 
-  #tryPlace(request: WaitingRequest, nowMs: number): boolean {
+  #trySend(request: WaitingRequest, nowMs: number): boolean {
     const owner = this.#ownerOf(request);
     return owner === undefined
       ? this.#tryAny(request, nowMs)
--- a/packages/decisions/src/admission/service_queue_test.ts
+++ b/packages/decisions/src/admission/service_queue_test.ts
@@ -33,7 +33,7 @@
   };
 }
 
-/** A request that records whether it was placed or refused. */
+/** A request that records whether it was sent or refused. */
 class Request implements admission.WaitingRequest {
   readonly route: contracts.Route;
   readonly key: number | undefined;
@@ -107,7 +107,7 @@
     return request;
   }
 
-  /** Adds a request and starts it at the server that it is placed on. */
+  /** Adds a request and starts it at the server that it is sent to. */
   start(
     options: ConstructorParameters<typeof Request>[1] = {},
   ): [Request, (end: admission.SendOutcome, nowMs: number) => void] {
@@ -157,7 +157,7 @@
   const high = fixture.add({ priority: 0 });
   endFirst({ kind: "answered", isFailure: false }, fixture.nowMs);
   endSecond({ kind: "answered", isFailure: false }, fixture.nowMs);
-  // Each request that is placed uses capacity again.
+  // Each request that is sent uses capacity again.
   const placed: Request[] = [];
   for (const request of [low, high]) {
     request.placed = (placement) => {
--- a/packages/decisions/src/admission/slot_client.ts
+++ b/packages/decisions/src/admission/slot_client.ts
@@ -33,12 +33,15 @@
     server: SlotServer,
     unresponsive: ReadonlySet<contracts.VmId>,
   ) => contracts.VmId | undefined;
-  /** There are messages to send. */
+  /** Called when there are messages to send. */
   readonly onMessage: () => void;
-  /** A request has a slot, or its coordinator failed: try to place it. */
+  /**
+   * Called when a request was granted a slot or its coordinator failed, so that
+   * the request can be tried again.
+   */
   readonly onGranted: (request: WaitingRequest) => void;
   readonly onRefused: (request: WaitingRequest, refusal: Refusal) => void;
-  /** A coordinator is unresponsive and excluded for a while. */
+  /** Called when a coordinator is unresponsive and excluded for a while. */
   readonly onUnresponsive: (coordinator: contracts.VmId) => void;
 }
 
@@ -103,7 +106,7 @@
     return open.state === "given";
   }
 
-  /** A request is sent in its slot. The returned function releases the slot. */
+  /** Notes that a request uses its slot. The returned function releases it. */
   markInUse(request: WaitingRequest): (tookMs: number | undefined) => void {
     const open = this.#open.get(request);
     if (open === undefined) return () => {};
--- a/packages/decisions/src/admission/waiting_request.ts
+++ b/packages/decisions/src/admission/waiting_request.ts
@@ -45,13 +45,13 @@
 export interface SlotSource {
   /** Whether the request has a slot at the server; requests one if not. */
   tryAcquire(request: WaitingRequest, load: ServerLoad, nowMs: number): boolean;
-  /** The request is sent in its slot. The returned function releases it. */
+  /** Notes that a request uses its slot. The returned function releases it. */
   markInUse(request: WaitingRequest): (tookMs: number | undefined) => void;
   /** Cancels the slot request, or releases the slot if it was granted. */
   cancel(request: WaitingRequest): void;
 }
 
-/** The fields of a route by which its requests are ordered and placed. */
+/** The fields of a route by which its requests are ordered and sent. */
 export type PrioritizedRoute = Pick<
   contracts.Route,
   "name" | "priority" | "targetLatencyMs" | "homeRegions"
@@ -70,8 +70,8 @@
   readonly answerByMs: number;
   /** Servers that it was already sent to. */
   readonly tried: ReadonlySet<contracts.ServerId>;
-  /** The request is to be sent. */
+  /** Called when the request is to be sent to the chosen server. */
   placed(placement: Placement): void;
-  /** The request is not sent; it has left the queue. */
+  /** Called when the request is refused; it has left the queue. */
   refused(refusal: Refusal): void;
 }
