--- a/packages/decisions/src/ownership/assignment_tracker.ts
+++ b/packages/decisions/src/ownership/assignment_tracker.ts
@@ -21,7 +21,7 @@
   readonly requestedAtMs: number;
 }
 
-/** Time of a confirmation that never took place. */
+/** Time of a confirmation that does not exist. */
 export const NEVER_MS = Number.NEGATIVE_INFINITY;
 
 /** Number of members that form a majority of a set. */
@@ -110,7 +110,7 @@
     if (isLater || assignment.revision > (this.#storeReply?.revision ?? 0)) {
       this.#storeReply = {
         revision: assignment.revision,
-        requestedAtMs: requestedAtMs,
+        requestedAtMs,
       };
     }
     return isNewer;
@@ -171,7 +171,7 @@
     if (confirming.length >= required) this.#mayVote = true;
   }
 
-  /** Only voters confirm; the other VMs come and go. */
+  /** Only voters confirm; other VMs are added and removed over time. */
   #dropNonVoters({ keeperSets }: contracts.Assignment): void {
     const voters = new Set(keeperSets.flat().map(({ vm }) => vm));
     for (const vm of this.#voterReplies.keys()) {
--- a/packages/decisions/src/ownership/cluster_serving_test.ts
+++ b/packages/decisions/src/ownership/cluster_serving_test.ts
@@ -27,10 +27,10 @@
   const cluster = new SimulatedCluster({
     seed: 2,
     faults: [
-      ...[0, 1, 2].map((keeper) => ({
+      ...[0, 1, 2].map((voter) => ({
         kind: "cut-store" as const,
         atMs: 1_500,
-        keeper,
+        keeper: voter,
         forMs: 60_000,
       })),
       { kind: "pause-keeper", atMs: 2_000, keeper: 0, forMs: 60_000 },
@@ -44,16 +44,16 @@
 // Every entry VM restarts in turn during a long outage of the store. Each has
 // lost its state, learns it from the others, and keys stay served.
 test("should keep serving while voters restart with the store unavailable", () => {
-  const cuts = [0, 1, 2].map((keeper): Fault => ({
+  const cuts = [0, 1, 2].map((voter): Fault => ({
     kind: "cut-store",
     atMs: 1_500,
-    keeper,
+    keeper: voter,
     forMs: 60_000,
   }));
-  const restarts = [0, 1, 2, 0, 1, 2].map((keeper, index): Fault => ({
+  const restarts = [0, 1, 2, 0, 1, 2].map((voter, index): Fault => ({
     kind: "restart-keeper",
     atMs: 2_000 + index * 1_000,
-    keeper,
+    keeper: voter,
   }));
   const cluster = new SimulatedCluster({
     seed: 3,
--- a/packages/decisions/src/ownership/leader_lease.ts
+++ b/packages/decisions/src/ownership/leader_lease.ts
@@ -154,7 +154,7 @@
       );
       return;
     }
-    // Only a read tells who is the leader now; after a lost reply it may be
+    // Only a read shows who is the leader now; after a lost reply it may be
     // this VM.
     this.#latest = undefined;
     if (write.kind === "unavailable") return this.#retryLater(nowMs, random);
--- a/packages/decisions/src/ownership/ownership_model_test.ts
+++ b/packages/decisions/src/ownership/ownership_model_test.ts
@@ -21,13 +21,13 @@
 
 const atMs = fc.integer({ min: 500, max: 6_000 });
 const forMs = fc.integer({ min: 50, max: 3_000 });
-const keeper = fc.integer({ min: 0, max: VOTERS - 1 });
+const voter = fc.integer({ min: 0, max: VOTERS - 1 });
 const server = fc.integer({ min: 0, max: SERVERS - 1 });
 const slice = fc.integer({ min: 0, max: SLICES - 1 });
 const move = fc.record({
   kind: fc.constant("move" as const),
   atMs,
-  keeper,
+  keeper: voter,
   slice,
   to: server,
 });
@@ -41,21 +41,21 @@
 
 const anyFault: fc.Arbitrary<Fault> = fc.oneof(
   { weight: 4, arbitrary: move },
-  faultOf("restart-keeper", { keeper }),
-  faultOf("pause-keeper", { keeper, forMs }),
+  faultOf("restart-keeper", { keeper: voter }),
+  faultOf("pause-keeper", { keeper: voter, forMs }),
   faultOf("restart-server", { server }),
   faultOf("pause-server", { server, forMs }),
-  faultOf("cut-store", { keeper, forMs }),
+  faultOf("cut-store", { keeper: voter, forMs }),
   faultOf("lose-store-replies", { forMs }),
-  faultOf("cut-peers", { keeper, forMs }),
-  faultOf("cut-server", { keeper, server, forMs }),
+  faultOf("cut-peers", { keeper: voter, forMs }),
+  faultOf("cut-server", { keeper: voter, server, forMs }),
   faultOf("split", {
     forMs,
     side: fc.uniqueArray(fc.integer({ min: 0, max: 4 }), { maxLength: 4 }),
   }),
   faultOf("slow", { forMs, delayMs: fc.integer({ min: 50, max: 1_500 }) }),
-  faultOf("timings", { keeper }),
-  faultOf("keepers", { keeper, set: fc.integer({ min: 0, max: 4 }) }),
+  faultOf("timings", { keeper: voter }),
+  faultOf("keepers", { keeper: voter, set: fc.integer({ min: 0, max: 4 }) }),
 ) as fc.Arbitrary<Fault>;
 
 const anyScenario: fc.Arbitrary<Scenario> = fc.record({
@@ -172,16 +172,16 @@
   to: 1,
 };
 
-/** Voter `keeper` can't reach these servers from `atMs` on. */
+/** Voter `voterIndex` can't reach these servers from `atMs` on. */
 function cutFromServers(
-  keeper: number,
+  voterIndex: number,
   atMs: number,
   servers: number[],
 ): Fault[] {
   return servers.map((server) => ({
     kind: "cut-server",
     atMs,
-    keeper,
+    keeper: voterIndex,
     server,
     forMs: LONG_MS,
   }));
@@ -217,7 +217,7 @@
     withoutSafeguard: { isLeaseFromArrival: true },
     faults: [
       { kind: "pause-server", atMs: 1_500, server: 0, forMs: 3_500 },
-      ...[0, 1, 2].flatMap((keeper) => cutFromServers(keeper, 1_960, [0])),
+      ...[0, 1, 2].flatMap((index) => cutFromServers(index, 1_960, [0])),
       startMove,
     ],
   },
@@ -266,10 +266,10 @@
     withoutSafeguard: { controllerClass: AcksAcrossRestartsController },
     voters: 5,
     faults: [
-      ...[1, 2, 3, 4].map((keeper): Fault => ({
+      ...[1, 2, 3, 4].map((index): Fault => ({
         kind: "cut-store",
         atMs: 1_950,
-        keeper,
+        keeper: index,
         forMs: LONG_MS,
       })),
       ...cutFromServers(0, 1_950, [0]),
--- a/packages/decisions/src/ownership/revision_ack_tracker.ts
+++ b/packages/decisions/src/ownership/revision_ack_tracker.ts
@@ -59,13 +59,14 @@
       incarnation,
       revision: highest,
       firstAckAtMs,
-      lastRequestedAtMs: lastRequestedAtMs,
+      lastRequestedAtMs,
     });
   }
 
   /**
-   * VMs that the platform's list has not contained for so long that their
-   * processes are gone for good: they cannot confirm anything any more.
+   * Sets the VMs that count as removed for good, because the platform's list
+   * has not contained them for a long time: they cannot confirm anything any
+   * more.
    */
   noteRemovedVms(vms: ReadonlySet<contracts.VmId>): void {
     this.#removedVms = vms;
--- a/packages/decisions/src/ownership/simulated_cluster_test.ts
+++ b/packages/decisions/src/ownership/simulated_cluster_test.ts
@@ -231,7 +231,7 @@
             vm,
             incarnation,
             revision,
-            requestedAtMs: requestedAtMs,
+            requestedAtMs,
             nowMs,
           });
         });
--- a/packages/decisions/src/ownership/timings_expiry.ts
+++ b/packages/decisions/src/ownership/timings_expiry.ts
@@ -1,5 +1,5 @@
 /**
- * Tells when earlier lease timings of an assignment may be dropped: when no
+ * Decides when earlier lease timings of an assignment may be dropped: when no
  * lease that was granted by them can be left. For that, a quorum of every voter
  * set has acknowledged a revision that lists the newer ones, and the longest
  * lease has expired since.
--- a/packages/decisions/src/ownership/unfenced_request_tracker.ts
+++ b/packages/decisions/src/ownership/unfenced_request_tracker.ts
@@ -40,7 +40,7 @@
     const last = this.#reports.get(report.vm);
     const isSameIncarnation = last?.report.incarnation === report.incarnation;
     const firstSeenMs = isSameIncarnation ? last!.firstSeenMs : report.nowMs;
-    this.#reports.set(report.vm, { report, firstSeenMs: firstSeenMs });
+    this.#reports.set(report.vm, { report, firstSeenMs });
   }
 
   /** Drops VMs that are no longer members. */
--- a/packages/decisions/src/ownership/voter_selection.ts
+++ b/packages/decisions/src/ownership/voter_selection.ts
@@ -3,7 +3,7 @@
 import type { KeyHasher } from "./key_hasher.ts";
 import { rendezvousOrder } from "./rendezvous_order.ts";
 
-/** Most voters of one service: four of them may fail at once. */
+/** Maximum voters of one service; four of them may fail at once. */
 export const MAX_VOTERS = 9;
 
 /** Options of {@link chooseVoters}. */
