--- a/packages/decisions/src/cells/reader_election.ts
+++ b/packages/decisions/src/cells/reader_election.ts
@@ -62,7 +62,7 @@
   readonly #vm: contracts.VmId;
   readonly #readers = new Map<contracts.VmId, KnownReader>();
   #isReader = false;
-  #understaffedSinceMs: number | undefined;
+  #tooFewSinceMs: number | undefined;
   #topRankedSinceMs: number | undefined;
   #notBeforeMs = Number.NEGATIVE_INFINITY;
 
@@ -87,9 +87,7 @@
   /** Other readers whose last report has not timed out. */
   activeReaders(nowMs: number): KnownReader[] {
     return [...this.#readers.values()]
-      .filter(({ receivedAtMs: receivedAtMs }) =>
-        nowMs - receivedAtMs < READER_TIMEOUT_MS
-      );
+      .filter(({ receivedAtMs }) => nowMs - receivedAtMs < READER_TIMEOUT_MS);
   }
 
   /**
@@ -97,7 +95,7 @@
    */
   storeHealthyMs(nowMs: number): number {
     const healthyMs = this.activeReaders(nowMs)
-      .map(({ receivedAtMs: receivedAtMs, storeCalmMs }) =>
+      .map(({ receivedAtMs, storeCalmMs }) =>
         storeCalmMs + nowMs - receivedAtMs
       );
     return Math.max(0, ...healthyMs);
@@ -144,17 +142,17 @@
   /** Whether readers have been missing for longer than this VM's delay. */
   #isDelayOver(view: ReaderView, active: readonly KnownReader[]): boolean {
     if (active.length >= READERS) {
-      this.#understaffedSinceMs = undefined;
+      this.#tooFewSinceMs = undefined;
       return false;
     }
     if (view.uptimeMs < MIN_UPTIME_MS && !view.isSeed) return false;
-    this.#understaffedSinceMs ??= view.nowMs;
+    this.#tooFewSinceMs ??= view.nowMs;
     const names = new Set(active.map(({ vm }) => vm));
     const otherVms = view.ranking.filter((vm) => !names.has(vm));
     const position = Math.max(0, otherVms.indexOf(this.#vm));
     const missing = READERS - active.length;
     const waitMs = STAGGER_MS * Math.max(0, position + 1 - missing);
-    return view.nowMs - this.#understaffedSinceMs >= waitMs;
+    return view.nowMs - this.#tooFewSinceMs >= waitMs;
   }
 
   /** Whether this VM has been among the top ranks for long enough. */
@@ -169,7 +167,7 @@
   }
 
   #dropExpired(nowMs: number): void {
-    for (const [vm, { receivedAtMs: receivedAtMs }] of this.#readers) {
+    for (const [vm, { receivedAtMs }] of this.#readers) {
       if (nowMs - receivedAtMs >= READER_TIMEOUT_MS) this.#readers.delete(vm);
     }
   }
