--- a/packages/decisions/src/membership/effects.ts
+++ b/packages/decisions/src/membership/effects.ts
@@ -55,7 +55,7 @@
   readonly vm: contracts.VmId;
 }
 
-/** A request to `to` for when it last had a sign of life of `about`. */
+/** Asks `to` when it last had a sign of life of `about`. */
 export interface IndirectProbe {
   readonly to: contracts.VmId;
   readonly about: contracts.VmId;
--- a/packages/decisions/src/membership/member.ts
+++ b/packages/decisions/src/membership/member.ts
@@ -3,7 +3,7 @@
 
 /**
  * `alive`: has given a sign of life since it was last probed. `suspect`: left a
- * probe unanswered, or is in the VM list and was never heard from. `lost`:
+ * probe unanswered, or is in the VM list and never sent a message. `lost`:
  * unresponsive for longer, sooner if another VM confirms it. `left`: it or the
  * VM list announced that it leaves.
  */
@@ -12,7 +12,7 @@
 /** Where an entry VM listens for its peers. */
 export interface MemberAddress {
   readonly zone: contracts.ZoneId;
-  /** IP number. */
+  /** IP address. */
   readonly host: string;
   readonly peerPort: number;
 }
@@ -23,7 +23,7 @@
   /** Undefined until the first message of the VM. */
   readonly incarnation: contracts.Incarnation | undefined;
   readonly state: MemberState;
-  /** It answers this VM's heartbeats; false when only its own ones arrive. */
+  /** Whether it answers this VM's heartbeats, and not only sends its own. */
   readonly reachable: boolean;
   /** Whether it is in the VM list. */
   readonly listed: boolean;
--- a/packages/decisions/src/membership/membership.ts
+++ b/packages/decisions/src/membership/membership.ts
@@ -1,6 +1,6 @@
 /**
  * Failure detector for the entry VMs. Safety does not depend on it: a wrong
- * verdict costs time, as by a needless change of leader or a call to a failed
+ * decision costs time, as by a needless change of leader or a call to a failed
  * voter, but never leads to a second owner.
  *
  * Each VM probes its peers by heartbeats at a fixed interval. The time without
@@ -118,20 +118,20 @@
 
   /** Notes the reply to an indirect probe that was sent at `askedAtMs`. */
   noteIndirectReply(
-    answer: effects.IndirectProbeReply,
+    reply: effects.IndirectProbeReply,
     { askedAtMs, nowMs }: {
       readonly askedAtMs: number;
       readonly nowMs: number;
     },
   ): effects.MemberEvent[] {
-    const member = this.#members.get(answer.about);
+    const member = this.#members.get(reply.about);
     if (member?.unansweredSinceMs === undefined) return [];
-    const seenAtMs = askedAtMs - (answer.seenAgeMs ?? Number.POSITIVE_INFINITY);
-    if (seenAtMs < member.unansweredSinceMs || !answer.incarnation) {
-      member.confirmedBy.add(answer.from);
+    const seenAtMs = askedAtMs - (reply.seenAgeMs ?? Number.POSITIVE_INFINITY);
+    if (seenAtMs < member.unansweredSinceMs || !reply.incarnation) {
+      member.confirmedBy.add(reply.from);
       return this.#review(member, nowMs);
     }
-    const adopted = this.#adopt(member, answer.incarnation);
+    const adopted = this.#adopt(member, reply.incarnation);
     if (adopted === undefined) return [];
     member.noteSeen(seenAtMs);
     return [...adopted, ...this.#review(member, nowMs)];
@@ -160,7 +160,7 @@
 
   /**
    * Takes updates from a peer. They only cause a probe of the VM concerned at
-   * the next heartbeat: taken as verdicts, the updates of one VM that resumes
+   * the next heartbeat: taken as facts, the updates of one VM that resumes
    * from a pause would make the whole fleet drop healthy members.
    */
   noteUpdates(
@@ -230,7 +230,10 @@
     return member;
   }
 
-  /** Undefined when the incarnation has been replaced by a newer one. */
+  /**
+   * Returns the event of a new incarnation; undefined when the incarnation has
+   * been replaced by a newer one.
+   */
   #adopt(
     member: Member,
     incarnation: contracts.Incarnation,
--- a/packages/decisions/src/routing/retry_policy.ts
+++ b/packages/decisions/src/routing/retry_policy.ts
@@ -64,10 +64,10 @@
 /**
  * Whether the attempt ended by flow control instead of a failure. A full server
  * refuses before it has done any work, and the request goes back to its queue,
- * which paces the attempts. So does a request for a key whose owner is leaving,
- * cold, lost or does not have the slice yet: only the next owner can serve it,
- * within seconds. Neither is charged to the budget, which limits how failures
- * multiply the load.
+ * which paces the attempts. A request for a key whose owner is leaving, cold,
+ * lost or does not have the slice yet also goes back to its queue: only the next
+ * owner can serve it, within seconds. Neither is charged to the budget, which
+ * limits how failures multiply the load.
  */
 function isFlowControl(failure: FailedAttempt, isKeyed: boolean): boolean {
   if (failure.kind !== "not-run" || failure.refusal === "deadline") {
