--- a/packages/contracts/src/assignment.ts
+++ b/packages/contracts/src/assignment.ts
@@ -94,7 +94,7 @@
   unfencedServers: z.array(serverIdSchema).optional(),
   /**
    * Timings, oldest first; the last ones are active. Earlier ones stay until no
-   * lease granted by them can be left, and handovers wait for the longest.
+   * lease granted by them can remain, and handovers wait for the longest.
    */
   leaseTimings: z.array(leaseTimingsSchema).min(1).optional(),
 });
--- a/packages/contracts/src/backend_server.ts
+++ b/packages/contracts/src/backend_server.ts
@@ -94,7 +94,8 @@
   /** The server is shutting down and takes no new requests. */
   draining: z.boolean(),
   /**
-   * Whether the server checks fencing tokens; if not, entry VMs must guard it.
+   * Whether the server checks fencing tokens; if not, a handover from it has to
+   * stop the entry VMs from forwarding to it.
    */
   checksFences: z.boolean(),
 });
--- a/packages/contracts/src/key_grants.ts
+++ b/packages/contracts/src/key_grants.ts
@@ -116,8 +116,8 @@
    */
   keeperSets: z.array(z.array(vmIdSchema).min(1)).min(1),
   /**
-   * Duration of a grant, in milliseconds; it never falls, so that no earlier
-   * grant outlasts it. Absent in maps of services with short requests.
+   * Lease duration of the grants, in milliseconds; it never falls, so that no
+   * earlier grant outlasts it. Absent in maps of services with short requests.
    */
   holdMs: z.number().int().min(1).optional(),
   /** Sorted, without gap or overlap, covering all keys. */
--- a/packages/contracts/src/peer.ts
+++ b/packages/contracts/src/peer.ts
@@ -31,7 +31,7 @@
   ).optional(),
   /** Servers that do not check fences and run requests of the sender. */
   busyServers: z.array(serverIdSchema).optional(),
-  /** The sender is the service's leader and wants load reports. */
+  /** Whether the sender is the service's leader and requests load reports. */
   holdsDuty: z.boolean().optional(),
 });
 /** The highest assignment revision of a service that a process knows. */
