--- a/packages/decisions/src/ownership/assignment_controller.ts
+++ b/packages/decisions/src/ownership/assignment_controller.ts
@@ -3,8 +3,8 @@
  * two conditional updates: the first takes a slice from its owner, the second
  * grants it to the next owner once no other server can hold a lease for it. The
  * controller always continues from what the store holds, so a lost reply, a
- * failed controller and a concurrent one are the same case: read, and go on
- * from there.
+ * failed controller and a concurrent one are handled alike: it reads the store
+ * and continues from there.
  */
 import * as contracts from "@guavatide/contracts";
 import { AssignmentBuilder } from "./assignment_builder.ts";
@@ -194,9 +194,9 @@
   }
 
   /** A server answered a lease command. */
-  noteReply(answer: AnsweredCommand): void {
-    this.#maintenance.noteReply(answer, this.assignment);
-    this.#handovers.noteReply(answer);
+  noteReply(answered: AnsweredCommand): void {
+    this.#maintenance.noteReply(answered, this.assignment);
+    this.#handovers.noteReply(answered);
   }
 
   /** Servers from which slices are being taken. */
@@ -298,7 +298,7 @@
     const limitMs = Math.min(RETRY_MAX_MS, RETRY_MIN_MS * 2 ** this.#failures);
     this.#failures++;
     // Jitter keeps the controllers of all services from reading at the same
-    // moment when the store comes back.
+    // moment when the store is available again.
     this.#nextAttemptAtMs = nowMs + limitMs * (0.5 + random.next() / 2);
   }
 
--- a/packages/decisions/src/ownership/failure_detector.ts
+++ b/packages/decisions/src/ownership/failure_detector.ts
@@ -89,8 +89,8 @@
   /**
    * Servers to report to peers, with the milliseconds since the first
    * unanswered command: those without a reply for half the detection time, and
-   * those without a recent reply at all. Peers count a server that is not
-   * reported as responsive.
+   * those without a recent reply at all. For peers, a server that is left out
+   * is responsive.
    */
   unresponsiveServers(nowMs: number): Map<contracts.ServerId, number> {
     const found = new Map<contracts.ServerId, number>();
--- a/packages/decisions/src/ownership/leader_lease.ts
+++ b/packages/decisions/src/ownership/leader_lease.ts
@@ -137,7 +137,10 @@
     if (this.#isOwn()) this.#nextRequestAtMs = nowMs;
   }
 
-  /** The write that `tick` or `resign` requested has ended. */
+  /**
+   * The write that `tick` requested has ended. The result of the write that
+   * `resign` returned is not noted.
+   */
   noteWrite(
     write: LeaderRecordWrite,
     nowMs: number,
@@ -162,7 +165,7 @@
     this.#nextRequestAtMs = nowMs;
   }
 
-  /** Jitter spreads the VMs' retries when a store comes back. */
+  /** Jitter spreads the VMs' retries when the store is available again. */
   #retryLater(nowMs: number, random: contracts.RandomSource): void {
     const { retryMs } = this.#settings;
     this.#nextRequestAtMs = nowMs + retryMs * (0.5 + random.next());
--- a/packages/decisions/src/ownership/slice_handover.ts
+++ b/packages/decisions/src/ownership/slice_handover.ts
@@ -65,10 +65,11 @@
   }
 
   /**
-   * Takes a reply as a release if it is one. The command must have left after
-   * the quorum's acknowledgement: a server that restarts after its release
-   * could otherwise get the slice back from a voter that does not know the
-   * revision yet.
+   * Notes a reply. It counts as a release if its command did not list the slice
+   * and no request runs on it any more. The command must have left after the
+   * quorum's acknowledgement: a server that restarts after its release could
+   * otherwise get the slice back from a voter that does not know the revision
+   * yet.
    */
   noteReply(answered: AnsweredCommand): void {
     const { command, reply } = answered;
