--- a/packages/entry/src/administration/admin_fixture_test_support.ts
+++ b/packages/entry/src/administration/admin_fixture_test_support.ts
@@ -107,7 +107,7 @@
     const reader = new configuration.ConfigReader(shared);
     this.config = new configuration.ConfigTask({
       ...shared,
-      watcherSelector: watcherSelector,
+      watcherSelector,
       peers: singleVmSource(),
       random: { next: () => 0.5 },
       watchWaitMs: 100,
--- a/packages/entry/src/gateway/service_grants.ts
+++ b/packages/entry/src/gateway/service_grants.ts
@@ -225,7 +225,7 @@
     this.#voterReports.noteReport({
       vm: status.vm,
       revision,
-      hasReadMap: hasReadMap,
+      hasReadMap,
       requestedAtMs: sentAtMs,
       receivedAtMs,
       startedAtMs: receivedAtMs - status.lifeMs,
@@ -626,7 +626,7 @@
       vm,
       map: this.#map,
       live: this.#voterCandidates(),
-      sinceLastMessageMs: sinceLastMessageMs,
+      sinceLastMessageMs,
       uptimeMs: nowMs - this.#startedAtMs,
     };
   }
--- a/packages/entry/src/gateway/watch_relay.ts
+++ b/packages/entry/src/gateway/watch_relay.ts
@@ -277,7 +277,7 @@
     { vm, storeCalmMs, positions }: messages.ReaderStatus,
   ): void {
     const receivedAtMs = this.#options.clock.nowMs();
-    this.#election.noteReader({ vm, receivedAtMs: receivedAtMs, storeCalmMs });
+    this.#election.noteReader({ vm, receivedAtMs, storeCalmMs });
     for (const [prefix, position] of Object.entries(positions)) {
       this.#watches.get(prefix)?.notePeerPosition(position, vm);
     }
--- a/packages/entry/src/ownership/assignment_controller_task.ts
+++ b/packages/entry/src/ownership/assignment_controller_task.ts
@@ -96,7 +96,7 @@
     const { revision } = known;
     const report = { vm, incarnation, revision, nowMs };
     this.#voterReview.noteHasReadStore(vm, known.settled);
-    this.#controller.noteAck({ ...report, requestedAtMs: requestedAtMs });
+    this.#controller.noteAck({ ...report, requestedAtMs });
     const busyServers = known.busyServers ?? [];
     this.#controller.noteUnfencedRequests({ ...report, busyServers });
   }
--- a/packages/entry/src/ownership/lease_command_task.ts
+++ b/packages/entry/src/ownership/lease_command_task.ts
@@ -178,7 +178,7 @@
     }
     if (reply.draining) servers.noteDraining(server);
     else if (previous?.draining === true) servers.noteNotDraining(server);
-    this.#onReply({ command: command, reply, sentAtMs, nowMs });
+    this.#onReply({ command, reply, sentAtMs, nowMs });
   }
 
   /**
--- a/packages/entry/src/ownership/ownership_task.ts
+++ b/packages/entry/src/ownership/ownership_task.ts
@@ -171,7 +171,7 @@
       ownership.known.noteVoterReply({
         vm: reply.vm,
         known,
-        requestedAtMs: requestedAtMs,
+        requestedAtMs,
       });
       ownership.notePeer(reply, known, requestedAtMs);
     }
--- a/packages/entry/src/ownership/voter_review.ts
+++ b/packages/entry/src/ownership/voter_review.ts
@@ -34,9 +34,9 @@
     const current = known.voters;
     const voters = ownership.chooseVoters({
       service,
-      current: current,
-      eligible: eligible,
-      removed: removed,
+      current,
+      eligible,
+      removed,
       hasher,
     });
     return { voters, removed };
--- a/packages/entry/src/requests/active_request.ts
+++ b/packages/entry/src/requests/active_request.ts
@@ -232,7 +232,7 @@
       path: SERVE_PATH + pathAndQuery,
       headers,
       body,
-      maySend: maySend,
+      maySend,
       onServerStamp: (text) => serverClock.recordStamp(text),
     };
   }
