--- a/packages/entry/src/configuration/peer_config_source.ts
+++ b/packages/entry/src/configuration/peer_config_source.ts
@@ -48,7 +48,7 @@
 
 /** Access to the configuration of other entry VMs. */
 export interface PeerConfigSource {
-  /** Entry VMs that aren't known to be lost or gone, including this one. */
+  /** Entry VMs that aren't known to have failed or left, including this one. */
   liveVms(): readonly contracts.VmId[];
   /** Sends the provider's revision in heartbeats and serves its deltas. */
   serve(provider: ConfigProvider): void;
--- a/packages/entry/src/gateway/cold_start_limits.ts
+++ b/packages/entry/src/gateway/cold_start_limits.ts
@@ -37,7 +37,7 @@
     );
   }
 
-  /** Limit for requests that this VM sends without asking a coordinator. */
+  /** Limit for requests that this VM sends without a slot from a coordinator. */
   forDirectSends(service: contracts.ServiceId): admission.ColdStartLimit {
     return this.#create(service, admission.EQUAL_SHARES);
   }
--- a/packages/entry/src/gateway/forwarder.ts
+++ b/packages/entry/src/gateway/forwarder.ts
@@ -62,7 +62,7 @@
 const NO_CONFIG_RETRY_AFTER_MS = 300;
 /** Mean service time assumed while none has been measured. */
 const DEFAULT_SERVICE_TIME_MS = 100;
-/** Peers are told a server's slowdown when it changes by more than this factor. */
+/** A server's slowdown is sent to peers when it changes by more than this. */
 const SLOWDOWN_UPDATE_RATIO = 1.4;
 /** Connections of this VM's share kept free for releases and probes. */
 const SPARE_CONNECTIONS = 1;
--- a/packages/entry/src/gateway/kind_watch.ts
+++ b/packages/entry/src/gateway/kind_watch.ts
@@ -47,7 +47,7 @@
 const LIST_TIMEOUT_MS = 1_000;
 const RETRY_MIN_MS = 60;
 const RETRY_MAX_MS = 600;
-/** A change known to a peer may take this long to arrive over the own watch. */
+/** A change that a peer knows may take this long to arrive over the watch. */
 const WATCH_GRACE_MS = 250;
 /**
  * Peers have this long to send the changes that this VM missed; then it fetches
@@ -70,7 +70,7 @@
   #failures = 0;
   #abort: AbortController | undefined;
   /**
-   * Highest position reported by peers, and since when it is ahead of the own.
+   * Highest position reported by peers, and since when it is ahead of this VM's.
    */
   #peerPosition = 0;
   #behindSinceMs: number | undefined;
@@ -163,7 +163,7 @@
     const missing = names === undefined
       ? []
       : this.#table.deletionsExcept(names);
-    // Changes up to the own position are applied again, in their order: the
+    // Changes up to this VM's position are applied again, in their order: the
     // last change of each object prevails.
     this.#apply([...events, ...missing]);
     this.#position = toPosition;
@@ -235,7 +235,7 @@
 
   /**
    * Gets the first list. It may be some seconds old, as readers send what has
-   * changed since. After a failure of the store a peer is asked in turn.
+   * changed since. Alternates between the store and a peer after failures.
    */
   async #listFirst(): Promise<boolean> {
     if (this.#failures % 2 === 1 && await this.#fetchFromPeer()) return true;
@@ -308,8 +308,8 @@
       timeoutMs: waitMs + WATCH_TIMEOUT_SLACK_MS,
       signal: this.#abort!.signal,
     });
-    // The result is dropped if this VM has meanwhile to list again, or is no
-    // longer a reader.
+    // Drops the result if this VM now has to list again, or is no longer a
+    // reader.
     if (this.#isStale || this.#abort!.signal.aborted) return true;
     if (result.isErr()) return this.#noteFailure(result.error);
     health.noteAnswer();
--- a/packages/entry/src/gateway/peer_discovery.ts
+++ b/packages/entry/src/gateway/peer_discovery.ts
@@ -103,8 +103,8 @@
   }
 
   /**
-   * Requests the known VMs of one peer, of the own availability zone if there
-   * is any.
+   * Requests the known VMs of one peer, from this VM's availability zone if it
+   * has any.
    */
   #requestPeers(nowMs: number): void {
     const { gossip, random, self: { vm, host, port } } = this.#options;
--- a/packages/entry/src/gateway/peer_gossip.ts
+++ b/packages/entry/src/gateway/peer_gossip.ts
@@ -113,7 +113,7 @@
  * makes the VMs redistribute all servers.
  */
 const MEMBERS_CHANGE_DELAY_MS = 50;
-/** Number of own messages whose send time is kept, for echoes. */
+/** Number of messages whose send time this VM keeps, for echoes. */
 const MAX_SENT_TIMES = 256;
 
 /** Membership and state exchange among the entry VMs of a deployment. */
@@ -129,7 +129,7 @@
   readonly #memberListeners: (() => void)[] = [];
   /** Set while a change of members waits to be reported. */
   #membersTimer: NodeJS.Timeout | undefined;
-  /** When each own hello or status was sent, by its sequence number. */
+  /** When this VM sent each hello or status, by its sequence number. */
   readonly #sentAtMs = new Map<number, number>();
   #sequence = 0;
   #cellSentAtMs = Number.NEGATIVE_INFINITY;
@@ -291,7 +291,7 @@
   }
 
   /**
-   * Sends a notification to all VMs: to those of the own cell, and to one VM of
+   * Sends a notification to all VMs: to those of its own cell, and to one VM of
    * every other cell, which relays it to its cell.
    */
   broadcast(method: string, params: object): void {
@@ -352,7 +352,7 @@
   }
 
   /**
-   * A random peer that is up, one of the own availability zone if there is any.
+   * A random peer that is up, from this VM's availability zone if it has any.
    */
   randomPeer(): PeerHello | undefined {
     const { random, self } = this.#options;
@@ -554,7 +554,7 @@
   }
 
   /**
-   * When the own message that the peer echoes was sent; negative infinity
+   * When this VM sent the message that the peer echoes; negative infinity
    * without an echo of this incarnation.
    */
   #echoSentAtMs({ echo }: VoterStatus): number {
--- a/packages/entry/src/gateway/peer_messages.ts
+++ b/packages/entry/src/gateway/peer_messages.ts
@@ -1,6 +1,6 @@
 /**
  * Messages between entry VMs, sent as datagrams: JSON-RPC 2.0 notifications. A
- * lost message is made up for by the next one.
+ * lost message is superseded by the next one.
  */
 import * as contracts from "@guavatide/contracts";
 import type * as admission from "@guavatide/decisions/admission/mod";
@@ -155,8 +155,8 @@
   maps: true,
 }).extend({
   /**
-   * Incarnation and sequence number of the last message received from the
-   * receiver of this one: bounds the age of this status.
+   * Incarnation and sequence number of the last message that the sender has
+   * received from this status's recipient: bounds the age of the status.
    */
   echo: z.tuple([contracts.incarnationSchema, z.number().int()]).nullable(),
   /** Uptime of the process. */
--- a/packages/entry/src/gateway/peer_registry.ts
+++ b/packages/entry/src/gateway/peer_registry.ts
@@ -132,7 +132,7 @@
   }
 
   /**
-   * Takes a peer's hello, or its status with the hello's fields; undefined when
+   * Records a peer's hello, or its status with the hello's fields; undefined when
    * a later message of its incarnation was received.
    */
   noteHello(
@@ -176,7 +176,7 @@
   }
 
   /**
-   * Takes a voter's status; false when a later message was received, or no
+   * Records a voter's status; false when a later message was received, or no
    * hello yet.
    */
   noteVoterStatus(
@@ -195,7 +195,7 @@
   }
 
   /**
-   * Takes a report by a peer's cell that it has failed. The report is ignored
+   * Handles a report by a peer's cell that it has failed. The report is ignored
    * when a later message of the peer was received here.
    */
   noteFailure({ vm, incarnation, sequence }: PeerFailure): void {
--- a/packages/entry/src/gateway/service_grants.ts
+++ b/packages/entry/src/gateway/service_grants.ts
@@ -56,8 +56,8 @@
 /** VMs that renew the grants of one server, the first at full rate. */
 const RENEWERS_PER_SERVER = 2;
 /**
- * For this long only the leader grants a new range: its grant carries the
- * handover.
+ * For this long only the leader grants a new range: its grant carries the old
+ * owner's handover state.
  */
 const HANDOVER_LEAD_MS = 600;
 /** Timeout of one release call: running work has to end first. */
@@ -212,7 +212,7 @@
   }
 
   /**
-   * Takes a voter's status. `sentAtMs` is when the message that it echoes was
+   * Records a voter's status. `sentAtMs` is when the message that it echoes was
    * sent, which bounds the age of the status.
    */
   noteVoterStatus(
@@ -464,7 +464,7 @@
 
   /**
    * Whether a range with a new fence is left to the leader, which alone has the
-   * handover: without it the keys are slow at their new owner.
+   * handover state: without it the keys are slow at their new owner.
    */
   #isLeftToLeader(range: contracts.RangeState, nowMs: number): boolean {
     return !this.#isLeader && this.#pendingFences.has(range.fence) &&
--- a/packages/entry/src/gateway/watch_relay.ts
+++ b/packages/entry/src/gateway/watch_relay.ts
@@ -361,7 +361,7 @@
   }
 }
 
-/** Nothing depends on a longer time than this. */
+/** Limit of the reported healthy time; no VM distinguishes longer times. */
 const MAX_HEALTHY_MS = 60_000;
 
 function capHealthyMs(healthyMs: number): number {
--- a/packages/entry/src/ownership/assignment_controller_task.ts
+++ b/packages/entry/src/ownership/assignment_controller_task.ts
@@ -84,7 +84,7 @@
 
   /**
    * Records a peer's report. `requestedAtMs` is when the request for it was
-   * sent. It's absent for a report that the peer sent unasked.
+   * sent. It's absent for a report that was not requested.
    */
   notePeer(
     peer: PeerIdentity,
--- a/packages/entry/src/ownership/leader_election_task.ts
+++ b/packages/entry/src/ownership/leader_election_task.ts
@@ -3,7 +3,7 @@
 import type { Logger } from "../utils/log.ts";
 import type { ServiceContext } from "./service_context.ts";
 
-/** One VM's part in electing the leader that plans a service's moves. */
+/** One VM's part in electing the leader that plans a service's handovers. */
 export class LeaderElectionTask {
   readonly #context: ServiceContext;
   readonly #log: Logger;
--- a/packages/entry/src/requests/caller_request.ts
+++ b/packages/entry/src/requests/caller_request.ts
@@ -13,7 +13,7 @@
   readonly key: string | undefined;
   /** Name that the caller gave itself, unauthenticated; empty when absent. */
   readonly caller: string;
-  /** Timeout that the caller asked for; absent when it sent none. */
+  /** Timeout that the caller requested; absent when it sent none. */
   readonly timeoutMs: number | undefined;
   /** Monotonic time at which the request's headers arrived. */
   readonly arrivedMs: number;
--- a/packages/entry/src/requests/slot_dispatcher.ts
+++ b/packages/entry/src/requests/slot_dispatcher.ts
@@ -44,7 +44,7 @@
   readonly expiresMs: number;
 }
 
-/** Dispatcher of the services that peers ask this VM for. */
+/** Allocates slots of the services whose dispatcher peers take this VM for. */
 export class SlotDispatcher {
   readonly #options: SlotDispatcherOptions;
   readonly #services = new Map<contracts.ServiceId, DispatchedService>();
