--- a/packages/entry/src/configuration/peer_task_config_source.ts
+++ b/packages/entry/src/configuration/peer_task_config_source.ts
@@ -60,12 +60,12 @@
     decisions.ConfigDelta | null,
     source.PeerConfigError
   > {
-    const link = this.#options.peers.link(vm);
-    if (link === undefined) {
+    const client = this.#options.peers.link(vm);
+    if (client === undefined) {
       const message = `Entry VM "${vm}" is no longer a member: ask another`;
       return neverthrow.errAsync({ kind: "unreachable", message });
     }
-    return link.call(source.CONFIG_METHOD, {
+    return client.call(source.CONFIG_METHOD, {
       params: { haveRevision: options.haveRevision },
       schema: source.configReplySchema,
       timeoutMs: options.timeoutMs,
--- a/packages/entry/src/gateway/forwarded_request.ts
+++ b/packages/entry/src/gateway/forwarded_request.ts
@@ -102,12 +102,12 @@
     this.#waitingSinceMs = request.arrivedMs;
     const leftMs = Math.max(0, this.answerByMs - context.clock.nowMs());
     this.#timer = setTimeout(() => this.#onTimeout(), leftMs);
-    request.signal.addEventListener("abort", this.#onCallerGone);
+    request.signal.addEventListener("abort", this.#onCallerDisconnect);
   }
 
   /** Queues the request. The response comes through `resolve`, once. */
   start(): void {
-    if (this.#request.signal.aborted) return this.#onCallerGone();
+    if (this.#request.signal.aborted) return this.#onCallerDisconnect();
     this.#context.queue.add(this, this.#context.clock.nowMs());
   }
 
@@ -128,12 +128,12 @@
   refused(refusal: admission.Refusal): void {
     this.#queuedMs += this.#context.clock.nowMs() - this.#waitingSinceMs;
     const { reason, retryAfterMs, expectedWaitMs } = refusal;
-    const why = `${reason}, expected wait ${Math.round(expectedWaitMs)} ms`;
-    this.#giveUp(why, retryAfterMs);
+    const outcome = `${reason}, expected wait ${Math.round(expectedWaitMs)} ms`;
+    this.#giveUp(outcome, retryAfterMs);
   }
 
   async #send(
-    { load, outstanding, fence, releaseSlot: ended }: admission.Placement,
+    { load, outstanding, fence, releaseSlot }: admission.Placement,
     nowMs: number,
   ): Promise<void> {
     const { entry } = load;
@@ -148,8 +148,8 @@
     );
     this.#isSendPending = false;
     const endedMs = this.#context.clock.nowMs();
-    const end = this.#attemptEnd(result);
-    recordEnd(end, endedMs);
+    const outcome = this.#attemptEnd(result);
+    recordEnd(outcome, endedMs);
     const report = "report" in result ? result.report : undefined;
     if (report !== undefined) {
       this.#context.recordServerReport(entry.server, report, endedMs);
@@ -163,11 +163,11 @@
       end: describeResult(result),
     });
     const hasFreeSlots = outstanding < entry.slots;
-    const isServed = end.kind === "answered" && !end.isFailure;
+    const isServed = outcome.kind === "answered" && !outcome.isFailure;
     if (isServed && hasFreeSlots) {
       this.#context.times.record(this.route, entry.server, endedMs - nowMs);
     }
-    ended?.(isServed ? endedMs - nowMs : undefined);
+    releaseSlot?.(isServed ? endedMs - nowMs : undefined);
     this.#context.onLoadChange();
     this.#handleResult(result, entry.server);
     // A slot of a keyed service returns to its coordinator, not to this queue.
@@ -329,7 +329,7 @@
     );
   }
 
-  readonly #onCallerGone = (): void => {
+  readonly #onCallerDisconnect = (): void => {
     if (this.#isDone) return;
     this.#context.queue.cancel(this);
     this.#finish(
@@ -342,7 +342,7 @@
     if (this.#isDone) return;
     this.#isDone = true;
     clearTimeout(this.#timer);
-    this.#request.signal.removeEventListener("abort", this.#onCallerGone);
+    this.#request.signal.removeEventListener("abort", this.#onCallerDisconnect);
     // Cancels the attempt still in flight, and so its work at the server.
     if (this.#isSendPending) this.#cancel.abort();
     const nowMs = this.#context.clock.nowMs();
--- a/packages/entry/src/gateway/forwarder.ts
+++ b/packages/entry/src/gateway/forwarder.ts
@@ -92,7 +92,7 @@
     );
     options.gossip.onMembersChange(() => this.#followMembers());
     options.gossip.onStatus((status) => this.#applyPeerStatus(status));
-    options.gossip.onLoad((loads) => this.#applyPeerLoadNews(loads));
+    options.gossip.onLoad((loads) => this.#applyPeerLoadUpdate(loads));
   }
 
   /** Number of requests between their arrival and their response. */
@@ -377,7 +377,7 @@
     }
   }
 
-  #applyPeerLoadNews({ vm, loads, slowdowns }: LoadUpdate): void {
+  #applyPeerLoadUpdate({ vm, loads, slowdowns }: LoadUpdate): void {
     const atMs = this.#options.clock.nowMs();
     for (const [server, slowdownRatio] of Object.entries(slowdowns ?? {})) {
       this.#findServer(server)?.load.recordSpeed({ slowdownRatio, atMs });
--- a/packages/entry/src/gateway/front_listener.ts
+++ b/packages/entry/src/gateway/front_listener.ts
@@ -162,18 +162,18 @@
     const readMs = this.#options.clock.nowMs();
     const arrivedMs = readMs - lagMs;
     this.#inFlight++;
-    const callerGone = new AbortController();
-    const onCallerGone = () => {
-      if (response.writableFinished || callerGone.signal.aborted) return;
+    const callerAbort = new AbortController();
+    const onCallerDisconnect = () => {
+      if (response.writableFinished || callerAbort.signal.aborted) return;
       const nowMs = this.#options.clock.nowMs();
       if (nowMs - readMs < EARLY_CLOSE_MS) this.#lastEarlyCloseMs = nowMs;
-      callerGone.abort();
+      callerAbort.abort();
     };
-    incoming.socket.once("end", onCallerGone);
+    incoming.socket.once("end", onCallerDisconnect);
     response.once("close", () => {
-      incoming.socket.off("end", onCallerGone);
+      incoming.socket.off("end", onCallerDisconnect);
       this.#inFlight--;
-      onCallerGone();
+      onCallerDisconnect();
     });
     if (
       lagMs > 0 || readMs - this.#lastEarlyCloseMs < EARLY_CLOSE_CHECK_MS
@@ -181,13 +181,13 @@
       // A close that followed the request is read in the next iteration.
       await timers.setImmediate();
       await timers.setImmediate();
-      if (callerGone.signal.aborted) return void response.destroy();
+      if (callerAbort.signal.aborted) return void response.destroy();
     }
     const answer = this.#refuseEarly(readMs, lagMs) ??
       await this.#readAndForward(incoming, {
         arrivedMs,
         lagMs: this.#lag.isSustained ? lagMs : 0,
-      }, callerGone.signal);
+      }, callerAbort.signal);
     if (response.destroyed) return;
     const mustClose = !incoming.complete || this.#options.lifeCycle.isStopping;
     writeFrontAnswer(response, answer, mustClose);
--- a/packages/entry/src/gateway/front_listener_test.ts
+++ b/packages/entry/src/gateway/front_listener_test.ts
@@ -117,11 +117,11 @@
   while (fixture.requests.length === 0) {
     await new Promise((resolve) => setTimeout(resolve, 5));
   }
-  const gone = new Promise((resolve) =>
+  const aborted = new Promise((resolve) =>
     fixture.requests[0]!.signal.addEventListener("abort", resolve)
   );
   socket.destroy();
-  await gone;
+  await aborted;
   await fixture.lifeCycle.stop();
 });
 
--- a/packages/entry/src/gateway/service_grants.ts
+++ b/packages/entry/src/gateway/service_grants.ts
@@ -502,13 +502,13 @@
   async #callStore(call: grants.MapCall): Promise<void> {
     const { clock, maps, service } = this.#options;
     const sentAtMs = clock.nowMs();
-    const end = call.kind === "read"
+    const result = call.kind === "read"
       ? await maps.read(service)
       : await maps.write(call.map, call.condition);
-    this.#handoverController.noteCallResult(end, clock.nowMs());
-    if (end.kind === "unsure" || end.kind === "absent") return;
+    this.#handoverController.noteCallResult(result, clock.nowMs());
+    if (result.kind === "unsure" || result.kind === "absent") return;
     this.#fetcher.noteMapRead();
-    const { map } = end.stored;
+    const { map } = result.stored;
     this.#voterReports.noteRead(map.revision, sentAtMs);
     if (map.revision <= (this.#map?.revision ?? 0)) return;
     this.#updatePendingFences(map);
@@ -553,8 +553,12 @@
     const timeoutMs = isFencing ? timings.grantTimeoutMs : RELEASE_TIMEOUT_MS;
     control.release(server, { fromKey, toKey, fence }, { timeoutMs }).then(
       (result) => {
-        const end = result.isOk() ? { handover: result.value } : "failed";
-        this.#handoverController.noteReleaseResult(fence, end, clock.nowMs());
+        const release = result.isOk() ? { handover: result.value } : "failed";
+        this.#handoverController.noteReleaseResult(
+          fence,
+          release,
+          clock.nowMs(),
+        );
         // Fencing calls are repeated until the old owner answers; only the
         // answer is logged.
         if (isFencing && result.isErr()) return;
--- a/packages/entry/src/gateway/slot_task.ts
+++ b/packages/entry/src/gateway/slot_task.ts
@@ -190,13 +190,13 @@
   }
 
   #encodeRequests(
-    { requests: wishes, ended, held }: admission.CoordinatorMessage,
+    { requests, ended, held }: admission.CoordinatorMessage,
   ): messages.SlotRequests {
     const { vm, clock } = this.#options;
     const nowMs = clock.nowMs();
     return {
       vm,
-      wishes: wishes.map((request) => [
+      wishes: requests.map((request) => [
         encodeSlot(request),
         Math.round(request.targetMs - nowMs),
         Math.round(request.answerByMs - nowMs),
@@ -206,12 +206,14 @@
     };
   }
 
-  #handleRequests({ vm, wishes, ended, held }: messages.SlotRequests): void {
+  #handleRequests(
+    { vm, wishes: requests, ended, held }: messages.SlotRequests,
+  ): void {
     const nowMs = this.#options.clock.nowMs();
     for (const [id, tookMs] of ended) {
       this.#coordinator.release(vm, id, { tookMs: tookMs ?? undefined, nowMs });
     }
-    for (const [slot, targetLeftMs, answerLeftMs] of wishes) {
+    for (const [slot, targetLeftMs, answerLeftMs] of requests) {
       this.#coordinator.request({
         ...decodeSlot(slot),
         vm,
--- a/packages/entry/src/loads/load_task_test.ts
+++ b/packages/entry/src/loads/load_task_test.ts
@@ -76,7 +76,7 @@
         vm: vm as contracts.VmId,
         incarnation: `${vm}-run` as contracts.Incarnation,
       },
-      peers: { link: (peer) => this.#link(peer) },
+      peers: { link: (peer) => this.#peerCaller(peer) },
       peerServer: {
         register: (method, schema, handler) => {
           const handle = (params: unknown) =>
@@ -93,7 +93,7 @@
     return task;
   }
 
-  #link(peer: string): PeerCaller {
+  #peerCaller(peer: string): PeerCaller {
     return {
       call: (method, { params, schema }) => {
         const reply = this.#handlers.get(`${peer}/${method}`)!(params);
--- a/packages/entry/src/wire.ts
+++ b/packages/entry/src/wire.ts
@@ -226,26 +226,26 @@
     random,
     heartbeatIntervalMs: timings.heartbeatMs,
   });
-  const door = new PeerServer({
+  const peerServer = new PeerServer({
     host,
     port: settings.ports.peers,
     secret,
     tls: tls.peers,
   });
-  const peerPort = await door.listen(context.lifeCycle);
+  const peerPort = await peerServer.listen(context.lifeCycle);
   const peers = new PeerTask({
     self: { ...self, zone: settings.zone, host, peerPort },
     secret,
     tls: tls.peers,
     heartbeatMs: timings.heartbeatMs,
     heartbeatTimeoutMs: timings.heartbeatMs * HEARTBEAT_TIMEOUT_INTERVALS,
-    peerServer: door,
+    peerServer,
     membership,
     clock,
     log: log.part("member"),
   });
   context.directory.onVmList((vms) => peers.noteVmList(vms));
-  return { membership, door, peers, peerPort };
+  return { membership, door: peerServer, peers, peerPort };
 }
 
 async function createConfiguration(
@@ -294,7 +294,7 @@
   deps: OwnershipDependencies,
 ): Ownership {
   const { settings, self, clock, directory } = context;
-  const { membership, peers, door } = deps;
+  const { membership, peers, door: peerServer } = deps;
   const peerView = new ownershipTasks.MembershipPeerView({
     self,
     membership,
@@ -303,7 +303,7 @@
     timeoutMs: settings.timings.evidenceMs,
   });
   directory.onVmList((vms) => peerView.noteVmList(vms));
-  const loads = new LoadTask({ self, peers, peerServer: door, clock });
+  const loads = new LoadTask({ self, peers, peerServer, clock });
   const owners = new ownershipTasks.OwnershipTask({
     timings: toOwnershipTimings(settings),
     clock,
@@ -322,12 +322,12 @@
   loads.setOwnershipSource(owners);
   peers.addParticipant(owners);
   peers.addParticipant(loads);
-  door.register(
+  peerServer.register(
     ownershipTasks.ASSIGNMENT_METHOD,
     contractsValues.assignmentSchema,
     (assignment) => owners.acceptAssignment(assignment),
   );
-  door.register(
+  peerServer.register(
     ownershipTasks.KNOWN_REVISION_METHOD,
     contractsValues.knownRevisionRequestSchema,
     (request) => owners.answerKnownRevision(request),
@@ -346,10 +346,10 @@
   deps: RequestDependencies,
 ): requests.CallerListener {
   const { settings, self, clock, lifeCycle } = context;
-  const { membership, door, hasher, loads } = deps;
+  const { membership, door: peerServer, hasher, loads } = deps;
   const peerCalls = createPeerRpc(deps.peers, {
     self,
-    peerServer: door,
+    peerServer,
     membership,
     clock,
   });
