--- a/packages/entry/src/configuration/config_task_test.ts
+++ b/packages/entry/src/configuration/config_task_test.ts
@@ -63,12 +63,15 @@
 class Cluster {
   readonly store = new FakeStore();
   readonly network = new FakeNetwork();
-  readonly #choice: decisions.WatcherSelector;
+  readonly #watcherSelector: decisions.WatcherSelector;
   readonly #lifeCycles: LifeCycle[] = [];
   readonly vms: contracts.VmId[];
 
-  private constructor(choice: decisions.WatcherSelector, size: number) {
-    this.#choice = choice;
+  private constructor(
+    watcherSelector: decisions.WatcherSelector,
+    size: number,
+  ) {
+    this.#watcherSelector = watcherSelector;
     this.vms = Array.from(
       { length: size },
       (_, index) => `entry-${index}` as contracts.VmId,
@@ -93,7 +96,7 @@
       vm,
       store: this.store,
       peers: this.network.sourceFor(vm),
-      watcherSelector: this.#choice,
+      watcherSelector: this.#watcherSelector,
       clock: new MonotonicClock(),
       random: { next: Math.random },
       log: NOOP_LOG,
--- a/packages/entry/src/gateway/forwarder.ts
+++ b/packages/entry/src/gateway/forwarder.ts
@@ -76,7 +76,7 @@
   /** Current slowdown ratios of servers, not yet sent to peers. */
   #slowdowns: Record<string, number> | undefined;
   #inFlight = 0;
-  #reviewWork: PeriodicTask | undefined;
+  #reviewTask: PeriodicTask | undefined;
   readonly #overloadLog: ThrottledWarning;
 
   constructor(options: ForwarderOptions) {
@@ -102,7 +102,7 @@
 
   /** Starts the periodic work. */
   start(lifeCycle: LifeCycle): void {
-    this.#reviewWork = lifeCycle.every(
+    this.#reviewTask = lifeCycle.every(
       QUEUE_REVIEW_INTERVAL_MS,
       () => this.#review(),
     );
@@ -297,7 +297,7 @@
       times,
       random,
       regionOf: (zone) => zones[zone],
-      onWait: () => this.#reviewWork?.setIntervalMs(QUEUE_REVIEW_INTERVAL_MS),
+      onWait: () => this.#reviewTask?.setIntervalMs(QUEUE_REVIEW_INTERVAL_MS),
       keyed: isKeyed
         ? {
           ownerOf: (key) => grants.ownerOf(service, key),
@@ -430,7 +430,7 @@
       queue.refuseExpired(nowMs);
       hasWaiting ||= queue.waiting > 0;
     }
-    if (!hasWaiting) this.#reviewWork?.setIntervalMs(Number.POSITIVE_INFINITY);
+    if (!hasWaiting) this.#reviewTask?.setIntervalMs(Number.POSITIVE_INFINITY);
   }
 }
 
--- a/packages/entry/src/gateway/grant_sender.ts
+++ b/packages/entry/src/gateway/grant_sender.ts
@@ -108,7 +108,7 @@
 
   /**
    * Servers that have not answered this VM's grants for at least
-   * `timings.silentMs`.
+   * `timings.unresponsiveAfterMs`.
    */
   unresponsiveServers(): contracts.ServerId[] {
     const { clock, timings } = this.#options;
--- a/packages/entry/src/gateway/grant_task.ts
+++ b/packages/entry/src/gateway/grant_task.ts
@@ -71,7 +71,7 @@
   readonly #listeners: ((service: contracts.ServiceId) => void)[] = [];
   #voters: ReadonlySet<contracts.VmId> = new Set();
   #suspensions = 0;
-  #work: PeriodicTask | undefined;
+  #tickTask: PeriodicTask | undefined;
   #countsSentAtMs = Number.NEGATIVE_INFINITY;
 
   constructor(options: GrantTaskOptions) {
@@ -111,7 +111,7 @@
 
   /** Starts the periodic work. */
   start(lifeCycle: LifeCycle): void {
-    this.#work = lifeCycle.every(TICK_MS, () => this.#tick());
+    this.#tickTask = lifeCycle.every(TICK_MS, () => this.#tick());
     lifeCycle.every(KEY_COUNTS_INTERVAL_MS, () => this.#sendKeyCounts());
   }
 
@@ -184,6 +184,7 @@
 
   #tick(): void {
     const { clock, log } = this.#options;
+    // The clock detects a suspension only when it is read.
     clock.nowMs();
     if (clock.suspensions !== this.#suspensions) {
       this.#suspensions = clock.suspensions;
@@ -194,7 +195,7 @@
     }
     for (const service of this.#services.values()) service.tick();
     const isActive = this.isLeader || this.#voters.has(this.#options.self.vm);
-    this.#work?.setIntervalMs(isActive ? ACTIVE_TICK_MS : TICK_MS);
+    this.#tickTask?.setIntervalMs(isActive ? ACTIVE_TICK_MS : TICK_MS);
   }
 
   #applyConfig(): void {
--- a/packages/entry/src/gateway/kind_watch.ts
+++ b/packages/entry/src/gateway/kind_watch.ts
@@ -117,7 +117,7 @@
   start(lifeCycle: LifeCycle): void {
     lifeCycle.signal.addEventListener("abort", () => this.#abort?.abort());
     // A watch that was waiting when the store became unreachable would go on
-    // waiting, and changes made after its return would be known seconds late.
+    // waiting, and changes made after the recovery would arrive seconds late.
     this.#options.health.onRecovered(() => {
       if (this.#isListed && this.#options.relay.isReader) {
         this.#relist("the store is back");
--- a/packages/entry/src/gateway/peer_discovery.ts
+++ b/packages/entry/src/gateway/peer_discovery.ts
@@ -168,8 +168,8 @@
       timeoutMs,
       condition: { kind: "absent" },
     });
-    const isRegistered = created.isErr() && created.error.kind === "conflict";
-    const result = isRegistered
+    const isNameTaken = created.isErr() && created.error.kind === "conflict";
+    const result = isNameTaken
       ? await store.put(name, value, { timeoutMs, condition: { kind: "any" } })
       : created;
     if (result.isErr()) health.noteFailure(result.error);
--- a/packages/entry/src/gateway/peer_gossip.ts
+++ b/packages/entry/src/gateway/peer_gossip.ts
@@ -473,7 +473,7 @@
 
   /**
    * Selects the recipients of a status: peers that belong to the group and are
-   * up or were a short while ago. Records the choice in `mark`.
+   * up or were a short while ago. Records the choice in their field `mark`.
    */
   #selectRecipients(
     mark: "receivesStatus" | "receivesVoterStatus",
--- a/packages/entry/src/gateway/service_grants.ts
+++ b/packages/entry/src/gateway/service_grants.ts
@@ -539,9 +539,9 @@
    * Calls the old owner with the next owner's fence: from then on it refuses
    * older grants.
    */
-  #release({ range, oldOwner: old, isFencing }: grants.ReleaseCall): void {
+  #release({ range, oldOwner, isFencing }: grants.ReleaseCall): void {
     const { registry, control, clock, timings, log } = this.#options;
-    const server = registry.entry(old);
+    const server = registry.entry(oldOwner);
     const { fromKey, toKey, fence } = range;
     if (server === undefined) {
       return this.#handoverController.noteReleaseResult(
@@ -563,7 +563,7 @@
         // answer is logged.
         if (isFencing && result.isErr()) return;
         log.info(result.isOk() ? "Range released." : "Release failed.", {
-          server: old.server,
+          server: oldOwner.server,
           fromKey,
           toKey,
           fence,
@@ -596,8 +596,11 @@
         .map((entry) => [entry.server, entry]),
     );
     const selection = this.#voterSelection(nowMs);
-    const { uptimeMs: lifeMs } = selection;
-    const isOver = this.#initialMapWait.isOver(usable.size, { nowMs, lifeMs });
+    const { uptimeMs } = selection;
+    const isOver = this.#initialMapWait.isOver(usable.size, {
+      nowMs,
+      lifeMs: uptimeMs,
+    });
     const mayStart = this.#map !== undefined || isOver;
     return {
       nowMs,
--- a/packages/entry/src/gateway/service_grants_test.ts
+++ b/packages/entry/src/gateway/service_grants_test.ts
@@ -64,13 +64,12 @@
  */
 test("should withhold a grant when its map is no longer confirmed as it is sent", async () => {
   const voter = await createVoter();
-  const { confirmationTtlMs: evidenceMs, renewMs } =
-    grants.DEFAULT_GRANT_TIMINGS;
+  const { confirmationTtlMs, renewMs } = grants.DEFAULT_GRANT_TIMINGS;
   await voter.run(LEADER_AFTER_MS);
   voter.holdAnswers();
   voter.tick(renewMs);
   expect(voter.maySend(FIRST_SERVER)).toEqual(true);
-  voter.wait(evidenceMs);
+  voter.wait(confirmationTtlMs);
   expect(voter.maySend(FIRST_SERVER)).toEqual(false);
 });
 
--- a/packages/entry/src/gateway/slot_task.ts
+++ b/packages/entry/src/gateway/slot_task.ts
@@ -47,18 +47,18 @@
   readonly #options: SlotTaskOptions;
   readonly #requester: admission.SlotClient;
   readonly #coordinator: admission.SlotCoordinator;
-  readonly #coordinatorOrder: grants.VmRanking;
+  readonly #ranking: grants.VmRanking;
   /** Replies of this VM's coordinator that are not sent yet. */
   readonly #replies = new Map<contracts.VmId, admission.SlotReply[]>();
   readonly #consumers = new Map<admission.WaitingRequest, SlotConsumer>();
-  #tickWork: PeriodicTask | undefined;
+  #tickTask: PeriodicTask | undefined;
   /** Changes in one event loop iteration are sent together. */
   readonly #flushing = new CoalescedCallback(() => this.#flush());
 
   constructor(options: SlotTaskOptions) {
     this.#options = options;
     const { gossip, zone, random, hasher, vm } = options;
-    this.#coordinatorOrder = new grants.VmRanking(hasher);
+    this.#ranking = new grants.VmRanking(hasher);
     this.#requester = new admission.SlotClient({
       vm,
       coordinatorOf: (server, unresponsive) =>
@@ -82,7 +82,7 @@
       coldStartsOf: (service) => options.coldStarts.forCoordinator(service),
     });
     options.registry.onChange(() =>
-      this.#coordinatorOrder.keepOnly(options.registry.ids())
+      this.#ranking.keepOnly(options.registry.ids())
     );
     gossip.onGuarded(
       messages.SLOT_REQUESTS_METHOD,
@@ -98,7 +98,7 @@
 
   /** Starts the periodic work. */
   start(lifeCycle: LifeCycle): void {
-    this.#tickWork = lifeCycle.every(IDLE_TICK_MS, () => {
+    this.#tickTask = lifeCycle.every(IDLE_TICK_MS, () => {
       const nowMs = this.#options.clock.nowMs();
       this.#requester.tick(nowMs);
       this.#coordinator.sweep(nowMs);
@@ -108,7 +108,7 @@
 
   #adjustInterval(): void {
     const isIdle = this.#requester.isIdle && !this.#coordinator.hasPending;
-    this.#tickWork?.setIntervalMs(isIdle ? IDLE_TICK_MS : ACTIVE_TICK_MS);
+    this.#tickTask?.setIntervalMs(isIdle ? IDLE_TICK_MS : ACTIVE_TICK_MS);
   }
 
   /** A source of slots for the requests of one queue. */
@@ -161,7 +161,7 @@
       ? eligibleInZone
       : [vm, ...gossip.live.map((peer) => peer.vm)]
         .filter((it) => this.#isEligible(it, unresponsive)).sort();
-    return this.#coordinatorOrder.rank(server, eligible)[0];
+    return this.#ranking.rank(server, eligible)[0];
   }
 
   #isEligible(
