--- a/packages/entry/src/gateway/kind_watch.ts
+++ b/packages/entry/src/gateway/kind_watch.ts
@@ -70,7 +70,8 @@
   #failures = 0;
   #abort: AbortController | undefined;
   /**
-   * Highest position reported by peers, and since when it is ahead of this VM's.
+   * Highest position reported by peers, and since when it is ahead of this
+   * VM's.
    */
   #peerPosition = 0;
   #behindSinceMs: number | undefined;
--- a/packages/entry/src/gateway/peer_registry.ts
+++ b/packages/entry/src/gateway/peer_registry.ts
@@ -132,8 +132,8 @@
   }
 
   /**
-   * Records a peer's hello, or its status with the hello's fields; undefined when
-   * a later message of its incarnation was received.
+   * Records a peer's hello, or its status with the hello's fields; undefined
+   * when a later message of its incarnation was received.
    */
   noteHello(
     hello: PeerHello,
--- a/packages/entry/src/requests/slot_dispatcher.ts
+++ b/packages/entry/src/requests/slot_dispatcher.ts
@@ -44,7 +44,7 @@
   readonly expiresMs: number;
 }
 
-/** Allocates slots of the services whose dispatcher peers take this VM for. */
+/** Allocates slots of the services for which peers chose this dispatcher. */
 export class SlotDispatcher {
   readonly #options: SlotDispatcherOptions;
   readonly #services = new Map<contracts.ServiceId, DispatchedService>();
