--- a/packages/entry/src/gateway/forwarder.ts
+++ b/packages/entry/src/gateway/forwarder.ts
@@ -62,7 +62,7 @@
 const NO_CONFIG_RETRY_AFTER_MS = 300;
 /** Mean service time assumed while none has been measured. */
 const DEFAULT_SERVICE_TIME_MS = 100;
-/** Peers are told a server's slowdown when it changes by more than this factor. */
+/** A server's slowdown is sent to peers when it changes by more than this. */
 const SLOWDOWN_UPDATE_RATIO = 1.4;
 /** Connections of this VM's share kept free for releases and probes. */
 const SPARE_CONNECTIONS = 1;
@@ -76,7 +76,7 @@
   /** Current slowdown ratios of servers, not yet sent to peers. */
   #slowdowns: Record<string, number> | undefined;
   #inFlight = 0;
-  #reviewWork: PeriodicTask | undefined;
+  #reviewTask: PeriodicTask | undefined;
   readonly #overloadLog: ThrottledWarning;
 
   constructor(options: ForwarderOptions) {
@@ -92,7 +92,7 @@
     );
     options.gossip.onMembersChange(() => this.#followMembers());
     options.gossip.onStatus((status) => this.#applyPeerStatus(status));
-    options.gossip.onLoad((loads) => this.#applyPeerLoadNews(loads));
+    options.gossip.onLoad((loads) => this.#applyPeerLoadUpdate(loads));
   }
 
   /** Number of requests between their arrival and their response. */
@@ -102,7 +102,7 @@
 
   /** Starts the periodic work. */
   start(lifeCycle: LifeCycle): void {
-    this.#reviewWork = lifeCycle.every(
+    this.#reviewTask = lifeCycle.every(
       QUEUE_REVIEW_INTERVAL_MS,
       () => this.#review(),
     );
@@ -297,7 +297,7 @@
       times,
       random,
       regionOf: (zone) => zones[zone],
-      onWait: () => this.#reviewWork?.setIntervalMs(QUEUE_REVIEW_INTERVAL_MS),
+      onWait: () => this.#reviewTask?.setIntervalMs(QUEUE_REVIEW_INTERVAL_MS),
       keyed: isKeyed
         ? {
           ownerOf: (key) => grants.ownerOf(service, key),
@@ -377,7 +377,7 @@
     }
   }
 
-  #applyPeerLoadNews({ vm, loads, slowdowns }: LoadUpdate): void {
+  #applyPeerLoadUpdate({ vm, loads, slowdowns }: LoadUpdate): void {
     const atMs = this.#options.clock.nowMs();
     for (const [server, slowdownRatio] of Object.entries(slowdowns ?? {})) {
       this.#findServer(server)?.load.recordSpeed({ slowdownRatio, atMs });
@@ -430,7 +430,7 @@
       queue.refuseExpired(nowMs);
       hasWaiting ||= queue.waiting > 0;
     }
-    if (!hasWaiting) this.#reviewWork?.setIntervalMs(Number.POSITIVE_INFINITY);
+    if (!hasWaiting) this.#reviewTask?.setIntervalMs(Number.POSITIVE_INFINITY);
   }
 }
 
--- a/packages/entry/src/gateway/peer_discovery.ts
+++ b/packages/entry/src/gateway/peer_discovery.ts
@@ -103,8 +103,8 @@
   }
 
   /**
-   * Requests the known VMs of one peer, of the own availability zone if there
-   * is any.
+   * Requests the known VMs of one peer, from this VM's availability zone if it
+   * has any.
    */
   #requestPeers(nowMs: number): void {
     const { gossip, random, self: { vm, host, port } } = this.#options;
@@ -168,8 +168,8 @@
       timeoutMs,
       condition: { kind: "absent" },
     });
-    const isRegistered = created.isErr() && created.error.kind === "conflict";
-    const result = isRegistered
+    const isNameTaken = created.isErr() && created.error.kind === "conflict";
+    const result = isNameTaken
       ? await store.put(name, value, { timeoutMs, condition: { kind: "any" } })
       : created;
     if (result.isErr()) health.noteFailure(result.error);
--- a/packages/entry/src/gateway/service_grants.ts
+++ b/packages/entry/src/gateway/service_grants.ts
@@ -56,8 +56,8 @@
 /** VMs that renew the grants of one server, the first at full rate. */
 const RENEWERS_PER_SERVER = 2;
 /**
- * For this long only the leader grants a new range: its grant carries the
- * handover.
+ * For this long only the leader grants a new range: its grant carries the old
+ * owner's handover state.
  */
 const HANDOVER_LEAD_MS = 600;
 /** Timeout of one release call: running work has to end first. */
@@ -212,7 +212,7 @@
   }
 
   /**
-   * Takes a voter's status. `sentAtMs` is when the message that it echoes was
+   * Records a voter's status. `sentAtMs` is when the message that it echoes was
    * sent, which bounds the age of the status.
    */
   noteVoterStatus(
@@ -225,7 +225,7 @@
     this.#voterReports.noteReport({
       vm: status.vm,
       revision,
-      hasReadMap: hasReadMap,
+      hasReadMap,
       requestedAtMs: sentAtMs,
       receivedAtMs,
       startedAtMs: receivedAtMs - status.lifeMs,
@@ -464,7 +464,7 @@
 
   /**
    * Whether a range with a new fence is left to the leader, which alone has the
-   * handover: without it the keys are slow at their new owner.
+   * handover state: without it the keys are slow at their new owner.
    */
   #isLeftToLeader(range: contracts.RangeState, nowMs: number): boolean {
     return !this.#isLeader && this.#pendingFences.has(range.fence) &&
@@ -502,13 +502,13 @@
   async #callStore(call: grants.MapCall): Promise<void> {
     const { clock, maps, service } = this.#options;
     const sentAtMs = clock.nowMs();
-    const end = call.kind === "read"
+    const result = call.kind === "read"
       ? await maps.read(service)
       : await maps.write(call.map, call.condition);
-    this.#handoverController.noteCallResult(end, clock.nowMs());
-    if (end.kind === "unsure" || end.kind === "absent") return;
+    this.#handoverController.noteCallResult(result, clock.nowMs());
+    if (result.kind === "unsure" || result.kind === "absent") return;
     this.#fetcher.noteMapRead();
-    const { map } = end.stored;
+    const { map } = result.stored;
     this.#voterReports.noteRead(map.revision, sentAtMs);
     if (map.revision <= (this.#map?.revision ?? 0)) return;
     this.#updatePendingFences(map);
@@ -539,9 +539,9 @@
    * Calls the old owner with the next owner's fence: from then on it refuses
    * older grants.
    */
-  #release({ range, oldOwner: old, isFencing }: grants.ReleaseCall): void {
+  #release({ range, oldOwner, isFencing }: grants.ReleaseCall): void {
     const { registry, control, clock, timings, log } = this.#options;
-    const server = registry.entry(old);
+    const server = registry.entry(oldOwner);
     const { fromKey, toKey, fence } = range;
     if (server === undefined) {
       return this.#handoverController.noteReleaseResult(
@@ -553,13 +553,17 @@
     const timeoutMs = isFencing ? timings.grantTimeoutMs : RELEASE_TIMEOUT_MS;
     control.release(server, { fromKey, toKey, fence }, { timeoutMs }).then(
       (result) => {
-        const end = result.isOk() ? { handover: result.value } : "failed";
-        this.#handoverController.noteReleaseResult(fence, end, clock.nowMs());
+        const release = result.isOk() ? { handover: result.value } : "failed";
+        this.#handoverController.noteReleaseResult(
+          fence,
+          release,
+          clock.nowMs(),
+        );
         // Fencing calls are repeated until the old owner answers; only the
         // answer is logged.
         if (isFencing && result.isErr()) return;
         log.info(result.isOk() ? "Range released." : "Release failed.", {
-          server: old.server,
+          server: oldOwner.server,
           fromKey,
           toKey,
           fence,
@@ -592,8 +596,11 @@
         .map((entry) => [entry.server, entry]),
     );
     const selection = this.#voterSelection(nowMs);
-    const { uptimeMs: lifeMs } = selection;
-    const isOver = this.#initialMapWait.isOver(usable.size, { nowMs, lifeMs });
+    const { uptimeMs } = selection;
+    const isOver = this.#initialMapWait.isOver(usable.size, {
+      nowMs,
+      lifeMs: uptimeMs,
+    });
     const mayStart = this.#map !== undefined || isOver;
     return {
       nowMs,
@@ -626,7 +633,7 @@
       vm,
       map: this.#map,
       live: this.#voterCandidates(),
-      sinceLastMessageMs: sinceLastMessageMs,
+      sinceLastMessageMs,
       uptimeMs: nowMs - this.#startedAtMs,
     };
   }
--- a/packages/entry/src/gateway/watch_relay.ts
+++ b/packages/entry/src/gateway/watch_relay.ts
@@ -277,7 +277,7 @@
     { vm, storeCalmMs, positions }: messages.ReaderStatus,
   ): void {
     const receivedAtMs = this.#options.clock.nowMs();
-    this.#election.noteReader({ vm, receivedAtMs: receivedAtMs, storeCalmMs });
+    this.#election.noteReader({ vm, receivedAtMs, storeCalmMs });
     for (const [prefix, position] of Object.entries(positions)) {
       this.#watches.get(prefix)?.notePeerPosition(position, vm);
     }
@@ -361,7 +361,7 @@
   }
 }
 
-/** Nothing depends on a longer time than this. */
+/** Limit of the reported healthy time; no VM distinguishes longer times. */
 const MAX_HEALTHY_MS = 60_000;
 
 function capHealthyMs(healthyMs: number): number {
--- a/packages/entry/src/ownership/assignment_controller_task.ts
+++ b/packages/entry/src/ownership/assignment_controller_task.ts
@@ -84,7 +84,7 @@
 
   /**
    * Records a peer's report. `requestedAtMs` is when the request for it was
-   * sent. It's absent for a report that the peer sent unasked.
+   * sent. It's absent for a report that was not requested.
    */
   notePeer(
     peer: PeerIdentity,
@@ -96,7 +96,7 @@
     const { revision } = known;
     const report = { vm, incarnation, revision, nowMs };
     this.#voterReview.noteHasReadStore(vm, known.settled);
-    this.#controller.noteAck({ ...report, requestedAtMs: requestedAtMs });
+    this.#controller.noteAck({ ...report, requestedAtMs });
     const busyServers = known.busyServers ?? [];
     this.#controller.noteUnfencedRequests({ ...report, busyServers });
   }
